--- a/bench/counting_bench.cpp
+++ b/bench/counting_bench.cpp
@@ -16,8 +16,8 @@
 #include <unordered_map>
 
 #include "counting/counter.h"
+#include "fake_engine/made_vocabulary.h"
 #include "net/loop.h"
-#include "standin/made_vocabulary.h"
 
 namespace {
 
@@ -30,7 +30,7 @@
 // The plain alternative. Its bound is met by counting what malloc takes for a node of each container.
 class PlainLru {
  public:
-  explicit PlainLru(std::size_t octets) : most_(octets / kEach) {}
+  explicit PlainLru(std::size_t bytes) : most_(bytes / kEach) {}
   bool find(const Digest& key) {
     const auto at = map_.find(key);
     if (at == map_.end()) return false;
@@ -48,7 +48,7 @@
   std::size_t size() const { return map_.size(); }
 
  private:
-  // List node 48 and map node 40 octets, each with eight of malloc's, rounded to 16; a bucket's pointer.
+  // List node 48 and map node 40 bytes, each with eight of malloc's, rounded to 16; a bucket's pointer.
   static constexpr std::size_t kEach = 64 + 48 + 8;
   struct Hash {
     std::size_t operator()(const Digest& d) const { return static_cast<std::size_t>(d.low); }
@@ -111,20 +111,20 @@
   }
 }
 
-std::string words(std::mt19937_64& random, std::size_t octets) {
+std::string words(std::mt19937_64& random, std::size_t bytes) {
   std::string out;
-  while (out.size() < octets) {
+  while (out.size() < bytes) {
     out += ' ';
     for (std::size_t n = 2 + random() % 9; n > 0; --n) out += static_cast<char>('a' + random() % 26);
   }
   return out;
 }
 
-// Short prompts of `shortOctets` each 2 ms for `lasting`, with or without long ones; their times, sorted.
-std::vector<double> shorts(const std::vector<counting::Loaded>& loaded, std::size_t shortOctets, bool flood,
+// Short prompts of `shortBytes` each 2 ms for `lasting`, with or without long ones; their times, sorted.
+std::vector<double> shorts(const std::vector<counting::Loaded>& loaded, std::size_t shortBytes, bool flood,
                            bool plainFifo) {
   counting::CounterOptions options;
-  options.inlineOctets = 0;
+  options.inlineBytes = 0;
   options.within = 10'000'000;
   options.pool.queue.workers = 2;
   if (plainFifo) options.pool.sliceCost = 1u << 30;  // whole jobs, as a plain pool runs them
@@ -142,11 +142,11 @@
       return loop.stop();
     }
     if (flood && left % 10 == 0)
-      // Distinct from its first octet on, so that nothing of it is remembered.
+      // Distinct from its first byte on, so that nothing of it is remembered.
       counter->count({std::make_shared<const std::string>(std::to_string(left) + filling), 0, "", false},
                      loaded, [](const auto&) {});
     const auto start = Clock::now();
-    counter->count({std::make_shared<const std::string>(words(random, shortOctets)), 0, "", false}, loaded,
+    counter->count({std::make_shared<const std::string>(words(random, shortBytes)), 0, "", false}, loaded,
                    [&, start](const auto&) { times.push_back(seconds(start) * 1e3); });
     loop.after(2000, next);
   };
@@ -161,7 +161,7 @@
   file.format = tokeniser::Format::ranks;
   file.pattern = "cl100k_base";
   const std::vector<counting::Loaded> loaded{
-      {1, {"made", "1"}, tokeniser::readRanks("made", standin::madeRanks(1), file)}};
+      {1, {"made", "1"}, tokeniser::readRanks("made", fake_engine::madeRanks(1), file)}};
   std::printf("short prompts of 4 KB every 2 ms, on two workers; the flood: 50 MB/s of prompts of 1 MB\n");
   double quiet = 0;
   for (const auto& [name, withFlood, fifo] :
--- a/bench/counting_path_bench.cpp
+++ b/bench/counting_path_bench.cpp
@@ -15,10 +15,10 @@
 #include <thread>
 
 #include "client/channel.h"
+#include "fake_engine/fleet.h"
+#include "fake_engine/made_vocabulary.h"
 #include "garnethook/v1/generate.pb.h"
 #include "server/router_server.h"
-#include "standin/fleet.h"
-#include "standin/made_vocabulary.h"
 
 namespace {
 
@@ -62,9 +62,9 @@
   bool ok = false;
 };
 
-std::string words(std::mt19937_64& random, std::size_t octets) {
+std::string words(std::mt19937_64& random, std::size_t bytes) {
   std::string out;
-  while (out.size() < octets) {
+  while (out.size() < bytes) {
     out += ' ';
     for (std::size_t n = 2 + random() % 9; n > 0; --n) out += static_cast<char>('a' + random() % 26);
   }
@@ -80,11 +80,11 @@
   const std::string filling = words(random, 1'000'000);
   std::vector<double> firsts;
   std::vector<std::unique_ptr<Call>> calls;
-  const auto send = [&](client::Channel& channel, std::string prompt, std::vector<double>* to) {
+  const auto send = [&](client::Channel& channel, std::string prompt, std::vector<double>* times) {
     v1::GenerateRequest r;
     r.set_prompt(std::move(prompt));
     r.set_max_output_tokens(2);
-    calls.push_back(std::make_unique<Call>(loop, to));
+    calls.push_back(std::make_unique<Call>(loop, times));
     channel.call("/garnethook.v1.Generation/Generate", r.SerializeAsString(), 5'000'000, *calls.back());
   };
   int left = 800;
@@ -111,19 +111,20 @@
   ::signal(SIGPIPE, SIG_IGN);
   std::string folder = "/tmp/garnethook-bench-XXXXXX";
   if (::mkdtemp(folder.data()) == nullptr) return 2;
-  std::ofstream(folder + "/made.tiktoken") << standin::madeRanks(1);
+  std::ofstream(folder + "/made.tiktoken") << fake_engine::madeRanks(1);
   const std::string list = folder + "/engines.json";
   // These count a token for every four characters and take any time to read nothing: what is measured is the
   // router.
   const Child engines([&] {
     net::Loop loop;
-    standin::Recorder recorder([&] { return loop.now(); }, false);
-    standin::Fleet fleet(loop,
-                         standin::readFleet(config::Node(config::JsonFile::parse("fleet", R"({ "engines": [
+    fake_engine::Recorder recorder([&] { return loop.now(); }, false);
+    fake_engine::Fleet fleet(
+        loop,
+        fake_engine::readFleet(config::Node(config::JsonFile::parse("fleet", R"({ "engines": [
       { "name": "mixed", "count": 4, "kind": "mixed", "role": "both", "cell": "c", "slots": 256, "queue": 256, "read_tokens_per_s": 1e9,
         "read_base_ms": 0, "memory_tokens": 1e9, "token_ms": 0.1 } ] })")),
-                                            "engines"),
-                         recorder);
+                               "engines"),
+        recorder);
     fleet.writeList(list, 0);
     loop.run();
   });
--- a/bench/counting_soak.cpp
+++ b/bench/counting_soak.cpp
@@ -9,8 +9,8 @@
 #include <random>
 
 #include "counting/prompt_count.h"
-#include "standin/made_vocabulary.h"
-#include "standin/own_tokeniser.h"
+#include "fake_engine/made_vocabulary.h"
+#include "fake_engine/own_tokeniser.h"
 #include "tokeniser/utf8.h"
 
 namespace {
@@ -35,22 +35,22 @@
   tokeniser::FileOptions file;
   file.format = tokeniser::Format::ranks;
   file.pattern = "cl100k_base";
-  const std::string ranks = standin::madeRanks(1);
+  const std::string ranks = fake_engine::madeRanks(1);
   const auto tokeniser = tokeniser::readRanks("made", ranks, file);
-  const standin::OwnTokeniser own("made", "1", ranks, tokeniser::knownPattern("cl100k_base"));
+  const fake_engine::OwnTokeniser own("made", "1", ranks, tokeniser::knownPattern("cl100k_base"));
   constexpr std::size_t kCounts = 4u << 20;
   constexpr std::size_t kSessions = 8u << 20;
   // Beside the store: malloc's slack and scratch memory.
   constexpr std::size_t kSlack = 16u << 20;
-  counting::CountStore store({.countOctets = kCounts, .sessionOctets = kSessions});
+  counting::CountStore store({.countBytes = kCounts, .sessionBytes = kSessions});
   static const char* const kParts[] = {
       " the",  " hello",  "a",      "aaaa",   " ",      "   ", "\n", " \n", "12345",
       "é",     "e\u0301", "日本語", "😀",      "==",     "'s",  "'",  "l",   " st",
       " prou", "<|end|>", "<|",     "\u00a0", "\u200d", "\t",  "Z"};
   std::mt19937_64 random(seed);
-  const auto draw = [&](std::size_t octets) {
+  const auto draw = [&](std::size_t bytes) {
     std::string out;
-    while (out.size() < octets) out += kParts[random() % std::size(kParts)];
+    while (out.size() < bytes) out += kParts[random() % std::size(kParts)];
     return out;
   };
   std::vector<std::string> pool;
@@ -58,7 +58,7 @@
   const std::size_t atStart = resident();
   std::size_t most = 0;
   std::size_t encoded = 0;
-  std::size_t octets = 0;
+  std::size_t bytes = 0;
   for (std::size_t i = 0; i < prompts; ++i) {
     const std::string& base = pool[random() % pool.size()];
     const std::size_t cut = tokeniser::characterStart(base, random() % base.size());
@@ -78,7 +78,7 @@
       return 1;
     }
     encoded += count.result().encoded;
-    octets += text.size();
+    bytes += text.size();
     if (i % 1000 == 0) {
       const std::size_t now = resident();
       most = std::max(most, now);
@@ -89,8 +89,8 @@
   std::printf(
       "%zu prompts counted alike, %.1f MB, %.1f%% of the octets encoded; resident %.1f MB at most, bound "
       "%.1f MB (%.1f at the start)\n",
-      prompts, static_cast<double>(octets) / 1e6,
-      100.0 * static_cast<double>(encoded) / static_cast<double>(octets), static_cast<double>(most) / 1e6,
+      prompts, static_cast<double>(bytes) / 1e6,
+      100.0 * static_cast<double>(encoded) / static_cast<double>(bytes), static_cast<double>(most) / 1e6,
       static_cast<double>(bound) / 1e6, static_cast<double>(atStart) / 1e6);
   return most <= bound ? 0 : 1;
 }
--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -16,9 +16,9 @@
 #include <vector>
 
 #include "client/channel.h"
-#include "engine/http_engines.h"
+#include "engine/http_engine_client.h"
+#include "fake_engine/fleet.h"
 #include "server/router_server.h"
-#include "standin/fleet.h"
 
 namespace {
 
@@ -156,9 +156,9 @@
 };
 
 // The same requests straight at the engines: read at one, written at another, in turn.
-class Straight final : public routing::EngineEvents {
+class Straight final : public routing::EngineClientEvents {
  public:
-  Straight(net::Loop& loop, const membership::EngineMap& engines, std::uint64_t total, std::size_t atOnce)
+  Straight(net::Loop& loop, const membership::EndpointMap& engines, std::uint64_t total, std::size_t atOnce)
       : loop_(loop), total_(total), atOnce_(atOnce), engines_(loop, {.connections = 50'000, .idle = 2'000}) {
     engines_.setEvents(*this);
     engines_.update(engines);
@@ -172,20 +172,20 @@
 
  private:
   struct State {
-    routing::Ask ask;
+    routing::Request request;
     Micros sent = 0;
     bool first = true;
-    std::string handover;
+    std::string kvTransferParams;
   };
   void next() {
     if (started_ >= total_) return;
     const RequestId id{++started_};
     State& s = states_[id.value];
-    s.ask.prompt = std::make_shared<const std::string>(prompt(started_));
-    s.ask.maxOutput = 32;
+    s.request.prompt = std::make_shared<const std::string>(prompt(started_));
+    s.request.maxOutput = 32;
     s.sent = loop_.now();
     engines_.begin(
-        {{id, 0}, readers_[started_ % readers_.size()], routing::Job::read, &s.ask, "straight", {}});
+        {{id, 0}, readers_[started_ % readers_.size()], routing::Phase::prefill, &s.request, "straight", {}});
   }
   void onTokens(routing::AttemptId a, std::string_view, std::uint32_t count,
                 std::span<const std::uint32_t>) override {
@@ -195,17 +195,17 @@
   }
   void onAttemptEnded(routing::AttemptId a, const routing::AttemptResult& r) override {
     State& s = states_[a.request.value];
-    if (r.outcome == Outcome::readDone) {
-      s.handover = r.handover;
+    if (r.outcome == Outcome::prefillDone) {
+      s.kvTransferParams = r.kvTransferParams;
       engines_.begin({{a.request, 1},
                       writers_[a.request.value % writers_.size()],
-                      routing::Job::write,
-                      &s.ask,
+                      routing::Phase::decode,
+                      &s.request,
                       "straight",
-                      s.handover});
+                      s.kvTransferParams});
       return;
     }
-    ++(r.outcome == Outcome::served ? figures.served : figures.failed);
+    ++(r.outcome == Outcome::completed ? figures.served : figures.failed);
     states_.erase(a.request.value);
     if (figures.served + figures.failed == total_) {
       figures.seconds = static_cast<double>(loop_.now() - begin_) / 1e6;
@@ -213,13 +213,13 @@
     }
     next();
   }
-  void onProbeEnded(ServerId, bool, const std::optional<LoadReport>&) override {}
-  void onReleaseEnded(ServerId, RequestId, bool) override {}
+  void onProbeEnded(EndpointId, bool, const std::optional<LoadReport>&) override {}
+  void onReleaseEnded(EndpointId, RequestId, bool) override {}
   net::Loop& loop_;
   std::uint64_t total_;
   std::size_t atOnce_;
-  engine::HttpEngines engines_;
-  std::vector<ServerId> readers_, writers_;
+  engine::HttpEngineClient engines_;
+  std::vector<EndpointId> readers_, writers_;
   std::map<std::uint64_t, State> states_;
   std::uint64_t started_ = 0;
   Micros begin_ = 0;
@@ -248,9 +248,9 @@
     const std::string portFile = folder + "/port" + (stalled ? "2" : "1");
     const Child engines([&] {
       net::Loop loop;
-      standin::Recorder recorder([&] { return loop.now(); }, false);
-      standin::Fleet fleet(
-          loop, standin::readFleet(config::Node(config::JsonFile::parse("fleet", kFleet)), "engines"),
+      fake_engine::Recorder recorder([&] { return loop.now(); }, false);
+      fake_engine::Fleet fleet(
+          loop, fake_engine::readFleet(config::Node(config::JsonFile::parse("fleet", kFleet)), "engines"),
           recorder);
       if (stalled)
         for (const auto& e : fleet.engines()) e->faults.stallAfter = 1;
@@ -262,10 +262,10 @@
       net::Loop loop;
       auto settings = server::readSettings(config::Node(config::JsonFile::parse("router", kRouter)), list);
       settings.listen = "127.0.0.1:0";
-      server::RouterServer server(
+      server::RouterServer endpoint(
           loop, settings, 1, "bench",
           log::Log::open("bench", "", std::getenv("BENCH_LOG") ? std::getenv("BENCH_LOG") : "error"));
-      std::ofstream(portFile + ".new") << server.address().port();
+      std::ofstream(portFile + ".new") << endpoint.address().port();
       std::filesystem::rename(portFile + ".new", portFile);
       loop.run();
     });
@@ -276,8 +276,8 @@
       for (const std::size_t atOnce : {1, 64, 512}) {
         const std::uint64_t n = atOnce == 1 ? total / 20 : total;
         net::Loop one;
-        std::vector<std::string> troubles;
-        Straight straight(one, membership::readList(config::JsonFile::load(list), {}, troubles), n, atOnce);
+        std::vector<std::string> errors;
+        Straight straight(one, membership::readList(config::JsonFile::load(list), {}, errors), n, atOnce);
         straight.start();
         one.run();
         net::Loop two;
--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -11,10 +11,10 @@
 
 #include "app/signals.h"
 #include "client/channel.h"
-#include "drill/day_import.h"
-#include "drill/runner.h"
+#include "fake_engine/fleet.h"
+#include "fault_scenario/day_import.h"
+#include "fault_scenario/runner.h"
 #include "server/router_server.h"
-#include "standin/fleet.h"
 
 namespace garnethook::app {
 namespace {
@@ -133,11 +133,11 @@
     for (const auto& f : settings.counting.files)
       std::cout << f.path << ": " << counting::text(f.version) << ": "
                 << tokeniser::loadFile(f.path, f.options)->describe() << '\n';
-    std::vector<std::string> troubles;
-    const auto list = membership::readList(config::JsonFile::load(settings.listPath), {}, troubles);
-    for (const auto& trouble : troubles) std::cerr << trouble << '\n';
+    std::vector<std::string> errors;
+    const auto list = membership::readList(config::JsonFile::load(settings.listPath), {}, errors);
+    for (const auto& error : errors) std::cerr << error << '\n';
     std::cout << settings.listPath << ": " << list.size() << " engines\n";
-    return troubles.empty() ? 0 : 1;
+    return errors.empty() ? 0 : 1;
   } catch (const std::exception& e) { return printed(e); }
 }
 
@@ -175,12 +175,12 @@
     const config::Node root(config::JsonFile::load(configPath));
     std::filesystem::path list = root.text("list", "");
     if (!list.empty() && list.is_relative()) list = std::filesystem::path(configPath).parent_path() / list;
-    const auto engines = standin::readFleet(root, "engines");
+    const auto engines = fake_engine::readFleet(root, "engines");
     root.done();
     net::Loop loop;
     const Signals signals(loop, [&](int) { loop.stop(); });
-    standin::Recorder recorder([&] { return loop.now(); });
-    standin::Fleet fleet(loop, engines, recorder);
+    fake_engine::Recorder recorder([&] { return loop.now(); });
+    fake_engine::Fleet fleet(loop, engines, recorder);
     for (const auto& e : fleet.engines())
       std::cout << e->options().name << " " << e->options().host << ":" << e->port() << '\n';
     if (!list.empty()) fleet.writeList(list.string(), 0);
@@ -196,9 +196,10 @@
     net::Loop loop;
     std::unique_ptr<server::RouterServer> router;
     const Signals signals(loop, [&](int) { loop.stop(); });
-    standin::Recorder recorder([&] { return loop.now(); });
-    standin::Fleet fleet(
-        loop, standin::readFleet(config::Node(config::JsonFile::parse("demo fleet", kDemoFleet)), "engines"),
+    fake_engine::Recorder recorder([&] { return loop.now(); });
+    fake_engine::Fleet fleet(
+        loop,
+        fake_engine::readFleet(config::Node(config::JsonFile::parse("demo fleet", kDemoFleet)), "engines"),
         recorder);
     const std::string list = folder.path() + "/engines.json";
     fleet.writeList(list, 0);
@@ -255,7 +256,7 @@
     const TemporaryFolder folder;
     std::shared_ptr<const config::JsonFile> file;
     if (!options.day.empty()) {
-      const std::string text = drill::importDay(config::JsonFile::load(options.day), {});
+      const std::string text = fault_scenario::importDay(config::JsonFile::load(options.day), {});
       if (!options.writeTo.empty()) {
         std::ofstream out(options.writeTo);
         out << text;
@@ -267,10 +268,10 @@
     } else {
       file = config::JsonFile::load(options.script);
     }
-    const auto script = drill::readScript(file, folder.path() + "/engines.json");
+    const auto script = fault_scenario::readScript(file, folder.path() + "/engines.json");
     const auto result =
-        drill::run(script, {folder.path(), options.recording, options.logLevel, options.guess});
-    drill::print(result, std::cout);
+        fault_scenario::run(script, {folder.path(), options.recording, options.logLevel, options.guess});
+    fault_scenario::print(result, std::cout);
     return result.passed ? 0 : 1;
   } catch (const std::exception& e) { return printed(e); }
 }
@@ -291,7 +292,7 @@
     }
     events.push_back(std::move(event));
   }
-  const auto report = drill::audit(events, {});
+  const auto report = fault_scenario::audit(events, {});
   for (const auto& [what, n] : report.counts) std::cout << what << ": " << n << '\n';
   for (const auto& v : report.violations) std::cout << "VIOLATION " << v << '\n';
   return report.passed() ? 0 : 1;
--- a/src/app/run_command.cpp
+++ b/src/app/run_command.cpp
@@ -6,7 +6,7 @@
 
 #include "app/commands.h"
 #include "app/signals.h"
-#include "platform/node/node.h"
+#include "platform/process/router_process.h"
 #include "timing/retry.h"
 
 namespace garnethook::app {
@@ -20,7 +20,8 @@
 // Reloads the configuration at a signal, and again for a while where that fails; the cause is told once.
 class Reload {
  public:
-  Reload(net::Loop& loop, platform::Node& node, const log::Log& log) : node_(node), log_(log), again_(loop) {}
+  Reload(net::Loop& loop, platform::RouterProcess& node, const log::Log& log)
+      : node_(node), log_(log), again_(loop) {}
 
   void start() { attempt(1); }
 
@@ -35,7 +36,7 @@
     }
   }
 
-  platform::Node& node_;
+  platform::RouterProcess& node_;
   const log::Log& log_;
   timing::Alarm again_;
 };
@@ -45,7 +46,7 @@
 int run(const std::string& logLevel) {
   try {
     const auto loop = net::Loop::create();
-    platform::Node* serving = nullptr;
+    platform::RouterProcess* serving = nullptr;
     Reload* reload = nullptr;
     const Signals signals(*loop, [&](int signal) {
       if (serving == nullptr) return;
@@ -55,7 +56,7 @@
     auto config = timing::retryFor<config::UnavailableError>(
         timing::kStartWithin, [] { return platform::loadConfig(platform::systemEnvironment); });
     const log::Log log = log::Log::open(config.name, "", logLevel);
-    platform::Node node(*loop, std::move(config), log);
+    platform::RouterProcess node(*loop, std::move(config), log);
     Reload reloading(*loop, node, log);
     reload = &reloading;
     serving = &node;
--- a/src/app/tokens_command.cpp
+++ b/src/app/tokens_command.cpp
@@ -79,14 +79,14 @@
     } else {
       texts.push_back(text);
     }
-    std::size_t octets = 0;
+    std::size_t bytes = 0;
     std::size_t count = 0;
     start = std::chrono::steady_clock::now();
     std::vector<std::vector<tokeniser::TokenId>> found;
     for (int i = 0; i < options.repeat; ++i) {
       for (const auto& t : texts) {
         auto ids = tokeniser::encode(*tokeniser, t, how, workspace);
-        octets += t.size();
+        bytes += t.size();
         count += ids.size();
         if (i == 0 && (options.ids || options.lines)) found.push_back(std::move(ids));
       }
@@ -98,8 +98,8 @@
       else
         std::cout << ids.size() << '\n';
     if (!options.ids && !options.lines) std::cout << count / static_cast<std::size_t>(options.repeat) << '\n';
-    std::cerr << tokeniser->describe() << "; " << count << " tokens of " << octets << " octets in "
-              << took * 1000 << " ms (" << static_cast<double>(octets) / 1e6 / std::max(took, 1e-9)
+    std::cerr << tokeniser->describe() << "; " << count << " tokens of " << bytes << " octets in "
+              << took * 1000 << " ms (" << static_cast<double>(bytes) / 1e6 / std::max(took, 1e-9)
               << " MB/s); loaded in " << loading * 1000 << " ms, about " << tokeniser->memory() / 1'000'000
               << " MB\n";
     return 0;
--- a/src/client/channel.cpp
+++ b/src/client/channel.cpp
@@ -61,9 +61,9 @@
   flush();
 }
 
-void Channel::onOctets(std::string_view octets) {
+void Channel::onBytes(std::string_view bytes) {
   const bool good =
-      codec_.receive(loop_.now(), {reinterpret_cast<const std::uint8_t*>(octets.data()), octets.size()});
+      codec_.receive(loop_.now(), {reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()});
   flush();
   if (good) return;
   stream_.close();
--- a/src/client/channel.h
+++ b/src/client/channel.h
@@ -58,7 +58,7 @@
     std::size_t unread = 0;
   };
   void onConnected() override { flush(); }
-  void onOctets(std::string_view octets) override;
+  void onBytes(std::string_view bytes) override;
   void onDrained() override { flush(); }
   void onClosed(net::CloseCause cause) override;
   void onHeaders(http2::StreamId id, http2::Headers headers, bool trailers, bool end) override;
--- a/src/config/json_file.cpp
+++ b/src/config/json_file.cpp
@@ -137,9 +137,9 @@
   } catch (const json::parse_error& e) {
     const auto at = std::min<std::size_t>(e.byte, text.size());
     const auto line = 1 + std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(at), '\n');
-    std::string trouble = e.what();
-    if (const auto colon = trouble.find("syntax error"); colon != std::string::npos) trouble.erase(0, colon);
-    throw Error(file->name_ + ":" + std::to_string(line) + ": " + trouble);
+    std::string error = e.what();
+    if (const auto colon = error.find("syntax error"); colon != std::string::npos) error.erase(0, colon);
+    throw Error(file->name_ + ":" + std::to_string(line) + ": " + error);
   }
   // A number too large for a double: not a syntax error to the library, and it knows no place.
   catch (const json::exception& e) {
@@ -158,9 +158,9 @@
   try {
     text = readFileText(path);
   } catch (const std::system_error& e) {
-    const std::string trouble = path + ": can't be read: " + e.code().message();
-    if (mayPass(e.code().value())) throw UnavailableError(trouble);
-    throw Error(trouble);
+    const std::string error = path + ": can't be read: " + e.code().message();
+    if (mayPass(e.code().value())) throw UnavailableError(error);
+    throw Error(error);
   }
   return parse(path, text);
 }
@@ -178,16 +178,16 @@
       pointer_(std::move(pointer)),
       asked_(std::make_shared<std::set<std::string, std::less<>>>()) {}
 
-void Node::fail(std::string_view trouble) const {
+void Node::fail(std::string_view error) const {
   throw Error(file_->name() + ":" + std::to_string(file_->line(pointer_)) + ": " + readable(pointer_) + ": " +
-              std::string(trouble));
+              std::string(error));
 }
 
-void Node::failAt(std::string_view key, std::string_view trouble) const {
+void Node::failAt(std::string_view key, std::string_view error) const {
   const std::string pointer = pointer_ + "/" + escaped(key);
   const bool present = value_->is_object() && value_->contains(key);
   throw Error(file_->name() + ":" + std::to_string(file_->line(present ? pointer : pointer_)) + ": " +
-              readable(pointer) + ": " + std::string(trouble));
+              readable(pointer) + ": " + std::string(error));
 }
 
 const json* Node::member(std::string_view key) const {
--- a/src/config/json_file.h
+++ b/src/config/json_file.h
@@ -50,8 +50,8 @@
  public:
   explicit Node(std::shared_ptr<const JsonFile> file);
 
-  [[noreturn]] void fail(std::string_view trouble) const;
-  [[noreturn]] void failAt(std::string_view key, std::string_view trouble) const;
+  [[noreturn]] void fail(std::string_view error) const;
+  [[noreturn]] void failAt(std::string_view key, std::string_view error) const;
 
   bool has(std::string_view key) const;
   Node object(std::string_view key) const;              // an absent one reads as empty
--- a/src/counting/count_cache.cpp
+++ b/src/counting/count_cache.cpp
@@ -7,16 +7,16 @@
 namespace garnethook::counting {
 namespace {
 
-// Entries that fit with their buckets (at most two of four octets each) and sketch (at most four octets
+// Entries that fit with their buckets (at most two of four bytes each) and sketch (at most four bytes
 // each).
-std::size_t entriesIn(std::size_t octets, std::size_t entry) {
-  return std::max(octets, CountCache::kLeast) / (entry + 8 + 4);
+std::size_t entriesIn(std::size_t bytes, std::size_t entry) {
+  return std::max(bytes, CountCache::kLeast) / (entry + 8 + 4);
 }
 
 }  // namespace
 
-CountCache::CountCache(std::size_t octets)
-    : entries_(entriesIn(octets, sizeof(Entry))),
+CountCache::CountCache(std::size_t bytes)
+    : entries_(entriesIn(bytes, sizeof(Entry))),
       buckets_(std::bit_ceil(entries_.size()), kNone),
       sketch_(entries_.size()),
       windowMost_(std::max<std::size_t>(entries_.size() / 64, 8)),
@@ -127,7 +127,7 @@
         unlink(candidate);
         link(candidate, probation);
       } else {
-        ++counters_.turnedAway;
+        ++counters_.rejected;
         drop(candidate);
       }
     }
--- a/src/counting/count_cache.h
+++ b/src/counting/count_cache.h
@@ -25,14 +25,14 @@
   std::uint64_t found = 0;
   std::uint64_t missed = 0;
   std::uint64_t put = 0;
-  std::uint64_t turnedAway = 0;  // left the window and did not get into the main part
+  std::uint64_t rejected = 0;  // left the window and did not get into the main part
 };
 
 class CountCache {
  public:
-  // Takes no more than `octets` in all; at least kLeast are taken.
+  // Takes no more than `bytes` in all; at least kLeast are taken.
   static constexpr std::size_t kLeast = 64u << 10;
-  explicit CountCache(std::size_t octets);
+  explicit CountCache(std::size_t bytes);
 
   // Marks with places or counts of 2^32 and more are not kept.
   std::optional<tokeniser::Mark> find(const Digest& key);
--- a/src/counting/counter.cpp
+++ b/src/counting/counter.cpp
@@ -28,34 +28,34 @@
 
 CountTicket Counter::count(Prompt prompt, const std::vector<Loaded>& tokenisers, Done done) {
   ++counters_.prompts;
-  counters_.octets += prompt.text->size();
+  counters_.bytes += prompt.text->size();
   const std::uint64_t ticket = next_++;
   Open open;
-  open.octets = prompt.text->size();
+  open.bytes = prompt.text->size();
   open.characters = characters(*prompt.text);
-  open.sharedCharacters = characters(std::string_view(*prompt.text).substr(0, prompt.sharedOctets));
+  open.sharedCharacters = characters(std::string_view(*prompt.text).substr(0, prompt.sharedPrefixBytes));
   open.done = std::move(done);
-  if (tokenisers.empty()) open.trouble = Estimate::noFile;
+  if (tokenisers.empty()) open.error = Estimate::noFile;
   for (const Loaded& t : tokenisers) {
     CountOrder order{t.tokeniser,
                      t.version.name + '\0' + t.version.version + '\0' + std::to_string(t.number),
                      prompt.text,
-                     prompt.sharedOctets,
+                     prompt.sharedPrefixBytes,
                      options_.sessionIds ? prompt.session : std::string(),
                      prompt.specialTokens};
     Part part{t.number, std::make_shared<PromptCount>(store_, std::move(order)), std::nullopt, false};
     try {
-      if (open.octets <= options_.lookOctets && !options_.sessionIds && part.count->remembered()) {
+      if (open.bytes <= options_.lookBytes && !options_.sessionIds && part.count->remembered()) {
         part.known = true;
         ++counters_.remembered;
-      } else if (open.octets <= options_.inlineOctets && t.tokeniser->inParts()) {
-        while (part.count->slice(options_.inlineOctets) > 0) {}
+      } else if (open.bytes <= options_.inlineBytes && t.tokeniser->inParts()) {
+        while (part.count->slice(options_.inlineBytes) > 0) {}
         part.known = true;
         ++counters_.inLoop;
-        counters_.octetsEncoded += part.count->result().encoded;
+        counters_.bytesEncoded += part.count->result().encoded;
       }
     } catch (const std::exception&) {
-      open.trouble = Estimate::failed;
+      open.error = Estimate::failed;
       ++counters_.estimatedFailed;
       part.count.reset();
     }
@@ -64,12 +64,12 @@
   for (std::size_t i = 0; i < open.parts.size(); ++i) {
     Part& part = open.parts[i];
     if (part.known || !part.count) continue;
-    part.job = pool_.submit(scheduler::Level::waited, open.octets, part.count,
-                            [this, ticket, i](std::exception_ptr trouble) { partDone(ticket, i, trouble); });
+    part.job = pool_.submit(scheduler::Level::waited, open.bytes, part.count,
+                            [this, ticket, i](std::exception_ptr error) { partDone(ticket, i, error); });
     if (part.job) {
       ++open.waiting;
     } else {
-      open.trouble = Estimate::full;
+      open.error = Estimate::full;
       ++counters_.estimatedFull;
     }
   }
@@ -81,7 +81,7 @@
   const Micros within = prompt.within > 0 ? std::min(prompt.within, options_.within) : options_.within;
   open.late = timers_.after(within, [this, ticket] {
     Open& o = open_.at(ticket);
-    o.trouble = Estimate::late;
+    o.error = Estimate::late;
     ++counters_.estimatedLate;
     finish(ticket);
   });
@@ -89,18 +89,18 @@
   return {ticket};
 }
 
-void Counter::partDone(std::uint64_t ticket, std::size_t index, std::exception_ptr trouble) {
+void Counter::partDone(std::uint64_t ticket, std::size_t index, std::exception_ptr error) {
   const auto at = open_.find(ticket);
   if (at == open_.end()) return;
   Part& part = at->second.parts[index];
   part.job.reset();
-  if (trouble) {
-    at->second.trouble = Estimate::failed;
+  if (error) {
+    at->second.error = Estimate::failed;
     ++counters_.estimatedFailed;
   } else {
     part.known = true;
     ++counters_.onWorkers;
-    counters_.octetsEncoded += part.count->result().encoded;
+    counters_.bytesEncoded += part.count->result().encoded;
   }
   if (--at->second.waiting == 0) finish(ticket);
 }
@@ -129,8 +129,8 @@
   for (const Part& part : open.parts) {
     if (!part.known) continue;
     const Count& c = part.count->result();
-    out.exact.push_back(
-        {part.number, std::max(1.0, static_cast<double>(c.tokens)), static_cast<double>(c.sharedTokens)});
+    out.exact.push_back({part.number, std::max(1.0, static_cast<double>(c.tokens)),
+                         static_cast<double>(c.sharedPrefixTokens)});
     if (!out.blocks) out.blocks = c.blocks;
   }
   if (!open.parts.empty() && open.parts.front().known) {
@@ -138,7 +138,7 @@
     out.mainShared = out.exact.front().shared;
     return out;
   }
-  out.estimate = open.trouble;
+  out.estimate = open.error;
   if (!out.exact.empty()) {
     out.main = out.exact.front().prompt;
     out.mainShared = out.exact.front().shared;
--- a/src/counting/counter.h
+++ b/src/counting/counter.h
@@ -22,8 +22,8 @@
 struct CounterOptions {
   CountStore::Options store;
   scheduler::PoolOptions pool;
-  std::size_t inlineOctets = 2048;  // shorter texts are counted in the loop's thread
-  std::size_t lookOctets =
+  std::size_t inlineBytes = 2048;  // shorter texts are counted in the loop's thread
+  std::size_t lookBytes =
       64u << 10;                  // and of texts up to this it looks there whether the count is remembered
   Micros within = 200'000;        // then the estimate is taken
   double charactersPerToken = 4;  // the estimate where nothing is learnt
@@ -39,8 +39,8 @@
   std::uint64_t estimatedLate = 0;
   std::uint64_t estimatedFailed = 0;
   std::uint64_t cancelled = 0;
-  std::uint64_t octets = 0;         // of all prompts
-  std::uint64_t octetsEncoded = 0;  // of them, not remembered
+  std::uint64_t bytes = 0;         // of all prompts
+  std::uint64_t bytesEncoded = 0;  // of them, not remembered
 };
 
 enum class Estimate { none, noFile, full, late, failed };
@@ -67,7 +67,7 @@
  public:
   struct Prompt {
     std::shared_ptr<const std::string> text;
-    std::size_t sharedOctets = 0;
+    std::size_t sharedPrefixBytes = 0;
     std::string session;
     bool specialTokens = false;
     Micros within =
@@ -98,18 +98,18 @@
     bool known = false;
   };
   struct Open {
-    std::size_t octets = 0;
+    std::size_t bytes = 0;
     std::size_t characters = 0;
     std::size_t sharedCharacters = 0;
     std::vector<Part> parts;
     std::size_t waiting = 0;
-    Estimate trouble = Estimate::none;
+    Estimate error = Estimate::none;
     Done done;
     timing::TimerKey late;
   };
   PromptCounts result(const Open& open);
   void finish(std::uint64_t ticket);
-  void partDone(std::uint64_t ticket, std::size_t part, std::exception_ptr trouble);
+  void partDone(std::uint64_t ticket, std::size_t part, std::exception_ptr error);
 
   CounterOptions options_;
   timing::Timers& timers_;
--- a/src/counting/digest.cpp
+++ b/src/counting/digest.cpp
@@ -10,7 +10,7 @@
 namespace garnethook::counting {
 
 DigestKey::DigestKey() {
-  if (RAND_bytes(octets_.data(), static_cast<int>(octets_.size())) != 1)
+  if (RAND_bytes(bytes_.data(), static_cast<int>(bytes_.size())) != 1)
     throw std::runtime_error("the system gives no random octets");
 }
 
@@ -26,7 +26,7 @@
 
 Digester::Digester(const DigestKey& key) : parts_(std::make_unique<Parts>()) {
   if (parts_->context == nullptr) throw std::runtime_error("OpenSSL has no SipHash");
-  parts_->key = key.octets();
+  parts_->key = key.bytes();
   unsigned size = 16;
   const OSSL_PARAM parameters[] = {OSSL_PARAM_construct_uint(OSSL_MAC_PARAM_SIZE, &size),
                                    OSSL_PARAM_construct_end()};
@@ -38,7 +38,7 @@
 Digester::Digester(Digester&&) noexcept = default;
 Digester& Digester::operator=(Digester&&) noexcept = default;
 
-Digest Digester::of(const Digest& before, char kind, std::string_view octets) {
+Digest Digester::of(const Digest& before, char kind, std::string_view bytes) {
   std::array<std::uint8_t, 17> head{};
   std::memcpy(head.data(), &before.high, 8);
   std::memcpy(head.data() + 8, &before.low, 8);
@@ -47,8 +47,8 @@
   std::size_t length = 0;
   const bool done = EVP_MAC_init(parts_->context, parts_->key.data(), parts_->key.size(), nullptr) == 1 &&
                     EVP_MAC_update(parts_->context, head.data(), head.size()) == 1 &&
-                    EVP_MAC_update(parts_->context, reinterpret_cast<const std::uint8_t*>(octets.data()),
-                                   octets.size()) == 1 &&
+                    EVP_MAC_update(parts_->context, reinterpret_cast<const std::uint8_t*>(bytes.data()),
+                                   bytes.size()) == 1 &&
                     EVP_MAC_final(parts_->context, out.data(), &length, out.size()) == 1 &&
                     length == out.size();
   if (!done) throw std::runtime_error("OpenSSL: SipHash failed");
@@ -67,9 +67,9 @@
   return chain_[blocks];
 }
 
-Digest Beginnings::at(std::size_t octets) {
-  const std::size_t blocks = octets / kBlock;
-  return digester_.of(chain(blocks), 'p', text_.substr(blocks * kBlock, octets - blocks * kBlock));
+Digest Beginnings::at(std::size_t bytes) {
+  const std::size_t blocks = bytes / kBlock;
+  return digester_.of(chain(blocks), 'p', text_.substr(blocks * kBlock, bytes - blocks * kBlock));
 }
 
 Digest Beginnings::whole() {
--- a/src/counting/digest.h
+++ b/src/counting/digest.h
@@ -20,10 +20,10 @@
 class DigestKey {
  public:
   DigestKey();  // drawn by the system. Throws std::runtime_error where it can't
-  const std::array<std::uint8_t, 16>& octets() const { return octets_; }
+  const std::array<std::uint8_t, 16>& bytes() const { return bytes_; }
 
  private:
-  std::array<std::uint8_t, 16> octets_{};
+  std::array<std::uint8_t, 16> bytes_{};
 };
 
 // Of one thread at a time.
@@ -33,23 +33,23 @@
   ~Digester();
   Digester(Digester&&) noexcept;
   Digester& operator=(Digester&&) noexcept;
-  // The digest of `octets` behind what `before` names. `kind` keeps uses apart.
-  Digest of(const Digest& before, char kind, std::string_view octets);
+  // The digest of `bytes` behind what `before` names. `kind` keeps uses apart.
+  Digest of(const Digest& before, char kind, std::string_view bytes);
 
  private:
   struct Parts;
   std::unique_ptr<Parts> parts_;
 };
 
-// The digests of a text's beginnings. Each block of kBlock octets is read once.
+// The digests of a text's beginnings. Each block of kBlock bytes is read once.
 class Beginnings {
  public:
   static constexpr std::size_t kBlock = 4096;
   // `identity`: of tokeniser, version and options; other identities give other digests. The text must outlive
   // this.
   Beginnings(Digester& digester, const Digest& identity, std::string_view text);
-  // Of text[0, octets), as a beginning of any text.
-  Digest at(std::size_t octets);
+  // Of text[0, bytes), as a beginning of any text.
+  Digest at(std::size_t bytes);
   // Of the text as a whole.
   Digest whole();
 
--- a/src/counting/frequency_sketch.h
+++ b/src/counting/frequency_sketch.h
@@ -14,7 +14,7 @@
 
 class FrequencySketch {
  public:
-  // For about so many keys that matter; memory: two to four octets for each.
+  // For about so many keys that matter; memory: two to four bytes for each.
   explicit FrequencySketch(std::size_t keys);
   void add(const Digest& key);
   unsigned estimate(const Digest& key) const;
--- a/src/counting/prompt_count.cpp
+++ b/src/counting/prompt_count.cpp
@@ -66,15 +66,15 @@
 void PromptCount::prepare(CountStore::Tools& tools) {
   prepared_ = true;
   text_ = *order_.text;
-  sharedOctets_ = std::min(order_.sharedOctets, text_.size());
+  sharedBytes_ = std::min(order_.sharedPrefixBytes, text_.size());
   const auto change = [&](std::optional<std::string> made, auto prefix) {
     if (!made) return;
     // The shared beginning in the changed text: as far as its own change is the beginning of the whole's.
-    const std::string_view shared = text_.substr(0, sharedOctets_);
+    const std::string_view shared = text_.substr(0, sharedBytes_);
     const auto own = prefix(shared);
     const std::string_view changedShared = own ? std::string_view(*own) : shared;
     const auto [a, b] = std::mismatch(changedShared.begin(), changedShared.end(), made->begin(), made->end());
-    sharedOctets_ = tokeniser::characterStart(*made, static_cast<std::size_t>(a - changedShared.begin()));
+    sharedBytes_ = tokeniser::characterStart(*made, static_cast<std::size_t>(a - changedShared.begin()));
     changed_ = std::move(*made);
     text_ = changed_;
   };
@@ -82,8 +82,8 @@
   change(order_.tokeniser->normalised(text_, options_),
          [&](std::string_view t) { return order_.tokeniser->normalised(t, options_); });
   // What is certain of a beginning is known only where something follows it.
-  if (sharedOctets_ == text_.size() && sharedOctets_ > 0) --sharedOctets_;
-  sharedOctets_ = tokeniser::characterStart(text_, sharedOctets_);
+  if (sharedBytes_ == text_.size() && sharedBytes_ > 0) --sharedBytes_;
+  sharedBytes_ = tokeniser::characterStart(text_, sharedBytes_);
   identity_ = tools.digester.of({}, order_.specialTokens ? 's' : 'i', order_.identity);
 }
 
@@ -93,20 +93,20 @@
   Beginnings beginnings(tools->digester, identity_, text_);
   const auto whole = store_.find(beginnings.whole());
   const auto shared =
-      sharedOctets_ > 0 && whole ? store_.find(beginnings.at(sharedOctets_)) : std::optional(Mark{});
+      sharedBytes_ > 0 && whole ? store_.find(beginnings.at(sharedBytes_)) : std::optional(Mark{});
   store_.giveBack(std::move(tools));
   if (!whole || !shared) return false;
   mark_ = *whole;
-  result_.sharedTokens = shared->tokens;
+  result_.sharedPrefixTokens = shared->tokens;
   finish();
   return true;
 }
 
 // The furthest remembered beginning that is no longer than `most`.
 Mark PromptCount::remember(Beginnings& beginnings, std::size_t most) {
-  if (sharedOctets_ > 0 && sharedOctets_ <= most)
-    if (const auto found = store_.find(beginnings.at(sharedOctets_)); found && most - sharedOctets_ < kStep) {
-      limit_ = sharedOctets_;
+  if (sharedBytes_ > 0 && sharedBytes_ <= most)
+    if (const auto found = store_.find(beginnings.at(sharedBytes_)); found && most - sharedBytes_ < kStep) {
+      limit_ = sharedBytes_;
       return *found;
     }
   for (std::size_t limit = most / kStep * kStep; limit > 0; limit -= kStep)
@@ -126,11 +126,11 @@
   const std::size_t seen = limit_ > mark_.at ? limit_ - mark_.at : 0;
   const std::size_t after = std::max(limit_ + 1, seen > kStep ? mark_.at + 2 * seen : 0);
   std::size_t next = (after + kStep - 1) / kStep * kStep;
-  if (sharedOctets_ >= after && sharedOctets_ < next) next = sharedOctets_;
+  if (sharedBytes_ >= after && sharedBytes_ < next) next = sharedBytes_;
   return std::min(next, text_.size());
 }
 
-std::size_t PromptCount::slice(std::size_t octets) {
+std::size_t PromptCount::slice(std::size_t bytes) {
   auto tools = tools_ ? std::move(tools_) : store_.borrow();
   if (!prepared_) prepare(*tools);
   if (!beginnings_) {
@@ -139,17 +139,17 @@
     if (keepsIds_) {
       session_ = tools->digester.of(identity_, 'c', order_.session);
       const auto turn = store_.turn(session_);
-      if (turn && turn->octets <= text_.size() && turn->beginning == beginnings_->at(turn->octets)) {
+      if (turn && turn->bytes <= text_.size() && turn->beginning == beginnings_->at(turn->bytes)) {
         turn_ = *turn;
         mark_ = turn->mark;
-        limit_ = turn->octets;
+        limit_ = turn->bytes;
         ids_.assign(turn->tokens->ids().begin(), turn->tokens->ids().end());
       }
     }
     // The shared beginning's own count comes first: what lies behind it does not tell it.
-    if (sharedOctets_ > 0) {
-      if (const auto shared = store_.find(beginnings_->at(sharedOctets_))) {
-        result_.sharedTokens = shared->tokens;
+    if (sharedBytes_ > 0) {
+      if (const auto shared = store_.find(beginnings_->at(sharedBytes_))) {
+        result_.sharedPrefixTokens = shared->tokens;
         sharedKnown_ = true;
       }
     } else {
@@ -161,10 +161,10 @@
         mark_ = *whole;
         limit_ = text_.size();
       } else {
-        mark_ = remember(*beginnings_, sharedKnown_ ? text_.size() : sharedOctets_);
+        mark_ = remember(*beginnings_, sharedKnown_ ? text_.size() : sharedBytes_);
       }
     }
-    if (keepsIds_ && !sharedKnown_ && limit_ > sharedOctets_) {  // begin anew for it
+    if (keepsIds_ && !sharedKnown_ && limit_ > sharedBytes_) {  // begin anew for it
       mark_ = {};
       limit_ = 0;
       ids_.clear();
@@ -182,18 +182,18 @@
       store_.put(beginnings_->at(limit), mark_);
       if (keepsIds_ && limit % kStep == 0) turn_ = {limit, beginnings_->at(limit), mark_, nullptr};
     }
-    if (limit == sharedOctets_ && !sharedKnown_) {
+    if (limit == sharedBytes_ && !sharedKnown_) {
       sharedKnown_ = true;
-      result_.sharedTokens = mark_.tokens;
+      result_.sharedPrefixTokens = mark_.tokens;
     }
-    if (limit < text_.size() && mark_.at - from >= octets) {
+    if (limit < text_.size() && mark_.at - from >= bytes) {
       tools_ = std::move(tools);
       return std::max<std::size_t>(text_.size() - mark_.at, 1);
     }
     if (limit == text_.size()) break;
   }
   store_.put(beginnings_->whole(), {text_.size(), mark_.tokens});
-  if (keepsIds_ && turn_.octets > 0) {
+  if (keepsIds_ && turn_.bytes > 0) {
     std::vector<tokeniser::TokenId> kept(ids_.begin(),
                                          ids_.begin() + static_cast<std::ptrdiff_t>(turn_.mark.tokens));
     turn_.tokens = std::make_shared<const TokenBlocks>(std::move(kept));
@@ -209,7 +209,7 @@
   const std::size_t before = order_.tokeniser->before().size();
   const std::size_t behind = order_.tokeniser->behind().size();
   result_.tokens = before + mark_.tokens + behind;
-  if (sharedOctets_ > 0) result_.sharedTokens += before;
+  if (sharedBytes_ > 0) result_.sharedPrefixTokens += before;
   if (!keepsIds_) return;
   std::vector<tokeniser::TokenId> all;
   all.reserve(before + ids_.size() + behind);
--- a/src/counting/prompt_count.h
+++ b/src/counting/prompt_count.h
@@ -2,7 +2,7 @@
 // slices, and each certain beginning on the way is remembered.
 //
 // Why a remembered beginning may be gone on from: Tokeniser::advance() tells of text[0, limit) only what
-// holds for every text that begins so, and the digest names those octets, the tokeniser's version and the
+// holds for every text that begins so, and the digest names those bytes, the tokeniser's version and the
 // options. Another text with the same beginning therefore has the same tokens up to the same mark, and is
 // encoded from there.
 #pragma once
@@ -27,11 +27,10 @@
 class CountStore {
  public:
   struct Options {
-    std::size_t countOctets = 32u << 20;
-    std::size_t sessionOctets = 64u << 20;
+    std::size_t countBytes = 32u << 20;
+    std::size_t sessionBytes = 64u << 20;
   };
-  explicit CountStore(const Options& options)
-      : cache_(options.countOctets), sessions_(options.sessionOctets) {}
+  explicit CountStore(const Options& options) : cache_(options.countBytes), sessions_(options.sessionBytes) {}
 
   std::optional<tokeniser::Mark> find(const Digest& key);
   void put(const Digest& key, const tokeniser::Mark& mark);
@@ -63,22 +62,22 @@
   std::shared_ptr<const tokeniser::Tokeniser> tokeniser;
   std::string identity;  // of tokeniser, version and load: counts of one are never taken for another's
   std::shared_ptr<const std::string> text;
-  std::size_t sharedOctets = 0;  // of the text: the beginning that other requests have too
-  std::string session;           // not empty: ids are kept for its next turn
+  std::size_t sharedPrefixBytes = 0;  // of the text: the beginning that other requests have too
+  std::string session;                // not empty: ids are kept for its next turn
   bool specialTokens = false;
 };
 
 struct Count {
   std::size_t tokens = 0;  // with the frame
   // Tokens of the shared beginning that are the same whatever follows it, with those before the text.
-  std::size_t sharedTokens = 0;
-  std::size_t encoded = 0;                    // octets that were encoded for it; the rest was remembered
+  std::size_t sharedPrefixTokens = 0;
+  std::size_t encoded = 0;                    // bytes that were encoded for it; the rest was remembered
   std::shared_ptr<const TokenBlocks> blocks;  // of a session's prompt; none otherwise
 };
 
 class PromptCount final : public scheduler::Job {
  public:
-  // Octets encoded between two remembered beginnings.
+  // Bytes encoded between two remembered beginnings.
   static constexpr std::size_t kStep = Beginnings::kBlock;
 
   // The store must outlive this.
@@ -86,7 +85,7 @@
   // Looks only whether the whole is remembered; reads the text once. True: result() stands.
   bool remembered();
   // May throw what the tokeniser throws.
-  std::size_t slice(std::size_t octets) override;
+  std::size_t slice(std::size_t bytes) override;
   const Count& result() const { return result_; }
 
  private:
@@ -110,7 +109,7 @@
   std::vector<tokeniser::TokenId> ids_;
   tokeniser::Mark mark_;
   std::size_t limit_ = 0;  // of the last advance
-  std::size_t sharedOctets_ = 0;
+  std::size_t sharedBytes_ = 0;
   SessionTokens::Turn turn_;
   Count result_;
 };
--- a/src/counting/session_tokens.h
+++ b/src/counting/session_tokens.h
@@ -1,5 +1,5 @@
 // Token ids of conversations, so that a next turn that begins with the last one's text encodes only what is
-// new. A bound in octets that counts nodes and buckets; the least lately used go first. Used by one thread at
+// new. A bound in bytes that counts nodes and buckets; the least lately used go first. Used by one thread at
 // a time.
 #pragma once
 
@@ -18,12 +18,12 @@
 class SessionTokens {
  public:
   struct Turn {
-    std::size_t octets = 0;                     // the beginning of the text that `beginning` names
+    std::size_t bytes = 0;                      // the beginning of the text that `beginning` names
     Digest beginning;                           // of tokeniser and options too
     tokeniser::Mark mark;                       // how far its tokens are certain
     std::shared_ptr<const TokenBlocks> tokens;  // of text[0, mark.at)
   };
-  explicit SessionTokens(std::size_t octets) : most_(octets) {}
+  explicit SessionTokens(std::size_t bytes) : most_(bytes) {}
 
   // `session`: of key, tokeniser and options.
   std::optional<Turn> find(const Digest& session);
@@ -37,7 +37,7 @@
   struct Held {
     Digest key;
     Turn turn;
-    std::size_t octets;
+    std::size_t bytes;
   };
   struct Hash {
     std::size_t operator()(const Digest& d) const { return static_cast<std::size_t>(d.low); }
--- a/src/counting/version_book.cpp
+++ b/src/counting/version_book.cpp
@@ -39,7 +39,7 @@
   ++edition_;
 }
 
-void VersionBook::listed(ServerId engine, Micros startedAt, const std::optional<VersionName>& told,
+void VersionBook::listed(EndpointId engine, Micros startedAt, const std::optional<VersionName>& told,
                          Micros now) {
   const auto [at, isNew] = engines_.try_emplace(engine.value);
   Engine& e = at->second;
@@ -62,8 +62,8 @@
   }
 }
 
-std::vector<ServerId> VersionBook::toAsk(Micros now) {
-  std::vector<ServerId> out;
+std::vector<EndpointId> VersionBook::toAsk(Micros now) {
+  std::vector<EndpointId> out;
   for (auto& [id, e] : engines_)
     if (!e.fromList && !e.asking && now >= e.askAt) {
       e.asking = true;
@@ -80,7 +80,7 @@
   return next;
 }
 
-void VersionBook::told(ServerId engine, const VersionName& version, Micros now) {
+void VersionBook::told(EndpointId engine, const VersionName& version, Micros now) {
   const auto at = engines_.find(engine.value);
   if (at == engines_.end() || at->second.fromList) return;
   Engine& e = at->second;
@@ -90,7 +90,7 @@
   set(e, version);
 }
 
-void VersionBook::cannotTell(ServerId engine, Micros now) {
+void VersionBook::cannotTell(EndpointId engine, Micros now) {
   const auto at = engines_.find(engine.value);
   if (at == engines_.end() || at->second.fromList) return;
   Engine& e = at->second;
@@ -101,7 +101,7 @@
 }
 
 // A silent engine keeps the version that it told: it is the same process as far as anybody knows.
-void VersionBook::noAnswer(ServerId engine, Micros now) {
+void VersionBook::noAnswer(EndpointId engine, Micros now) {
   const auto at = engines_.find(engine.value);
   if (at == engines_.end()) return;
   Engine& e = at->second;
@@ -110,7 +110,7 @@
   ++e.failures;
 }
 
-bool VersionBook::read(ServerId engine, double main, std::optional<double> exact, std::uint64_t number,
+bool VersionBook::read(EndpointId engine, double main, std::optional<double> exact, std::uint64_t number,
                        double reported) {
   const auto at = engines_.find(engine.value);
   if (at == engines_.end() || main <= 0 || reported <= 0) return false;
@@ -137,7 +137,7 @@
   return at == byVersion_.end() ? nullptr : &loaded_.at(at->second);
 }
 
-VersionBook::Basis VersionBook::basis(ServerId engine) const {
+VersionBook::Basis VersionBook::basis(EndpointId engine) const {
   const auto at = engines_.find(engine.value);
   if (at == engines_.end()) return {};
   const Loaded* const loaded = file(at->second);
--- a/src/counting/version_book.h
+++ b/src/counting/version_book.h
@@ -19,7 +19,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "brain.h"
+#include "policy/routing_policy.h"
 #include "tokeniser/tokeniser.h"
 
 namespace garnethook::counting {
@@ -52,26 +52,27 @@
 
   // ---- engines ----
   // Listed, for the first time or again. `told`: the list itself names the version.
-  void listed(ServerId engine, Micros startedAt, const std::optional<VersionName>& told, Micros now);
-  void gone(ServerId engine) { engines_.erase(engine.value); }
+  void listed(EndpointId engine, Micros startedAt, const std::optional<VersionName>& told, Micros now);
+  void gone(EndpointId engine) { engines_.erase(engine.value); }
   // Engines that are to be asked now; each is then awaited until told(), cannotTell() or noAnswer().
-  std::vector<ServerId> toAsk(Micros now);
+  std::vector<EndpointId> toAsk(Micros now);
   std::optional<Micros> nextAsk() const;
-  void told(ServerId engine, const VersionName& version, Micros now);
+  void told(EndpointId engine, const VersionName& version, Micros now);
   // It answered, and knows no such thing.
-  void cannotTell(ServerId engine, Micros now);
-  void noAnswer(ServerId engine, Micros now);
+  void cannotTell(EndpointId engine, Micros now);
+  void noAnswer(EndpointId engine, Micros now);
   // An engine read a prompt and told how many tokens it had. `main`: the request's main count; `exact`: the
   // count by the tokeniser of this number, none where it was estimated. True: from now on the engine is not
   // believed.
-  bool read(ServerId engine, double main, std::optional<double> exact, std::uint64_t number, double reported);
+  bool read(EndpointId engine, double main, std::optional<double> exact, std::uint64_t number,
+            double reported);
 
   // ---- answers ----
   struct Basis {
     std::uint64_t number = 0;  // the loaded tokeniser that counts for it; 0: estimate
     double factor = 1;         // the estimate, over the request's main count
   };
-  Basis basis(ServerId engine) const;
+  Basis basis(EndpointId engine) const;
   // Loaded tokenisers that count for an engine now, the one of most engines first. Where none does, the usual
   // one or the latest loaded, for the main count.
   std::vector<Loaded> inUse() const;
--- a/src/provision/provision.h
+++ b/src/deployment_config/deployment_config.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "brain.h"
-#include "provision/facts.h"
+#include "deployment_config/field_reader.h"
+#include "policy/routing_policy.h"
 
-namespace garnethook::provision {
+namespace garnethook::deployment_config {
 
 // What the values of a load report mean at this deployment.
 struct ReportMeanings {
@@ -17,7 +17,7 @@
 };
 
 // Settings as told at a router's start, with the names that later messages use.
-struct Provision {
+struct DeploymentConfig {
   Settings settings;
   std::vector<std::string> classNames;
   std::vector<std::string> kindNames;
@@ -27,12 +27,12 @@
   std::size_t openRequests = 0;  // 0: no bound told
 };
 
-// Throws FactError, naming the field.
-Provision readProvision(const Facts& facts);
+// Throws FieldError, naming the field.
+DeploymentConfig readDeploymentConfig(const FieldReader& fields);
 
 // One value of a load report; names that nothing is known of are passed over.
 void addReportValue(LoadReport& report, const ReportMeanings& meanings, std::string_view name, double value);
 
 std::optional<std::size_t> indexOf(const std::vector<std::string>& list, std::string_view name);
 
-}  // namespace garnethook::provision
+}  // namespace garnethook::deployment_config
--- a/src/provision/facts.h
+++ b/src/deployment_config/field_reader.h
@@ -9,14 +9,14 @@
 #include <string_view>
 #include <vector>
 
-#include "brain.h"
+#include "policy/routing_policy.h"
 
-namespace garnethook::provision {
+namespace garnethook::deployment_config {
 
 // A value that can't be understood; names the field at fault.
-class FactError : public std::runtime_error {
+class FieldError : public std::runtime_error {
  public:
-  FactError(std::string_view field, std::string_view trouble);
+  FieldError(std::string_view field, std::string_view error);
   const std::string& field() const { return field_; }
 
  private:
@@ -28,13 +28,13 @@
 std::uint64_t toWhole(std::string_view field, std::string_view text);
 Micros toMicros(std::string_view field, double milliseconds);
 
-class Facts {
+class FieldReader {
  public:
   // The first of two equal names counts.
   void add(std::string_view name, std::string_view value) { values_.emplace(name, value); }
 
   std::optional<std::string_view> find(std::string_view name) const;
-  // Without `absent` the value is required. All throw FactError.
+  // Without `absent` the value is required. All throw FieldError.
   std::string_view text(std::string_view name) const;
   std::string_view text(std::string_view name, std::string_view absent) const {
     return find(name).value_or(absent);
@@ -54,4 +54,4 @@
   std::map<std::string_view, std::string_view> values_;
 };
 
-}  // namespace garnethook::provision
+}  // namespace garnethook::deployment_config
--- a/src/engine/attempt.cpp
+++ b/src/engine/attempt.cpp
@@ -9,11 +9,11 @@
 
 }  // namespace
 
-AttemptExchange::AttemptExchange(routing::EngineEvents& events, routing::AttemptId id, routing::Job job,
-                                 const Options& options)
+AttemptExchange::AttemptExchange(routing::EngineClientEvents& events, routing::AttemptId id,
+                                 routing::Phase phase, const Options& options)
     : events_(events),
       id_(id),
-      job_(job),
+      phase_(phase),
       options_(options),
       parser_(options.eventBytes, [this](const http1::EventStreamParser::Event& e) { onEvent(e); }) {}
 
@@ -21,26 +21,26 @@
   status_ = head.status;
   if (const auto load = http1::find(head.fields, "endpoint-load-metrics")) result_.report = parseLoad(*load);
   const auto type = http1::find(head.fields, "content-type").value_or("");
-  streamed_ = status_ == 200 && job_ != routing::Job::read;
+  streamed_ = status_ == 200 && phase_ != routing::Phase::prefill;
   if (!streamed_ || type.starts_with("text/event-stream")) return true;
   finish(Outcome::error, "an event stream was asked for, not \"" + std::string(type.substr(0, 60)) + "\"");
   return false;
 }
 
-bool AttemptExchange::onBody(std::string_view octets) {
+bool AttemptExchange::onBody(std::string_view bytes) {
   if (streamed_) {
-    if (!parser_.receive(octets)) finish(Outcome::error, "an event of the answer is too large");
+    if (!parser_.receive(bytes)) finish(Outcome::error, "an event of the answer is too large");
     return !told_;
   }
   const std::size_t most = status_ == 200 ? options_.answerBytes : kErrorBytes;
-  if (body_.size() + octets.size() > most) {
+  if (body_.size() + bytes.size() > most) {
     if (status_ == 200)
       finish(Outcome::error, "the answer is too large");
     else
       onEnd();
     return false;
   }
-  body_.append(octets);
+  body_.append(bytes);
   return true;
 }
 
@@ -52,27 +52,27 @@
     return tell(failed);
   }
   if (streamed_)
-    return finishSeen_ ? finish(Outcome::served, {})
-                       : finish(Outcome::reset, "the answer ended before its end");
-  std::string trouble;
-  const auto read = parseReadAnswer(body_, trouble);
-  if (!read) return finish(Outcome::error, trouble);
-  result_.handover = read->handover;
-  result_.foundTokens = read->cachedTokens;
+    return finishSeen_ ? finish(Outcome::completed, {})
+                       : finish(Outcome::connectionReset, "the answer ended before its end");
+  std::string error;
+  const auto read = parseReadAnswer(body_, error);
+  if (!read) return finish(Outcome::error, error);
+  result_.kvTransferParams = read->kvTransferParams;
+  result_.cachedTokens = read->cachedTokens;
   result_.promptTokens = read->promptTokens;
-  finish(Outcome::readDone, {});
+  finish(Outcome::prefillDone, {});
 }
 
 void AttemptExchange::onEvent(const http1::EventStreamParser::Event& event) {
   if (told_) return;
-  if (event.data == "[DONE]") return finish(Outcome::served, {});
-  std::string trouble;
-  const auto chunk = parseChunk(event.data, trouble);
-  if (!chunk) return finish(Outcome::error, trouble);
+  if (event.data == "[DONE]") return finish(Outcome::completed, {});
+  std::string error;
+  const auto chunk = parseChunk(event.data, error);
+  if (!chunk) return finish(Outcome::error, error);
   if (!chunk->error.empty()) return finish(Outcome::error, chunk->error);
   if (chunk->promptTokens) result_.promptTokens = *chunk->promptTokens;
   if (chunk->outputTokens) result_.outputTokens = *chunk->outputTokens;
-  if (chunk->cachedTokens) result_.foundTokens = *chunk->cachedTokens;
+  if (chunk->cachedTokens) result_.cachedTokens = *chunk->cachedTokens;
   if (chunk->finish) {
     result_.reason = *chunk->finish;
     finishSeen_ = true;
@@ -96,8 +96,8 @@
   return true;
 }
 
-bool ControlExchange::onBody(std::string_view octets) {
-  if ((seen_ += octets.size()) <= kErrorBytes) return true;
+bool ControlExchange::onBody(std::string_view bytes) {
+  if ((seen_ += bytes.size()) <= kErrorBytes) return true;
   tell(0);
   return false;
 }
--- a/src/engine/attempt.h
+++ b/src/engine/attempt.h
@@ -16,18 +16,18 @@
 // Read: a JSON answer. Write and whole: a stream of events. Tells its result once.
 class AttemptExchange final : public Exchange {
  public:
-  AttemptExchange(routing::EngineEvents& events, routing::AttemptId id, routing::Job job,
+  AttemptExchange(routing::EngineClientEvents& events, routing::AttemptId id, routing::Phase phase,
                   const Options& options);
   bool onHead(const http1::Head& head) override;
-  bool onBody(std::string_view octets) override;
+  bool onBody(std::string_view bytes) override;
   void onEnd() override;
   void onFailed(Outcome outcome, const std::string& text, bool kept) override {
-    result_.keptConnection = kept;
+    result_.reusedConnection = kept;
     finish(outcome, text);
   }
   void onNotSent(const std::string& text) override {
-    result_.left = false;
-    finish(Outcome::full, text);
+    result_.leftRouter = false;
+    finish(Outcome::rejected, text);
   }
   void mute() override { told_ = true; }
 
@@ -36,9 +36,9 @@
   void finish(Outcome outcome, const std::string& text);
   void tell(const routing::AttemptResult& result);
 
-  routing::EngineEvents& events_;
+  routing::EngineClientEvents& events_;
   routing::AttemptId id_;
-  routing::Job job_;
+  routing::Phase phase_;
   const Options& options_;
   http1::EventStreamParser parser_;
   routing::AttemptResult result_;
@@ -55,7 +55,7 @@
   using Done = std::function<void(int status, const std::optional<LoadReport>& report)>;
   explicit ControlExchange(Done done) : done_(std::move(done)) {}
   bool onHead(const http1::Head& head) override;
-  bool onBody(std::string_view octets) override;
+  bool onBody(std::string_view bytes) override;
   void onEnd() override { tell(status_); }
   void onFailed(Outcome, const std::string&, bool) override { tell(0); }
   void onNotSent(const std::string&) override { tell(0); }
@@ -82,9 +82,9 @@
     status_ = head.status;
     return true;
   }
-  bool onBody(std::string_view octets) override {
-    if (body_.size() + octets.size() <= kMost) {
-      body_ += octets;
+  bool onBody(std::string_view bytes) override {
+    if (body_.size() + bytes.size() <= kMost) {
+      body_ += bytes;
       return true;
     }
     status_ = 0;
--- a/src/engine/completions.cpp
+++ b/src/engine/completions.cpp
@@ -61,31 +61,31 @@
 
 }  // namespace
 
-std::string requestBody(const routing::Order& order, std::string_view defaultModel) {
-  const routing::Ask& ask = *order.ask;
+std::string requestBody(const routing::AttemptSpec& order, std::string_view defaultModel) {
+  const routing::Request& request = *order.request;
   json body;
-  body["model"] = ask.model.empty() ? std::string(defaultModel) : ask.model;
-  if (ask.promptIds.empty())
-    body["prompt"] = *ask.prompt;
+  body["model"] = request.model.empty() ? std::string(defaultModel) : request.model;
+  if (request.promptIds.empty())
+    body["prompt"] = *request.prompt;
   else
-    body["prompt"] = ask.promptIds;
-  if (ask.specialTokens) body["special_tokens"] = true;
-  if (ask.temperature) body["temperature"] = *ask.temperature;
-  if (ask.seed) body["seed"] = *ask.seed;
-  if (order.job == routing::Job::read) {
+    body["prompt"] = request.promptIds;
+  if (request.specialTokens) body["special_tokens"] = true;
+  if (request.temperature) body["temperature"] = *request.temperature;
+  if (request.seed) body["seed"] = *request.seed;
+  if (order.phase == routing::Phase::prefill) {
     body["max_tokens"] = 1;
     body["stream"] = false;
     body["kv_transfer_params"] = {{"do_remote_decode", true},    {"do_remote_prefill", false},
                                   {"remote_engine_id", nullptr}, {"remote_block_ids", nullptr},
                                   {"remote_host", nullptr},      {"remote_port", nullptr}};
   } else {
-    body["max_tokens"] = ask.maxOutput;
+    body["max_tokens"] = request.maxOutput;
     body["stream"] = true;
     body["stream_options"] = {{"include_usage", true}};
     body["return_token_ids"] = true;
-    if (!ask.stop.empty()) body["stop"] = ask.stop;
-    if (order.job == routing::Job::write) {
-      json params = parse(order.handover);
+    if (!request.stop.empty()) body["stop"] = request.stop;
+    if (order.phase == routing::Phase::decode) {
+      json params = parse(order.kvTransferParams);
       if (!params.is_object()) params = json::object();
       params["do_remote_prefill"] = true;
       params["do_remote_decode"] = false;
@@ -95,19 +95,19 @@
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::optional<ReadAnswer> parseReadAnswer(std::string_view text, std::string& trouble) {
+std::optional<ReadAnswer> parseReadAnswer(std::string_view text, std::string& error) {
   const json body = parse(text);
   if (!body.is_object()) {
-    trouble = "the answer to a read is not a JSON object";
+    error = "the answer to a read is not a JSON object";
     return std::nullopt;
   }
   const json* params = member(body, "kv_transfer_params");
   if (params == nullptr || !params->is_object()) {
-    trouble = "the answer to a read has no kv_transfer_params";
+    error = "the answer to a read has no kv_transfer_params";
     return std::nullopt;
   }
   ReadAnswer out;
-  out.handover = params->dump(-1, ' ', false, json::error_handler_t::replace);
+  out.kvTransferParams = params->dump(-1, ' ', false, json::error_handler_t::replace);
   if (const json* usage = member(body, "usage")) {
     out.cachedTokens = cached(*usage).value_or(0);
     out.promptTokens = count(*usage, "prompt_tokens").value_or(0);
@@ -115,10 +115,10 @@
   return out;
 }
 
-std::optional<Chunk> parseChunk(std::string_view data, std::string& trouble) {
+std::optional<Chunk> parseChunk(std::string_view data, std::string& error) {
   const json body = parse(data);
   if (!body.is_object()) {
-    trouble = "an event of the answer is not a JSON object";
+    error = "an event of the answer is not a JSON object";
     return std::nullopt;
   }
   Chunk out;
@@ -155,10 +155,10 @@
   const json* error = body.is_object() ? member(body, "error") : nullptr;
   const json* code = error != nullptr ? member(*error, "code") : nullptr;
   if (code != nullptr && code->is_string() && *code == "kv_state_missing") {
-    r.outcome = Outcome::full;
-    r.stateMissing = true;
+    r.outcome = Outcome::rejected;
+    r.kvStateMissing = true;
   } else if (status == 429 || status == 503) {
-    r.outcome = Outcome::full;
+    r.outcome = Outcome::rejected;
   } else if (status == 400 || status == 404 || status == 413 || status == 422) {
     r.outcome = Outcome::notSent;
     r.badRequest = true;
--- a/src/engine/completions.h
+++ b/src/engine/completions.h
@@ -13,16 +13,16 @@
 namespace garnethook::engine {
 
 // Body of the request for one attempt, as JSON.
-std::string requestBody(const routing::Order& order, std::string_view defaultModel);
+std::string requestBody(const routing::AttemptSpec& order, std::string_view defaultModel);
 
 // Answer to a read (not streamed): what the writer needs for the fetch, tokens found kept.
 struct ReadAnswer {
-  std::string handover;
+  std::string kvTransferParams;
   double cachedTokens = 0;
   std::uint32_t promptTokens = 0;
 };
 // None, with `trouble` told, where the body is no such answer.
-std::optional<ReadAnswer> parseReadAnswer(std::string_view body, std::string& trouble);
+std::optional<ReadAnswer> parseReadAnswer(std::string_view body, std::string& error);
 
 // One event of a streamed answer.
 struct Chunk {
@@ -35,7 +35,7 @@
   std::optional<double> cachedTokens;
   std::string error;  // the engine's own words, where the event is an error
 };
-std::optional<Chunk> parseChunk(std::string_view data, std::string& trouble);
+std::optional<Chunk> parseChunk(std::string_view data, std::string& error);
 
 // What a status other than 200 says of the attempt.
 routing::AttemptResult failedAnswer(int status, std::string_view body);
--- a/src/engine/connection.cpp
+++ b/src/engine/connection.cpp
@@ -5,11 +5,11 @@
 namespace garnethook::engine {
 
 Connection::Connection(net::Loop& loop, const Options& options, const Poco::Net::SocketAddress& to,
-                       ServerId server, ConnectionOwner& owner)
+                       EndpointId endpoint, ConnectionOwner& owner)
     : loop_(loop),
       options_(options),
       to_(to),
-      server_(server),
+      endpoint_(endpoint),
       owner_(owner),
       timer_(loop),
       parser_(http1::MessageParser::Kind::response, options.message, *this) {
@@ -44,10 +44,11 @@
   timer_.start(options_.idleTimeout, [this] { free(false); });
 }
 
-routing::Reach Connection::reach() const {
-  if (!stream_->connected() || stream_->pending() > 0) return routing::Reach::nowhere;
-  if (heard_) return routing::Reach::engine;
-  return reusedAfter_ >= 0 || !stream_->delivered() ? routing::Reach::written : routing::Reach::connected;
+routing::DeliveryState Connection::deliveryState() const {
+  if (!stream_->connected() || stream_->pending() > 0) return routing::DeliveryState::undelivered;
+  if (heard_) return routing::DeliveryState::confirmed;
+  return reusedAfter_ >= 0 || !stream_->delivered() ? routing::DeliveryState::written
+                                                    : routing::DeliveryState::connected;
 }
 
 void Connection::onConnected() { write(); }
@@ -60,11 +61,11 @@
   });
 }
 
-void Connection::onOctets(std::string_view octets) {
-  if (!exchange_) return free(false);  // octets that nobody asked for
+void Connection::onBytes(std::string_view bytes) {
+  if (!exchange_) return free(false);  // bytes that nobody asked for
   if (!std::exchange(heard_, true)) owner_.onHeard(*this, true);
   if (reusedAfter_ >= 0) owner_.onReused(*this, std::exchange(reusedAfter_, -1), false);
-  const bool good = parser_.receive(octets);
+  const bool good = parser_.receive(bytes);
   if (exchange_ && !good) return fail(Outcome::error, "bad HTTP: " + std::string(parser_.error()));
   // What is left of a request that was answered early would come before the next one.
   if (std::exchange(over_, false)) free(good && keepAlive_ && !parser_.midway() && stream_->pending() == 0);
@@ -89,7 +90,7 @@
   if (cause == net::CloseCause::peerClosed && parser_.close() && over_) return free(false);
   const bool kept = reusedAfter_ >= 0;
   if (kept) owner_.onReused(*this, std::exchange(reusedAfter_, -1), true);
-  fail(Outcome::reset,
+  fail(Outcome::connectionReset,
        answered_ ? "the connection broke off in the answer"
        : kept    ? "a kept connection broke off"
                  : "the connection broke off",
@@ -105,8 +106,8 @@
   keepAlive_ = false;
 }
 
-void Connection::onBody(std::string_view octets) {
-  if (!exchange_ || exchange_->onBody(octets)) return;
+void Connection::onBody(std::string_view bytes) {
+  if (!exchange_ || exchange_->onBody(bytes)) return;
   exchange_.reset();
   over_ = true;
   keepAlive_ = false;
--- a/src/engine/connection.h
+++ b/src/engine/connection.h
@@ -28,7 +28,7 @@
 
 class Connection final : private net::StreamEvents, private http1::MessageEvents {
  public:
-  Connection(net::Loop& loop, const Options& options, const Poco::Net::SocketAddress& to, ServerId server,
+  Connection(net::Loop& loop, const Options& options, const Poco::Net::SocketAddress& to, EndpointId endpoint,
              ConnectionOwner& owner);
 
   // `limit`: the exchange fails with timedOut after it; 0: none. `redial`: a refused connection is tried once
@@ -39,10 +39,10 @@
   // Waits idle, and closes itself after the idle time-out.
   void rest();
   void pause(bool paused) { stream_->pauseReading(paused); }
-  // Octets that wait unasked for would be taken for the next answer.
+  // Bytes that wait unasked for would be taken for the next answer.
   bool usable() const { return !parser_.midway() && stream_->quiet(); }
-  ServerId server() const { return server_; }
-  routing::Reach reach() const;
+  EndpointId endpoint() const { return endpoint_; }
+  routing::DeliveryState deliveryState() const;
   // Since the latest answer; 0 before the first.
   Micros rested() const { return restedAt_ == 0 ? 0 : loop_.now() - restedAt_; }
 
@@ -52,10 +52,10 @@
  private:
   void onConnected() override;
   void write();
-  void onOctets(std::string_view octets) override;
+  void onBytes(std::string_view bytes) override;
   void onClosed(net::CloseCause cause) override;
   void onHead(const http1::Head& head) override;
-  void onBody(std::string_view octets) override;
+  void onBody(std::string_view bytes) override;
   void onEnd() override;
   void fail(Outcome outcome, const std::string& text, bool kept = false);
   void failHere(const std::string& text);
@@ -66,7 +66,7 @@
   net::Loop& loop_;
   const Options& options_;
   Poco::Net::SocketAddress to_;
-  ServerId server_;
+  EndpointId endpoint_;
   ConnectionOwner& owner_;
   timing::Alarm timer_;
   http1::MessageParser parser_;
@@ -76,7 +76,7 @@
   bool answered_ = false;
   bool heard_ = false;  // anything since the exchange began
   bool keepAlive_ = false;
-  bool over_ = false;  // the exchange said all within this piece of octets
+  bool over_ = false;  // the exchange said all within this piece of bytes
   bool redial_ = false;
   Micros restedAt_ = 0;
   Micros reusedAfter_ = -1;  // how long it had rested before the exchange; negative: told, or a new one
--- a/src/engine/exchange.h
+++ b/src/engine/exchange.h
@@ -7,8 +7,8 @@
 #include <string_view>
 #include <utility>
 
-#include "brain.h"
 #include "http1/message.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook::engine {
 
@@ -24,7 +24,7 @@
   virtual ~Exchange() = default;
   // False from either: enough is known, the connection may be given up.
   virtual bool onHead(const http1::Head& head) = 0;
-  virtual bool onBody(std::string_view octets) = 0;
+  virtual bool onBody(std::string_view bytes) = 0;
   // The answer is whole.
   virtual void onEnd() = 0;
   // It never will be. `kept`: the connection had been used before and broke without a sign, which tells of
--- a/src/engine/http_engines.h
+++ b/src/engine/http_engine_client.h
@@ -11,22 +11,24 @@
 
 namespace garnethook::engine {
 
-class HttpEngines final : public routing::Engines {
+class HttpEngineClient final : public routing::EngineClient {
  public:
-  HttpEngines(net::Loop& loop, const Options& options) : options_(options), pool_(loop, options) {}
+  HttpEngineClient(net::Loop& loop, const Options& options) : options_(options), pool_(loop, options) {}
   // Before the first call of any other.
-  void setEvents(routing::EngineEvents& events) { events_ = &events; }
+  void setEvents(routing::EngineClientEvents& events) { events_ = &events; }
 
   // The engines as listed now. Exchanges with one that left go on; its idle connections are closed.
-  void update(const membership::EngineMap& engines) { pool_.update(engines); }
+  void update(const membership::EndpointMap& engines) { pool_.update(engines); }
 
-  void begin(const routing::Order& order) override;
+  void begin(const routing::AttemptSpec& order) override;
   void cancel(routing::AttemptId attempt) override { pool_.abandon(attempt); }
-  routing::Reach reach(routing::AttemptId attempt) const override { return pool_.reach(attempt); }
-  void release(ServerId server, RequestId request, const std::string& workId) override;
-  void probe(ServerId server) override;
+  routing::DeliveryState deliveryState(routing::AttemptId attempt) const override {
+    return pool_.deliveryState(attempt);
+  }
+  void release(EndpointId endpoint, RequestId request, const std::string& traceId) override;
+  void probe(EndpointId endpoint) override;
   // GET of a document at most 256 KiB long; `done` comes later, with status 0 where there is no answer.
-  void fetch(ServerId server, const std::string& path, std::function<void(int, const std::string&)> done);
+  void fetch(EndpointId endpoint, const std::string& path, std::function<void(int, const std::string&)> done);
   // Reads no more of the attempt's answer, so that the engine's socket fills; and goes on.
   void pause(routing::AttemptId attempt, bool paused) { pool_.pause(attempt, paused); }
 
@@ -35,12 +37,13 @@
   std::size_t attempts() const { return pool_.attempts(); }
 
  private:
-  void control(ServerId server, std::string_view method, const std::string& path, const std::string& workId,
-               std::string_view body, std::function<void(int, const std::optional<LoadReport>&)> done);
+  void control(EndpointId endpoint, std::string_view method, const std::string& path,
+               const std::string& traceId, std::string_view body,
+               std::function<void(int, const std::optional<LoadReport>&)> done);
 
   Options options_;
   Pool pool_;
-  routing::EngineEvents* events_ = nullptr;
+  routing::EngineClientEvents* events_ = nullptr;
 };
 
 }  // namespace garnethook::engine
--- a/src/engine/options.h
+++ b/src/engine/options.h
@@ -4,8 +4,8 @@
 #include <cstddef>
 #include <string>
 
-#include "brain.h"
 #include "http1/message.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook::engine {
 
--- a/src/engine/pool.cpp
+++ b/src/engine/pool.cpp
@@ -11,17 +11,17 @@
   });
 }
 
-const membership::EngineSpec* Pool::find(ServerId server) const {
-  const auto at = engines_.find(server.value);
+const membership::EndpointSpec* Pool::find(EndpointId endpoint) const {
+  const auto at = engines_.find(endpoint.value);
   return at == engines_.end() || !at->second.resolved ? nullptr : &at->second.spec;
 }
 
-bool Pool::running(ServerId server) const {
-  const auto at = engines_.find(server.value);
-  return at != engines_.end() && at->second.listed && at->second.spec.state == ServerState::running;
+bool Pool::running(EndpointId endpoint) const {
+  const auto at = engines_.find(endpoint.value);
+  return at != engines_.end() && at->second.listed && at->second.spec.state == EndpointState::running;
 }
 
-const std::vector<ServerId>& Pool::listed() const {
+const std::vector<EndpointId>& Pool::listed() const {
   if (!listed_) {
     listed_.emplace();
     for (const auto& [id, e] : engines_)
@@ -31,18 +31,18 @@
   return *listed_;
 }
 
-Word Pool::word(ServerId server) const {
-  const auto at = engines_.find(server.value);
+Word Pool::word(EndpointId endpoint) const {
+  const auto at = engines_.find(endpoint.value);
   return at == engines_.end() ? Word::none : at->second.word;
 }
 
 void Pool::onHeard(Connection& connection, bool sound) {
-  const auto at = engines_.find(connection.server().value);
+  const auto at = engines_.find(connection.endpoint().value);
   if (at != engines_.end()) at->second.word = sound ? Word::heard : Word::lost;
 }
 
-bool Pool::full(ServerId server) const {
-  const auto at = engines_.find(server.value);
+bool Pool::full(EndpointId endpoint) const {
+  const auto at = engines_.find(endpoint.value);
   return at != engines_.end() &&
          (at->second.busy >= options_.connections ||
           (options_.allConnections > 0 && attempts_.size() >= options_.allConnections));
@@ -52,7 +52,7 @@
   return options_.controlConnections > 0 && busy_.size() - attempts_.size() >= options_.controlConnections;
 }
 
-void Pool::update(const membership::EngineMap& engines) {
+void Pool::update(const membership::EndpointMap& engines) {
   std::unordered_set<std::uint64_t> stays;
   for (const auto& [name, spec] : engines) stays.insert(spec.id.value);
   for (auto& [id, e] : engines_)
@@ -60,11 +60,11 @@
   apply(engines);
 }
 
-void Pool::apply(const membership::EngineMap& changes) {
+void Pool::apply(const membership::EndpointMap& changes) {
   listed_.reset();
   for (const auto& [name, spec] : changes) {
     const auto known = engines_.find(spec.id.value);
-    if (spec.state != ServerState::gone)
+    if (spec.state != EndpointState::removed)
       list(spec);
     else if (known != engines_.end())
       unlist(known->second);
@@ -79,7 +79,7 @@
   });
 }
 
-void Pool::list(const membership::EngineSpec& spec) {
+void Pool::list(const membership::EndpointSpec& spec) {
   Engine& e = engines_[spec.id.value];
   const bool moved = e.spec.host != spec.host || e.spec.port != spec.port;
   if (moved || e.spec.startedAt != spec.startedAt) {
@@ -163,7 +163,7 @@
 
 void Pool::onFree(Connection& connection, bool reusable) {
   std::unique_ptr<Connection> own;
-  const auto engine = engines_.find(connection.server().value);
+  const auto engine = engines_.find(connection.endpoint().value);
   Engine* e = engine == engines_.end() ? nullptr : &engine->second;
   if (const auto at = busy_.find(&connection); at != busy_.end()) {
     own = std::move(at->second);
@@ -189,7 +189,7 @@
 // Where one has died unseen, those that rested longer have most likely done so too.
 void Pool::onReused(Connection& connection, Micros rested, bool dead) {
   reuse_.note(rested, dead, loop_.now());
-  const auto engine = engines_.find(connection.server().value);
+  const auto engine = engines_.find(connection.endpoint().value);
   if (!dead || engine == engines_.end()) return;
   auto& idle = engine->second.idle;
   const auto older =
@@ -204,14 +204,14 @@
   loop_.post([c = std::shared_ptr<Connection>(std::move(connection))] {});
 }
 
-void Pool::run(ServerId server, std::unique_ptr<Exchange> exchange, std::string request, Micros limit) {
-  connect(engines_.at(server.value), Reuse::usual)
+void Pool::run(EndpointId endpoint, std::unique_ptr<Exchange> exchange, std::string request, Micros limit) {
+  connect(engines_.at(endpoint.value), Reuse::usual)
       .run(std::move(exchange), fixedRequest(std::move(request)), limit);
 }
 
-void Pool::run(routing::AttemptId attempt, ServerId server, std::unique_ptr<Exchange> exchange,
+void Pool::run(routing::AttemptId attempt, EndpointId endpoint, std::unique_ptr<Exchange> exchange,
                RequestWriter request, Reuse reuse) {
-  Engine& e = engines_.at(server.value);
+  Engine& e = engines_.at(endpoint.value);
   // An engine that others of its connections stand with refuses one by chance, and is asked once more.
   const bool alive = e.busy > 0 || !e.idle.empty();
   Connection& c = connect(e, reuse);
@@ -225,9 +225,9 @@
   if (at != attempts_.end()) at->second->abandon();
 }
 
-routing::Reach Pool::reach(routing::AttemptId attempt) const {
+routing::DeliveryState Pool::deliveryState(routing::AttemptId attempt) const {
   const auto at = attempts_.find(attempt);
-  return at == attempts_.end() ? routing::Reach::nowhere : at->second->reach();
+  return at == attempts_.end() ? routing::DeliveryState::undelivered : at->second->deliveryState();
 }
 
 void Pool::pause(routing::AttemptId attempt, bool paused) {
--- a/src/engine/pool.h
+++ b/src/engine/pool.h
@@ -14,13 +14,13 @@
 #include "engine/options.h"
 #include "engine/reuse_policy.h"
 #include "engine/word.h"
-#include "membership/engine_list.h"
+#include "membership/endpoint_list_file.h"
 #include "routing/types.h"
 
 namespace garnethook::engine {
 
-inline Reuse reuseFor(const routing::Order& order) {
-  return order.fresh ? Reuse::none : order.costly ? Reuse::careful : Reuse::usual;
+inline Reuse reuseFor(const routing::AttemptSpec& order) {
+  return order.requiresNewConnection ? Reuse::none : order.nonRepeatable ? Reuse::careful : Reuse::usual;
 }
 
 class Pool final : private ConnectionOwner {
@@ -29,30 +29,30 @@
   ~Pool() override { *alive_ = false; }
 
   // The engines as listed now. Exchanges with one that left go on; its idle connections are closed.
-  void update(const membership::EngineMap& engines);
+  void update(const membership::EndpointMap& engines);
   // The engines that have changed; the others stay as they are.
-  void apply(const membership::EngineMap& changes);
+  void apply(const membership::EndpointMap& changes);
   // Nothing where the engine is not known, or its address can't be used.
-  const membership::EngineSpec* find(ServerId server) const;
+  const membership::EndpointSpec* find(EndpointId endpoint) const;
   // It is listed as running, so that it may get new work.
-  bool running(ServerId server) const;
+  bool running(EndpointId endpoint) const;
   // Every engine that is listed and has an address, in order of ids; valid until the list changes.
-  const std::vector<ServerId>& listed() const;
-  Word word(ServerId server) const;
+  const std::vector<EndpointId>& listed() const;
+  Word word(EndpointId endpoint) const;
   // All connections that may be used for attempts are busy.
-  bool full(ServerId server) const;
+  bool full(EndpointId endpoint) const;
   // As many releases, probes and the like are under way as may be.
   bool controlsFull() const;
 
   // On an idle connection or a new one; `limit` as for Connection::run. The engine must be found. `reuse`:
   // whether a kept connection will do (reuse_policy.h).
-  void run(ServerId server, std::unique_ptr<Exchange> exchange, std::string request, Micros limit);
-  void run(routing::AttemptId attempt, ServerId server, std::unique_ptr<Exchange> exchange,
+  void run(EndpointId endpoint, std::unique_ptr<Exchange> exchange, std::string request, Micros limit);
+  void run(routing::AttemptId attempt, EndpointId endpoint, std::unique_ptr<Exchange> exchange,
            RequestWriter request, Reuse reuse = Reuse::usual);
   // Ends the attempt's exchange and its connection; nothing of it is told any more.
   void abandon(routing::AttemptId attempt);
   // Attempts that are not out, or whose engine is gone: nowhere.
-  routing::Reach reach(routing::AttemptId attempt) const;
+  routing::DeliveryState deliveryState(routing::AttemptId attempt) const;
   // Reads no more of the attempt's answer, so that the engine's socket fills; and goes on.
   void pause(routing::AttemptId attempt, bool paused);
   // Runs in the loop's next turn, unless the pool has ended by then.
@@ -66,7 +66,7 @@
 
  private:
   struct Engine {
-    membership::EngineSpec spec;
+    membership::EndpointSpec spec;
     Poco::Net::SocketAddress address;
     bool resolved = false;
     bool listed = false;
@@ -88,7 +88,7 @@
   void makeRoom();
   void discard(std::unique_ptr<Connection> connection);
   void closeIdle(Engine& e);
-  void list(const membership::EngineSpec& spec);
+  void list(const membership::EndpointSpec& spec);
   void unlist(Engine& e);
   void keep(Engine& e, std::unique_ptr<Connection> connection);
 
@@ -100,7 +100,7 @@
   ReusePolicy reuse_;
   std::unordered_set<Engine*> resting_;        // with idle connections; some may have lost theirs
   std::unordered_set<std::uint64_t> leaving_;  // not listed any more, with exchanges that go on
-  mutable std::optional<std::vector<ServerId>> listed_;
+  mutable std::optional<std::vector<EndpointId>> listed_;
   std::size_t idle_ = 0;
   std::uint64_t opened_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/engine/reuse_policy.h
+++ b/src/engine/reuse_policy.h
@@ -13,7 +13,7 @@
 #include <cmath>
 #include <cstdint>
 
-#include "brain.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook::engine {
 
@@ -36,14 +36,14 @@
   // taken for the answer to the next request. They come some milliseconds behind; one that comes while the
   // connection rests ends it.
   static bool mayStray(Micros rested) { return rested < kStrayWithin; }
-  // `costly`: a request that can't be sent again once it may have run.
-  bool mayReuse(Micros rested, bool costly, Micros now) const {
+  // `nonRepeatable`: a request that can't be sent again once it may have run.
+  bool mayReuse(Micros rested, bool nonRepeatable, Micros now) const {
     if (lastDead_ == 0 || now - lastDead_ > kMemory) return true;
     Bin bin = bins_[binOf(rested)];
     fade(bin, now);
     // A bin without news is thought as bad as half a death in one try.
     const double risk = (bin.dead + kPrior / 2) / (bin.tries + kPrior);
-    return risk < (costly ? kCostlyRisk : kUsualRisk);
+    return risk < (nonRepeatable ? kCostlyRisk : kUsualRisk);
   }
 
  private:
--- a/src/standin/answer.cpp
+++ b/src/fake_engine/answer.cpp
@@ -1,11 +1,11 @@
-#include "standin/answer.h"
+#include "fake_engine/answer.h"
 
 #include <xxhash.h>
 
 #include <algorithm>
 #include <array>
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 namespace {
 
 constexpr std::array<std::string_view, 16> kWords{" flag",  " is",    " on",   " for",  " the", " north",
@@ -47,4 +47,4 @@
   return out;
 }
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/standin/answer.h
+++ b/src/fake_engine/answer.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 
 // Tokens of a text, by the stand-ins' own count: one for every four characters, rounded up.
 std::uint32_t countTokens(std::string_view text);
@@ -25,4 +25,4 @@
   bool cut_;
 };
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/standin/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -1,4 +1,4 @@
-#include "standin/engine.h"
+#include "fake_engine/engine.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 
 #include "timing/wall_clock.h"
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 namespace {
 
 using nlohmann::json;
@@ -29,10 +29,10 @@
       finder_(std::move(finder)),
       cache_(static_cast<std::size_t>(options.cacheTokens * 4 / PrefixCache::kBlock)),
       port_(options.port) {
-  const Micros warm = options_.warmWithin;
-  options_.warmWithin = 0;  // the first start was long ago
+  const Micros warm = options_.warmUpDuration;
+  options_.warmUpDuration = 0;  // the first start was long ago
   start();
-  options_.warmWithin = warm;
+  options_.warmUpDuration = warm;
   startedAt_ = startedUnix_ = 0;
 }
 
@@ -221,13 +221,13 @@
   if (faults.full) return refuse(work, 429, "full", "no room");
   if (work->promptTokens > options_.memoryTokens)
     return refuse(work, 400, "too_long", "the prompt is longer than the memory");
-  if (work->read && options_.role == Role::writer)
+  if (work->read && options_.role == Role::decode)
     return refuse(work, 400, "role", "this engine does not read for others");
   if (!work->fetchFrom.empty()) {
     Engine* reader = finder_(work->fetchFrom);
     if (reader == nullptr || !reader->up() || !reader->holds(work->block))
       return refuse(work, 409, "kv_state_missing", "the state is not there");
-  } else if (!work->read && options_.role == Role::reader) {
+  } else if (!work->read && options_.role == Role::prefill) {
     return refuse(work, 400, "role", "this engine does not answer");
   }
   if (!weigh(*work)) return;
@@ -247,15 +247,15 @@
 
 // Rule 4 in the stand-in: what reaches a cold engine in any window, against what it can do by now.
 double Engine::capacity() const {
-  if (options_.warmWithin <= 0 || startedAt_ == 0) return 1;
+  if (options_.warmUpDuration <= 0 || startedAt_ == 0) return 1;
   const double warm =
-      static_cast<double>(loop_.now() - startedAt_) / static_cast<double>(options_.warmWithin);
-  return std::min(1.0, options_.coldFrom + (1 - options_.coldFrom) * warm);
+      static_cast<double>(loop_.now() - startedAt_) / static_cast<double>(options_.warmUpDuration);
+  return std::min(1.0, options_.warmUpMinCapacity + (1 - options_.warmUpMinCapacity) * warm);
 }
 
 bool Engine::weigh(const Work& work) {
   const Micros now = loop_.now();
-  while (!recent_.empty() && recent_.front().first < now - options_.fallAfter) recent_.pop_front();
+  while (!recent_.empty() && recent_.front().first < now - options_.overloadWindow) recent_.pop_front();
   // As seconds of one slot's work.
   const double seconds = work.read || work.fetchFrom.empty()
                              ? work.promptTokens / options_.readPerSecond
@@ -264,8 +264,8 @@
   if (capacity() >= 1) return true;
   double sum = 0;
   for (const auto& [at, s] : recent_) sum += s;
-  const double window = static_cast<double>(options_.fallAfter) / 1e6;
-  if (sum <= options_.fallMultiple * capacity() * options_.slots * window) return true;
+  const double window = static_cast<double>(options_.overloadWindow) / 1e6;
+  if (sum <= options_.overloadMultiple * capacity() * options_.slots * window) return true;
   fell_ = true;
   recorder_.note("engine.fell", {{"engine", options_.name}, {"work", sum}, {"capacity", capacity()}});
   return false;
@@ -409,4 +409,4 @@
   }
 }
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/standin/engine.h
+++ b/src/fake_engine/engine.h
@@ -11,18 +11,18 @@
 #include <string>
 #include <vector>
 
-#include "brain.h"
-#include "standin/answer.h"
-#include "standin/http_server.h"
-#include "standin/own_tokeniser.h"
-#include "standin/prefix_cache.h"
-#include "standin/recorder.h"
+#include "fake_engine/answer.h"
+#include "fake_engine/http_server.h"
+#include "fake_engine/own_tokeniser.h"
+#include "fake_engine/prefix_cache.h"
+#include "fake_engine/recorder.h"
+#include "policy/routing_policy.h"
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 
 struct EngineOptions {
   std::string name;
-  Role role = Role::both;
+  Role role = Role::combined;
   std::string kind;
   std::string zone;
   std::string cell;
@@ -37,10 +37,10 @@
   Micros tokenInterval = 5'000;    // between two tokens of an answer
   double linkPerSecond = 250'000;  // tokens of a state fetched within a cell
   double farFactor = 2;            // and how much longer from another cell
-  double coldFrom = 0.3;           // capacity right after a start
-  Micros warmWithin = 0;           // 0: never cold
-  double fallMultiple = 2.5;
-  Micros fallAfter = 2'000'000;
+  double warmUpMinCapacity = 0.3;  // capacity right after a start
+  Micros warmUpDuration = 0;       // 0: never cold
+  double overloadMultiple = 2.5;
+  Micros overloadWindow = 2'000'000;
   Micros stateLife = 20'000'000;                  // a state that nobody fetches or releases is dropped
   bool cancelStops = true;                        // a running read ends when its client goes away
   std::shared_ptr<const OwnTokeniser> tokeniser;  // none: a token for every four characters
@@ -55,9 +55,9 @@
   bool full = false;       // 429 to every request
   int stallAfter = -1;     // answers go quiet after so many tokens
   int dieAfter = -1;       // and break off after so many
-  Micros trickle = 0;      // octets of answers one at a time
+  Micros trickle = 0;      // bytes of answers one at a time
   double link = 1;         // factor on fetches of states that it holds
-  bool badHttp = false;    // octets that are no HTTP
+  bool badHttp = false;    // bytes that are no HTTP
   bool hugeEvent = false;  // an event without an end
   std::string failsClass;  // 500 to prompts with this text in them
 };
@@ -165,4 +165,4 @@
   std::shared_ptr<int> epoch_ = std::make_shared<int>(0);
 };
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/standin/fleet.cpp
+++ b/src/fake_engine/fleet.cpp
@@ -1,13 +1,13 @@
-#include "standin/fleet.h"
+#include "fake_engine/fleet.h"
 
 #include <cstdio>
 #include <fstream>
 #include <map>
 #include <nlohmann/json.hpp>
 
-#include "standin/made_vocabulary.h"
+#include "fake_engine/made_vocabulary.h"
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 
 std::shared_ptr<const OwnTokeniser> madeTokeniser(std::uint64_t seed) {
   auto made = std::make_shared<OwnTokeniser>("made", std::to_string(seed), madeRanks(seed),
@@ -39,10 +39,10 @@
     o.tokenInterval = n.micros("token_ms", 5, 0.001, 1e6);
     o.linkPerSecond = n.number("link_tokens_per_s", o.linkPerSecond, 1, 1e12);
     o.farFactor = n.number("far_factor", o.farFactor, 1, 1000);
-    o.coldFrom = n.number("cold_from", o.coldFrom, 0.01, 1);
-    o.warmWithin = n.micros("warm_within_ms", 0, 0, 1e6);
-    o.fallMultiple = n.number("fall_multiple", o.fallMultiple, 0.1, 1e6);
-    o.fallAfter = n.micros("fall_after_ms", 2000, 1, 1e6);
+    o.warmUpMinCapacity = n.number("cold_from", o.warmUpMinCapacity, 0.01, 1);
+    o.warmUpDuration = n.micros("warm_within_ms", 0, 0, 1e6);
+    o.overloadMultiple = n.number("fall_multiple", o.overloadMultiple, 0.1, 1e6);
+    o.overloadWindow = n.micros("fall_after_ms", 2000, 1, 1e6);
     o.stateLife = n.micros("state_life_ms", 20'000, 1, 1e7);
     o.cancelStops = n.flag("cancel_stops", true);
     o.tellsTokeniser = n.flag("tells_tokeniser", true);
@@ -118,4 +118,4 @@
   return n;
 }
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/standin/fleet.h
+++ b/src/fake_engine/fleet.h
@@ -6,9 +6,9 @@
 #include <vector>
 
 #include "config/json_file.h"
-#include "standin/engine.h"
+#include "fake_engine/engine.h"
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 
 // The tokeniser "made", version "SEED": madeRanks(SEED) with the pattern cl100k_base and the special token
 // <|end|>.
@@ -42,4 +42,4 @@
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/standin/http_server.cpp
+++ b/src/fake_engine/http_server.cpp
@@ -1,9 +1,9 @@
-#include "standin/http_server.h"
+#include "fake_engine/http_server.h"
 
 #include <deque>
 #include <utility>
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 namespace {
 
 std::string headText(int status, const http1::Fields& fields) {
@@ -12,10 +12,10 @@
   return out;
 }
 
-std::string chunk(std::string_view octets) {
+std::string chunk(std::string_view bytes) {
   char size[20];
-  const int n = std::snprintf(size, sizeof size, "%zx\r\n", octets.size());
-  return std::string(size, static_cast<std::size_t>(n)).append(octets).append("\r\n");
+  const int n = std::snprintf(size, sizeof size, "%zx\r\n", bytes.size());
+  return std::string(size, static_cast<std::size_t>(n)).append(bytes).append("\r\n");
 }
 
 }  // namespace
@@ -34,8 +34,8 @@
   void thaw() {
     if (held_.empty() && heldOut_.empty()) return;
     stream_.send(std::exchange(heldOut_, {}));
-    const std::string octets = std::exchange(held_, {});
-    if (!octets.empty()) onOctets(octets);
+    const std::string bytes = std::exchange(held_, {});
+    if (!bytes.empty()) onBytes(bytes);
   }
   void end(bool abort) {
     if (owner_ == nullptr) return;
@@ -55,7 +55,7 @@
     void begin(int status, const http1::Fields& fields) override {
       write(headText(status, fields) + "transfer-encoding: chunked\r\n\r\n");
     }
-    void piece(std::string_view octets) override { write(chunk(octets)); }
+    void piece(std::string_view bytes) override { write(chunk(bytes)); }
     void end() override {
       write("0\r\n\r\n");
       done();
@@ -72,8 +72,8 @@
     }
 
    private:
-    void write(const std::string& octets) {
-      if (const auto c = connection_.lock(); c && !over_) c->write(octets);
+    void write(const std::string& bytes) {
+      if (const auto c = connection_.lock(); c && !over_) c->write(bytes);
     }
     void done() {
       over_ = true;
@@ -86,15 +86,15 @@
 
   bool isFrozen() const { return owner_ != nullptr && owner_->frozen && owner_->frozen(host_); }
 
-  void onOctets(std::string_view octets) override {
+  void onBytes(std::string_view bytes) override {
     if (isFrozen()) {
-      if (held_.size() < (16u << 20)) held_.append(octets);
+      if (held_.size() < (16u << 20)) held_.append(bytes);
       return;
     }
     const auto keep = shared_from_this();
     if (reply_)
-      early_.append(octets);
-    else if (!parser_.receive(octets))
+      early_.append(bytes);
+    else if (!parser_.receive(bytes))
       end(true);
   }
   void onClosed(net::CloseCause) override {
@@ -114,7 +114,7 @@
     }
   }
   void onHead(const http1::Head& head) override { request_ = {head, {}}; }
-  void onBody(std::string_view octets) override { request_.body.append(octets); }
+  void onBody(std::string_view bytes) override { request_.body.append(bytes); }
   void onEnd() override {
     reply_ = std::make_shared<Reply>(weak_from_this());
     owner_->handler_(std::exchange(request_, {}), reply_);
@@ -123,18 +123,18 @@
     reply_ = nullptr;
     if (!early_.empty() && owner_ != nullptr)
       owner_->loop_.post([c = shared_from_this()] {
-        if (!c->reply_ && !c->ended_) c->onOctets(std::exchange(c->early_, {}));
+        if (!c->reply_ && !c->ended_) c->onBytes(std::exchange(c->early_, {}));
       });
   }
-  void write(const std::string& octets) {
+  void write(const std::string& bytes) {
     if (owner_ == nullptr) return;
     if (isFrozen()) {
-      heldOut_.append(octets);
+      heldOut_.append(bytes);
     } else if (owner_->trickle > 0 || !slow_.empty()) {
-      slow_.append(octets);
+      slow_.append(bytes);
       if (!trickle_.running()) drip();
     } else {
-      stream_.send(octets);
+      stream_.send(bytes);
     }
   }
   void drip() {
@@ -150,7 +150,7 @@
   http1::MessageParser parser_;
   HttpRequest request_;
   std::shared_ptr<Reply> reply_;
-  std::string early_;  // octets behind the request that is being answered
+  std::string early_;  // bytes behind the request that is being answered
   std::string held_;
   std::string heldOut_;
   std::string slow_;
@@ -180,4 +180,4 @@
   for (const auto& [c, shared] : all) shared->thaw();
 }
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/standin/http_server.h
+++ b/src/fake_engine/http_server.h
@@ -9,7 +9,7 @@
 #include "http1/message.h"
 #include "net/stream.h"
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 
 struct HttpRequest {
   http1::Head head;
@@ -24,7 +24,7 @@
   virtual void send(int status, const http1::Fields& fields, std::string_view body) = 0;
   // Streamed answer, chunked.
   virtual void begin(int status, const http1::Fields& fields) = 0;
-  virtual void piece(std::string_view octets) = 0;
+  virtual void piece(std::string_view bytes) = 0;
   virtual void end() = 0;
   // Cuts the connection, with a reset.
   virtual void cut() = 0;
@@ -42,10 +42,10 @@
   Poco::Net::SocketAddress address() const { return listener_->address(); }
   // Ends all connections, with a reset, and listens no more.
   void down();
-  // Octets from hosts for which the filter says so are kept, not looked at, until thaw().
+  // Bytes from hosts for which the filter says so are kept, not looked at, until thaw().
   std::function<bool(const std::string& host)> frozen;
   void thaw();
-  // Octets of answers go out one at a time, `trickle` apart; 0: at once.
+  // Bytes of answers go out one at a time, `trickle` apart; 0: at once.
   net::Micros trickle = 0;
 
  private:
@@ -56,4 +56,4 @@
   std::unique_ptr<net::Listener> listener_;
 };
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/standin/made_vocabulary.cpp
+++ b/src/fake_engine/made_vocabulary.cpp
@@ -1,4 +1,4 @@
-#include "standin/made_vocabulary.h"
+#include "fake_engine/made_vocabulary.h"
 
 #include <openssl/evp.h>
 
@@ -7,14 +7,14 @@
 #include <unordered_map>
 #include <vector>
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 namespace {
 
-std::string base64(std::string_view octets) {
-  std::string out((octets.size() + 2) / 3 * 4 + 1, '\0');  // the library ends it with a zero
+std::string base64(std::string_view bytes) {
+  std::string out((bytes.size() + 2) / 3 * 4 + 1, '\0');  // the library ends it with a zero
   out.resize(static_cast<std::size_t>(EVP_EncodeBlock(reinterpret_cast<unsigned char*>(out.data()),
-                                                      reinterpret_cast<const unsigned char*>(octets.data()),
-                                                      static_cast<int>(octets.size()))));
+                                                      reinterpret_cast<const unsigned char*>(bytes.data()),
+                                                      static_cast<int>(bytes.size()))));
   return out;
 }
 
@@ -51,7 +51,7 @@
     add(text, 5 + draw(20));
 
   std::vector<std::string> tokens;
-  for (unsigned octet = 0; octet < 256; ++octet) tokens.emplace_back(1, static_cast<char>(octet));
+  for (unsigned byte = 0; byte < 256; ++byte) tokens.emplace_back(1, static_cast<char>(byte));
   std::set<std::string> known(tokens.begin(), tokens.end());
   std::unordered_map<std::uint64_t, std::size_t> pairs;
   for (std::size_t m = 0; m < merges; ++m) {
@@ -88,4 +88,4 @@
   return out;
 }
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/standin/made_vocabulary.h
+++ b/src/fake_engine/made_vocabulary.h
@@ -4,10 +4,10 @@
 #include <cstdint>
 #include <string>
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 
-// A ranks file (".tiktoken") of 256 octets and `merges` merges (fewer where the text gives no more), trained
+// A ranks file (".tiktoken") of 256 bytes and `merges` merges (fewer where the text gives no more), trained
 // on words drawn from the seed. Two seeds give vocabularies that count the same text differently.
 std::string madeRanks(std::uint64_t seed, std::size_t merges = 400);
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/standin/own_tokeniser.cpp
+++ b/src/fake_engine/own_tokeniser.cpp
@@ -1,14 +1,14 @@
-#include "standin/own_tokeniser.h"
+#include "fake_engine/own_tokeniser.h"
 
 #include <map>
 #include <set>
 #include <sstream>
 #include <stdexcept>
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 namespace {
 
-std::string octetsOf(std::string_view base64) {
+std::string bytesOf(std::string_view base64) {
   constexpr std::string_view kLetters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
   std::string out;
   std::uint32_t bits = 0;
@@ -34,7 +34,7 @@
   std::istringstream in{std::string(ranks)};
   std::string token;
   std::uint32_t rank = 0;
-  while (in >> token >> rank) ranks_[octetsOf(token)] = rank;
+  while (in >> token >> rank) ranks_[bytesOf(token)] = rank;
   if (ranks_.size() < 256) throw std::invalid_argument("no ranks file");
 }
 
@@ -66,7 +66,7 @@
   }
 }
 
-// Parts by their first octet; of all neighbours whose octets are a token the lowest rank first, leftmost of
+// Parts by their first byte; of all neighbours whose bytes are a token the lowest rank first, leftmost of
 // equals.
 void OwnTokeniser::merge(const std::string& piece, std::vector<std::uint32_t>& ids) const {
   if (const auto whole = ranks_.find(piece); whole != ranks_.end()) return ids.push_back(whole->second);
@@ -102,4 +102,4 @@
   for (const auto& [from, to] : parts) ids.push_back(ranks_.at(piece.substr(from, to - from)));
 }
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/standin/own_tokeniser.h
+++ b/src/fake_engine/own_tokeniser.h
@@ -12,7 +12,7 @@
 
 #include "tokeniser/pattern.h"
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 
 class OwnTokeniser {
  public:
@@ -37,4 +37,4 @@
   mutable tokeniser::Pattern::Workspace workspace_;
 };
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/standin/prefix_cache.cpp
+++ b/src/fake_engine/prefix_cache.cpp
@@ -1,8 +1,8 @@
-#include "standin/prefix_cache.h"
+#include "fake_engine/prefix_cache.h"
 
 #include <xxhash.h>
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 
 std::size_t PrefixCache::find(std::string_view text) {
   std::uint64_t chain = 0;
@@ -43,4 +43,4 @@
   order_.clear();
 }
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/standin/prefix_cache.h
+++ b/src/fake_engine/prefix_cache.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <unordered_map>
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 
 class PrefixCache {
  public:
@@ -25,4 +25,4 @@
   std::unordered_map<std::uint64_t, List::iterator> blocks_;
 };
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/standin/recorder.h
+++ b/src/fake_engine/recorder.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace garnethook::standin {
+namespace garnethook::fake_engine {
 
 class Recorder {
  public:
@@ -33,4 +33,4 @@
   std::vector<nlohmann::json> events_;
 };
 
-}  // namespace garnethook::standin
+}  // namespace garnethook::fake_engine
--- a/src/drill/audit.cpp
+++ b/src/fault_scenario/audit.cpp
@@ -1,11 +1,11 @@
-#include "drill/audit.h"
+#include "fault_scenario/audit.h"
 
 #include <algorithm>
 #include <limits>
 #include <optional>
 #include <set>
 
-namespace garnethook::drill {
+namespace garnethook::fault_scenario {
 namespace {
 
 using nlohmann::json;
@@ -31,7 +31,7 @@
 struct Story {
   Time sent = -1;
   Time deadline = kNever;
-  std::string effect;
+  std::string idempotency;
   std::string router;
   std::vector<std::string> finals;
   Time finalAt = kNever;
@@ -90,7 +90,7 @@
       Story& s = stories_[marker];
       s.sent = t;
       s.deadline = e.value("deadline", kNever);
-      s.effect = text(e, "effect");
+      s.idempotency = text(e, "effect");
       s.router = text(e, "router");
     } else if (what == "client.final") {
       Story& s = stories_[marker];
@@ -189,16 +189,16 @@
               [](const auto& a, const auto& b) { return a.from < b.from; });
     count("attempts", s.attempts.size());
     Time lastEnd = 0;
-    bool mayHaveRun = false;
+    bool possiblyExecuted = false;
     for (const Interval& a : s.attempts) {
       if (a.from + rules_.overlapSlack < lastEnd)
         violate(2, marker, "two attempts at once, the second at " + a.engine);
-      if (s.effect == "unsafe" && mayHaveRun && a.job != "read")
+      if (s.idempotency == "unsafe" && possiblyExecuted && a.job != "read")
         violate(2, marker, "an unsafe request was tried again after it may have run");
       lastEnd = std::max(lastEnd, a.until);
-      if (a.job != "read" && !a.refused) mayHaveRun = true;
+      if (a.job != "read" && !a.refused) possiblyExecuted = true;
     }
-    if (s.effect == "unsafe" && mayHaveRun && s.refused)
+    if (s.idempotency == "unsafe" && possiblyExecuted && s.refused)
       violate(2, marker, "an unsafe request was refused after it may have run");
   }
 
@@ -233,7 +233,7 @@
         count("states " + state.how);
       const Time pinned = idle(s, state);
       out_.slowestRelease = std::max(out_.slowestRelease, pinned);
-      if (pinned > rules_.releaseWithin + rules_.releaseSlack)
+      if (pinned > rules_.kvReleaseTimeout + rules_.releaseSlack)
         violate(5, marker,
                 "a state stayed at " + state.engine + " for " + std::to_string(pinned / 1000) +
                     " ms with no attempt out" +
@@ -257,4 +257,4 @@
   return Audit(events, rules).report();
 }
 
-}  // namespace garnethook::drill
+}  // namespace garnethook::fault_scenario
--- a/src/drill/audit.h
+++ b/src/fault_scenario/audit.h
@@ -8,14 +8,14 @@
 #include <string>
 #include <vector>
 
-namespace garnethook::drill {
+namespace garnethook::fault_scenario {
 
 struct AuditRules {
   std::int64_t deadlineSlack = 20'000;  // rule 1: after the client's deadline, in microseconds
   std::int64_t overlapSlack = 60'000;   // rule 2: an engine may see the end of an attempt later than the next
                                         // engine sees its beginning
   std::int64_t drainGrace = 500'000;    // rule 3: from the list's change to the last new work
-  std::int64_t releaseWithin = 500'000;  // rule 5
+  std::int64_t kvReleaseTimeout = 500'000;  // rule 5
   std::int64_t releaseSlack = 60'000;
 };
 
@@ -29,4 +29,4 @@
 // Events in order of time; see docs/drill.md for their fields. What is not known is passed over.
 AuditReport audit(const std::vector<nlohmann::json>& events, const AuditRules& rules);
 
-}  // namespace garnethook::drill
+}  // namespace garnethook::fault_scenario
--- a/src/drill/clients.cpp
+++ b/src/fault_scenario/clients.cpp
@@ -1,12 +1,12 @@
-#include "drill/clients.h"
+#include "fault_scenario/clients.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "standin/answer.h"
+#include "fake_engine/answer.h"
 
-namespace garnethook::drill {
+namespace garnethook::fault_scenario {
 namespace {
 
 // `tokens` by the stand-ins' count, different for each seed.
@@ -48,18 +48,19 @@
     const auto& classes = owner_.script_.settings;
     const auto index = static_cast<std::size_t>(
         std::find(classes.classNames.begin(), classes.classNames.end(), c.name) - classes.classNames.begin());
-    const Effect effect = classes.routing.settings.classes[index].effect;
+    const Idempotency idempotency = classes.routing.settings.classes[index].idempotency;
     stream_ = channel.call(
         plan.unary ? "/garnethook.v1.Generation/GenerateOnce" : "/garnethook.v1.Generation/Generate",
         request.SerializeAsString(), timeout, *this);
     if (stream_ == 0) return false;
-    owner_.recorder_.note("client.sent", {{"marker", plan.marker},
-                                          {"class", c.name},
-                                          {"effect", effect == Effect::unsafe  ? "unsafe"
-                                                     : effect == Effect::keyed ? "keyed"
-                                                                               : "safe"},
-                                          {"deadline", sentAt_ + timeout},
-                                          {"router", std::to_string(plan.router)}});
+    owner_.recorder_.note("client.sent",
+                          {{"marker", plan.marker},
+                           {"class", c.name},
+                           {"effect", idempotency == Idempotency::nonIdempotent       ? "unsafe"
+                                      : idempotency == Idempotency::idempotentWithKey ? "keyed"
+                                                                                      : "safe"},
+                           {"deadline", sentAt_ + timeout},
+                           {"router", std::to_string(plan.router)}});
     // A client library gives up at its deadline; a little later than the audit's slack here, so that a late
     // answer is seen as one.
     expiry_.start(timeout + 500'000, [this] { stopHere("client.expired"); });
@@ -89,7 +90,7 @@
     expiry_.stop();
     cancel_.stop();
     const auto& c = owner_.script_.load.classes[plan.loadClass];
-    const standin::Answer answer(plan.prompt, c.outputTokens);
+    const fake_engine::Answer answer(plan.prompt, c.outputTokens);
     const bool served = status.code == grpc::Code::ok;
     // What came must be the beginning of the answer; all of it where it is called served.
     const std::string whole = answer.text();
@@ -113,7 +114,7 @@
         const auto at = std::find(settings.classNames.begin(), settings.classNames.end(), c.name);
         const auto index = static_cast<std::size_t>(at - settings.classNames.begin());
         if (index < settings.routing.settings.classes.size() &&
-            firstAt_ - sentAt_ <= settings.routing.settings.classes[index].aim)
+            firstAt_ - sentAt_ <= settings.routing.settings.classes[index].ttftObjective)
           ++owner_.inTime;
       }
     }
@@ -141,7 +142,7 @@
     const auto& name = owner_.script_.load.classes[plan.loadClass].name;
     const auto at = std::find(settings.classNames.begin(), settings.classNames.end(), name);
     return settings.routing.settings.classes[static_cast<std::size_t>(at - settings.classNames.begin())]
-               .effect == Effect::safe;
+               .idempotency == Idempotency::idempotent;
   }
 
   Clients& owner_;
@@ -162,7 +163,7 @@
   bool finishSeen_ = false;
 };
 
-Clients::Clients(net::Loop& loop, const Script& script, standin::Recorder& recorder)
+Clients::Clients(net::Loop& loop, const Script& script, fake_engine::Recorder& recorder)
     : loop_(loop),
       script_(script),
       recorder_(recorder),
@@ -288,4 +289,4 @@
   open_.erase(at);
 }
 
-}  // namespace garnethook::drill
+}  // namespace garnethook::fault_scenario
--- a/src/drill/clients.h
+++ b/src/fault_scenario/clients.h
@@ -9,14 +9,14 @@
 #include <vector>
 
 #include "client/channel.h"
-#include "drill/script.h"
-#include "standin/recorder.h"
+#include "fake_engine/recorder.h"
+#include "fault_scenario/script.h"
 
-namespace garnethook::drill {
+namespace garnethook::fault_scenario {
 
 class Clients {
  public:
-  Clients(net::Loop& loop, const Script& script, standin::Recorder& recorder);
+  Clients(net::Loop& loop, const Script& script, fake_engine::Recorder& recorder);
   ~Clients();
 
   // Where a router listens now; port 0: nowhere.
@@ -55,7 +55,7 @@
 
   net::Loop& loop_;
   const Script& script_;
-  standin::Recorder& recorder_;
+  fake_engine::Recorder& recorder_;
   std::mt19937_64 random_;
   std::vector<Poco::Net::SocketAddress> routers_;
   std::vector<std::vector<std::unique_ptr<client::Channel>>> channels_;
@@ -69,4 +69,4 @@
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
-}  // namespace garnethook::drill
+}  // namespace garnethook::fault_scenario
--- a/src/drill/day_import.cpp
+++ b/src/fault_scenario/day_import.cpp
@@ -1,4 +1,4 @@
-#include "drill/day_import.h"
+#include "fault_scenario/day_import.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <set>
 #include <vector>
 
-namespace garnethook::drill {
+namespace garnethook::fault_scenario {
 namespace {
 
 using nlohmann::json;
@@ -32,7 +32,7 @@
       fleet();
       router();
       load();
-      for (const json& t : need(day_, "troubles", file_.name())) trouble(t);
+      for (const json& t : need(day_, "troubles", file_.name())) error(t);
     } catch (const json::exception& e) { throw config::Error(file_.name() + ":1: (day): " + e.what()); }
     std::string out =
         "// Made from a day of the bench, scaled to one machine: " + std::to_string(options_.seconds) +
@@ -195,7 +195,7 @@
     script_["faults"].push_back(f);
   }
 
-  void trouble(const json& t) {
+  void error(const json& t) {
     const std::string kind = t.value("kind", "");
     const double at = t.value("at", 0.0);
     const double length = t.value("len", 0.0);
@@ -255,4 +255,4 @@
   return Import(*day, options).text();
 }
 
-}  // namespace garnethook::drill
+}  // namespace garnethook::fault_scenario
--- a/src/drill/day_import.h
+++ b/src/fault_scenario/day_import.h
@@ -6,7 +6,7 @@
 
 #include "config/json_file.h"
 
-namespace garnethook::drill {
+namespace garnethook::fault_scenario {
 
 struct ImportOptions {
   double seconds = 15;       // length of the drill's day
@@ -20,4 +20,4 @@
 // Troubles without a counterpart here are told in comments at the script's head.
 std::string importDay(const std::shared_ptr<const config::JsonFile>& day, const ImportOptions& options);
 
-}  // namespace garnethook::drill
+}  // namespace garnethook::fault_scenario
--- a/src/drill/runner.cpp
+++ b/src/fault_scenario/runner.cpp
@@ -1,19 +1,19 @@
-#include "drill/runner.h"
+#include "fault_scenario/runner.h"
 
 #include <algorithm>
 #include <fstream>
 #include <map>
 #include <nlohmann/json.hpp>
 
-#include "drill/clients.h"
+#include "fake_engine/made_vocabulary.h"
+#include "fault_scenario/clients.h"
 #include "server/router_server.h"
-#include "standin/made_vocabulary.h"
 
-namespace garnethook::drill {
+namespace garnethook::fault_scenario {
 namespace {
 
-using standin::Engine;
-using standin::Fleet;
+using fake_engine::Engine;
+using fake_engine::Fleet;
 
 // Source addresses tell the zones apart, so that a cut between zones can be played on loopback: routers of
 // zone i connect from 127.0.(10 + i).1.
@@ -35,10 +35,10 @@
     for (const Fault& f : script_.faults)
       if (f.what == "tokeniser") {
         auto& made = made_[static_cast<std::uint64_t>(f.size)];
-        if (!made) made = standin::madeTokeniser(static_cast<std::uint64_t>(f.size));
+        if (!made) made = fake_engine::madeTokeniser(static_cast<std::uint64_t>(f.size));
       }
     for (const std::uint64_t seed : script_.madeTokenisers)
-      std::ofstream(vocabularyPath(seed), std::ios::binary) << standin::madeRanks(seed);
+      std::ofstream(vocabularyPath(seed), std::ios::binary) << fake_engine::madeRanks(seed);
     for (std::size_t i = 0; i < routers_.size(); ++i) startRouter(i);
   }
 
@@ -75,7 +75,7 @@
       server::TokeniserFile f{{"made", std::to_string(seed)}, vocabularyPath(seed), {}};
       f.options.format = tokeniser::Format::ranks;
       f.options.pattern = "cl100k_base";
-      f.options.specialTokens = {{"<|end|>", standin::kMadeSpecial}};
+      f.options.specialTokens = {{"<|end|>", fake_engine::kMadeSpecial}};
       settings.counting.files.push_back(std::move(f));
     }
     const std::string name = "router-" + std::to_string(i) + "." + std::to_string(epochs_[i]++);
@@ -218,14 +218,14 @@
   const RunOptions& options_;
   std::string listPath_;
   net::Loop loop_;
-  standin::Recorder recorder_;
+  fake_engine::Recorder recorder_;
   Fleet fleet_;
   std::vector<std::unique_ptr<server::RouterServer>> routers_;
   std::vector<std::uint64_t> epochs_;
   std::map<std::size_t, int> ports_;
   Clients clients_;
   timing::Alarm watch_;
-  std::map<std::uint64_t, std::shared_ptr<const standin::OwnTokeniser>> made_;
+  std::map<std::uint64_t, std::shared_ptr<const fake_engine::OwnTokeniser>> made_;
   Micros until_ = 0;
   Micros doneSince_ = 0;
   bool timedOut_ = false;
@@ -258,4 +258,4 @@
   out << (r.passed ? "PASSED" : "FAILED") << '\n';
 }
 
-}  // namespace garnethook::drill
+}  // namespace garnethook::fault_scenario
--- a/src/drill/runner.h
+++ b/src/fault_scenario/runner.h
@@ -6,10 +6,10 @@
 #include <ostream>
 #include <string>
 
-#include "drill/audit.h"
-#include "drill/script.h"
+#include "fault_scenario/audit.h"
+#include "fault_scenario/script.h"
 
-namespace garnethook::drill {
+namespace garnethook::fault_scenario {
 
 struct Result {
   AuditReport audit;
@@ -35,4 +35,4 @@
 Result run(const Script& script, const RunOptions& options);
 void print(const Result& result, std::ostream& out);
 
-}  // namespace garnethook::drill
+}  // namespace garnethook::fault_scenario
--- a/src/drill/script.cpp
+++ b/src/fault_scenario/script.cpp
@@ -1,8 +1,8 @@
-#include "drill/script.h"
+#include "fault_scenario/script.h"
 
 #include <algorithm>
 
-namespace garnethook::drill {
+namespace garnethook::fault_scenario {
 namespace {
 
 using config::Node;
@@ -59,7 +59,7 @@
         s.settings.names.zones.end())
       root.failAt("router_zones", "\"" + zone + "\" is not among the zones");
   s.settings.routing.settings.routers = s.routerZones.size();
-  s.fleet = standin::readFleet(root, "fleet");
+  s.fleet = fake_engine::readFleet(root, "fleet");
   s.listDelay = root.micros("list_delay_ms", 200, 0, 600'000);
   s.settle = root.micros("settle_ms", 3000, 0, 600'000);
   s.most = root.micros("most_ms", 120'000, 1, 3'600'000);
@@ -91,11 +91,11 @@
   s.rules.deadlineSlack = rules.micros("deadline_slack_ms", 20, 0, 60'000);
   s.rules.overlapSlack = rules.micros("overlap_slack_ms", 60, 0, 60'000);
   s.rules.drainGrace = rules.micros("drain_grace_ms", 2000, 0, 60'000);
-  s.rules.releaseWithin = s.settings.routing.settings.releaseWithin;
+  s.rules.kvReleaseTimeout = s.settings.routing.settings.kvReleaseTimeout;
   s.rules.releaseSlack = rules.micros("release_slack_ms", 60, 0, 60'000);
   rules.done();
   root.done();
   return s;
 }
 
-}  // namespace garnethook::drill
+}  // namespace garnethook::fault_scenario
--- a/src/drill/script.h
+++ b/src/fault_scenario/script.h
@@ -6,11 +6,11 @@
 #include <vector>
 
 #include "config/json_file.h"
-#include "drill/audit.h"
+#include "fake_engine/fleet.h"
+#include "fault_scenario/audit.h"
 #include "server/settings.h"
-#include "standin/fleet.h"
 
-namespace garnethook::drill {
+namespace garnethook::fault_scenario {
 
 struct LoadClass {
   std::string name;
@@ -53,7 +53,7 @@
   std::uint64_t seed = 1;
   server::RouterSettings settings;
   std::vector<std::string> routerZones;
-  std::vector<standin::EngineOptions> fleet;
+  std::vector<fake_engine::EngineOptions> fleet;
   Load load;
   std::vector<Fault> faults;
   Micros listDelay = 200'000;
@@ -67,4 +67,4 @@
 // Throws config::Error. `listPath`: where the fleet's list is written.
 Script readScript(const std::shared_ptr<const config::JsonFile>& file, const std::string& listPath);
 
-}  // namespace garnethook::drill
+}  // namespace garnethook::fault_scenario
--- a/src/grpc/message.cpp
+++ b/src/grpc/message.cpp
@@ -36,8 +36,8 @@
   out.append(message);
 }
 
-Status MessageReader::receive(std::string_view octets, const Handler& handler) {
-  buffer_.append(octets);
+Status MessageReader::receive(std::string_view bytes, const Handler& handler) {
+  buffer_.append(bytes);
   std::size_t at = 0;
   Status status;
   while (buffer_.size() - at >= kPrefix) {
@@ -117,11 +117,11 @@
   return out;
 }
 
-std::string base64Encode(std::string_view octets) {
+std::string base64Encode(std::string_view bytes) {
   std::string out;
   std::uint32_t bits = 0;
   unsigned held = 0;
-  for (const char c : octets) {
+  for (const char c : bytes) {
     bits = bits << 8 | static_cast<std::uint8_t>(c);
     for (held += 8; held >= 6; held -= 6) out.push_back(kBase64[bits >> (held - 6) & 63]);
   }
--- a/src/grpc/message.h
+++ b/src/grpc/message.h
@@ -44,16 +44,16 @@
 // Appends one message with its prefix (not compressed).
 void frame(std::string_view message, std::string& out);
 
-// Cuts a stream of octets into messages.
+// Cuts a stream of bytes into messages.
 class MessageReader {
  public:
   using Handler = std::function<void(std::string_view message)>;
-  // `most`: octets of one message.
+  // `most`: bytes of one message.
   explicit MessageReader(std::size_t most) : most_(most) {}
   // Calls `handler` for each whole message; ok, or the status that ends the call: resourceExhausted for a
   // message beyond the bound, unimplemented for a compressed one (only identity is announced), internal for a
   // flag that the specification does not know.
-  Status receive(std::string_view octets, const Handler& handler);
+  Status receive(std::string_view bytes, const Handler& handler);
   bool midway() const { return !buffer_.empty(); }
   std::size_t held() const { return buffer_.capacity(); }
 
@@ -73,7 +73,7 @@
 std::string percentDecode(std::string_view text);
 
 // -bin metadata: base64, with or without padding on the way in, without on the way out.
-std::string base64Encode(std::string_view octets);
+std::string base64Encode(std::string_view bytes);
 std::optional<std::string> base64Decode(std::string_view text);
 
 // The trailers of a status; `details` is the serialised google.rpc.Status, or empty.
--- a/src/front/call.h
+++ b/src/grpc_frontend/call.h
@@ -10,16 +10,16 @@
 #include "grpc/message.h"
 #include "routing/router.h"
 
-namespace garnethook::front {
+namespace garnethook::grpc_frontend {
 
 // What a call may send; owned by its connection.
 class CallOutput {
  public:
   virtual ~CallOutput() = default;
-  virtual void message(std::string_view octets) = 0;
+  virtual void message(std::string_view bytes) = 0;
   // The one status. `now`: data that waits for the peer's window is given up for it.
   virtual void finish(const grpc::Status& status, std::string_view details, bool now) = 0;
-  virtual std::size_t waiting() const = 0;  // octets of the call not yet sent
+  virtual std::size_t waiting() const = 0;  // bytes of the call not yet sent
 };
 
 class Call {
@@ -37,6 +37,6 @@
   grpc::Status status;
   std::string details;
 };
-Told tell(const routing::Ending& ending);
+Told tell(const routing::Completion& ending);
 
-}  // namespace garnethook::front
+}  // namespace garnethook::grpc_frontend
--- a/src/front/generate_call.cpp
+++ b/src/grpc_frontend/generate_call.cpp
@@ -1,32 +1,33 @@
-#include "front/generate_call.h"
+#include "grpc_frontend/generate_call.h"
 
 #include <google/protobuf/duration.pb.h>
 
 #include "google/rpc/status.pb.h"
 
-namespace garnethook::front {
+namespace garnethook::grpc_frontend {
 namespace {
 
-using routing::Cause;
-using routing::Final;
-
-grpc::Code codeOf(const routing::Ending& e) {
-  if (e.final == Final::served) return grpc::Code::ok;
-  if (e.final == Final::refused)
-    return e.cause == Cause::tooMany || e.cause == Cause::busy ? grpc::Code::resourceExhausted
-                                                               : grpc::Code::unavailable;
-  switch (e.cause) {
-    case Cause::deadline: return grpc::Code::deadlineExceeded;
-    case Cause::badRequest: return grpc::Code::invalidArgument;
-    case Cause::streamBroken:
-    case Cause::streamStalled:
-    case Cause::stopping: return grpc::Code::aborted;
-    case Cause::slowClient: return grpc::Code::resourceExhausted;
+using routing::Disposition;
+using routing::FailureReason;
+
+grpc::Code codeOf(const routing::Completion& e) {
+  if (e.disposition == Disposition::completed) return grpc::Code::ok;
+  if (e.disposition == Disposition::rejected)
+    return e.failureReason == FailureReason::tooManyRequests || e.failureReason == FailureReason::overloaded
+               ? grpc::Code::resourceExhausted
+               : grpc::Code::unavailable;
+  switch (e.failureReason) {
+    case FailureReason::deadline: return grpc::Code::deadlineExceeded;
+    case FailureReason::badRequest: return grpc::Code::invalidArgument;
+    case FailureReason::streamBroken:
+    case FailureReason::streamStalled:
+    case FailureReason::shuttingDown: return grpc::Code::aborted;
+    case FailureReason::slowClient: return grpc::Code::resourceExhausted;
     default: return grpc::Code::internal;
   }
 }
 
-void fill(v1::Finish& out, const routing::Ending& ending) {
+void fill(v1::Finish& out, const routing::Completion& ending) {
   out.set_reason(ending.reason == routing::FinishReason::length ? v1::Finish::LENGTH : v1::Finish::STOP);
   out.mutable_usage()->set_prompt_tokens(ending.usage.promptTokens);
   out.mutable_usage()->set_cached_tokens(ending.usage.cachedTokens);
@@ -36,22 +37,23 @@
 
 }  // namespace
 
-Told tell(const routing::Ending& ending) {
+Told tell(const routing::Completion& ending) {
   Told out;
   out.status.code = codeOf(ending);
-  if (ending.final == Final::served) return out;
-  out.status.message = std::string(ending.final == Final::refused ? "refused: " : "failed: ") + ending.text;
+  if (ending.disposition == Disposition::completed) return out;
+  out.status.message =
+      std::string(ending.disposition == Disposition::rejected ? "refused: " : "failed: ") + ending.text;
   google::rpc::Status details;
   details.set_code(static_cast<int>(out.status.code));
   details.set_message(out.status.message);
-  if (ending.final == Final::refused) {
+  if (ending.disposition == Disposition::rejected) {
     const std::int64_t ms = std::max<std::int64_t>(1, (ending.retryAfter + 999) / 1000);
     out.status.retryAfterMs = ms;
     google::rpc::RetryInfo retry;
     retry.mutable_retry_delay()->set_seconds(ms / 1000);
     retry.mutable_retry_delay()->set_nanos(static_cast<std::int32_t>(ms % 1000 * 1'000'000));
     details.add_details()->PackFrom(retry);
-  } else if (ending.cause != Cause::badRequest) {
+  } else if (ending.failureReason != FailureReason::badRequest) {
     // It may have run: a client library must not repeat it by itself.
     out.status.retryAfterMs = -1;
   }
@@ -88,24 +90,24 @@
 void GenerateCall::onRequestEnd() {
   if (over_) return;
   if (!request_) return refuseCall(grpc::Code::unimplemented, "a request message is missing");
-  std::string trouble;
-  auto ask = takeIn(*request_, timeout_, intake_, trouble);
+  std::string error;
+  auto request = takeIn(*request_, timeout_, intake_, error);
   request_->Clear();
-  if (!ask) return refuseCall(grpc::Code::invalidArgument, trouble);
-  const auto take = [this](routing::Ask counted) {
+  if (!request) return refuseCall(grpc::Code::invalidArgument, error);
+  const auto take = [this](routing::Request counted) {
     ticket_ = 0;
     taken_ = true;
-    id_ = router_.take(std::move(counted), *this);
+    id_ = router_.accept(std::move(counted), *this);
   };
-  if (counting_ == nullptr || !ask->prompt) return take(std::move(*ask));
-  ticket_ = counting_->count(std::move(*ask), take);
+  if (counting_ == nullptr || !request->prompt) return take(std::move(*request));
+  ticket_ = counting_->count(std::move(*request), take);
 }
 
 void GenerateCall::onGone() {
   if (std::exchange(over_, true)) return;
   if (ticket_ != 0) counting_->cancel(std::exchange(ticket_, 0));
   if (!taken_) return;
-  router_.leave(id_);
+  router_.cancel(id_);
 }
 
 void GenerateCall::onTokens(const routing::Tokens& tokens) {
@@ -125,13 +127,13 @@
   event.SerializeToString(&buffer_);
   output_.message(buffer_);
   if (output_.waiting() > waitingMost_)
-    router_.giveUp(id_, Cause::slowClient, "too much of the answer waits for the client");
+    router_.abort(id_, FailureReason::slowClient, "too much of the answer waits for the client");
 }
 
-void GenerateCall::onEnd(const routing::Ending& ending) {
+void GenerateCall::onCompletion(const routing::Completion& ending) {
   if (std::exchange(over_, true)) return;
   const Told told = tell(ending);
-  if (ending.final == Final::served) {
+  if (ending.disposition == Disposition::completed) {
     if (streamed_) {
       v1::GenerateEvent event;
       fill(*event.mutable_finish(), ending);
@@ -141,7 +143,7 @@
       output_.message(whole_.SerializeAsString());
     }
   }
-  output_.finish(told.status, told.details, ending.final != Final::served);
+  output_.finish(told.status, told.details, ending.disposition != Disposition::completed);
 }
 
-}  // namespace garnethook::front
+}  // namespace garnethook::grpc_frontend
--- a/src/front/generate_call.h
+++ b/src/grpc_frontend/generate_call.h
@@ -1,16 +1,16 @@
 // garnethook.v1.Generation: the streamed and the unary call.
 #pragma once
 
-#include "front/call.h"
-#include "front/intake.h"
-#include "front/prompt_counting.h"
+#include "grpc_frontend/call.h"
+#include "grpc_frontend/prompt_counting.h"
+#include "grpc_frontend/request_decoder.h"
 
-namespace garnethook::front {
+namespace garnethook::grpc_frontend {
 
 class GenerateCall final : public Call, private routing::Client {
  public:
   // `counting`: none, where prompts are taken as estimated.
-  // `waitingMost`: octets of the answer that may wait for the client before it is given up.
+  // `waitingMost`: bytes of the answer that may wait for the client before it is given up.
   GenerateCall(bool streamed, routing::Router& router, PromptCounting* counting, const IntakeOptions& intake,
                std::size_t waitingMost, std::optional<Micros> timeout, CallOutput& output);
   ~GenerateCall() override;
@@ -20,7 +20,7 @@
 
  private:
   void onTokens(const routing::Tokens& tokens) override;
-  void onEnd(const routing::Ending& ending) override;
+  void onCompletion(const routing::Completion& ending) override;
   void refuseCall(grpc::Code code, const std::string& text);
 
   bool streamed_;
@@ -39,4 +39,4 @@
   std::string buffer_;
 };
 
-}  // namespace garnethook::front
+}  // namespace garnethook::grpc_frontend
--- a/src/front/grpc_server.cpp
+++ b/src/grpc_frontend/grpc_server.cpp
@@ -1,11 +1,11 @@
-#include "front/grpc_server.h"
+#include "grpc_frontend/grpc_server.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "front/generate_call.h"
+#include "grpc_frontend/generate_call.h"
 
-namespace garnethook::front {
+namespace garnethook::grpc_frontend {
 namespace {
 
 using http2::StreamId;
@@ -49,11 +49,11 @@
   struct Slot final : CallOutput {
     Slot(Connection& c, StreamId i)
         : connection(c), id(i), reader(c.owner_.options_.messageBytes), late(c.owner_.loop_) {}
-    void message(std::string_view octets) override {
+    void message(std::string_view bytes) override {
       if (finished) return;
       head();
       std::string framed;
-      grpc::frame(octets, framed);
+      grpc::frame(bytes, framed);
       connection.codec_.sendData(id, framed, false);
       connection.flushLater();
     }
@@ -100,9 +100,9 @@
     bool requestEnded = false;
   };
 
-  void onOctets(std::string_view octets) override {
+  void onBytes(std::string_view bytes) override {
     const bool good = codec_.receive(owner_.loop_.now(),
-                                     {reinterpret_cast<const std::uint8_t*>(octets.data()), octets.size()});
+                                     {reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()});
     if (!good) return end();
     if (!prefaced_) {
       prefaced_ = true;
@@ -207,7 +207,7 @@
     flushLater();
   }
 
-  // Octets of one turn of the loop go out together.
+  // Bytes of one turn of the loop go out together.
   void flushLater() {
     if (std::exchange(flushing_, true)) return;
     owner_.loop_.post([this, alive = std::weak_ptr<bool>(alive_)] {
@@ -285,7 +285,7 @@
 void GrpcServer::closed(Connection& connection) {
   const auto at = connections_.find(&connection);
   if (at == connections_.end()) return;
-  // Kept while the last octets go out; its stream closes itself within the limit.
+  // Kept while the last bytes go out; its stream closes itself within the limit.
   loop_.after(options_.closeWithin + 100'000, [c = std::move(at->second)] {});
   connections_.erase(at);
 }
@@ -308,4 +308,4 @@
   return n;
 }
 
-}  // namespace garnethook::front
+}  // namespace garnethook::grpc_frontend
--- a/src/front/grpc_server.h
+++ b/src/grpc_frontend/grpc_server.h
@@ -6,13 +6,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "front/intake.h"
-#include "front/prompt_counting.h"
-#include "front/service_calls.h"
+#include "grpc_frontend/prompt_counting.h"
+#include "grpc_frontend/request_decoder.h"
+#include "grpc_frontend/service_calls.h"
 #include "http2/connection.h"
 #include "net/stream.h"
 
-namespace garnethook::front {
+namespace garnethook::grpc_frontend {
 
 struct GrpcOptions {
   http2::Limits http2;
@@ -60,4 +60,4 @@
   net::Listener listener_;
 };
 
-}  // namespace garnethook::front
+}  // namespace garnethook::grpc_frontend
--- a/src/front/intake.h
+++ b/src/grpc_frontend/request_decoder.h
@@ -9,7 +9,7 @@
 #include "garnethook/v1/generate.pb.h"
 #include "routing/types.h"
 
-namespace garnethook::front {
+namespace garnethook::grpc_frontend {
 
 struct IntakeOptions {
   std::vector<std::string> classNames;
@@ -23,11 +23,11 @@
 
 // Unicode code points of UTF-8 text.
 std::size_t characters(std::string_view text);
-// Octets of the first `characters` code points; all, where there are fewer.
-std::size_t octetsOf(std::string_view text, std::size_t characters);
+// Bytes of the first `characters` code points; all, where there are fewer.
+std::size_t bytesOf(std::string_view text, std::size_t characters);
 
 // The request as the core takes it; where it can't be taken, none, and `trouble` names the field.
-std::optional<routing::Ask> takeIn(const v1::GenerateRequest& request, std::optional<Micros> timeout,
-                                   const IntakeOptions& options, std::string& trouble);
+std::optional<routing::Request> takeIn(const v1::GenerateRequest& request, std::optional<Micros> timeout,
+                                       const IntakeOptions& options, std::string& error);
 
-}  // namespace garnethook::front
+}  // namespace garnethook::grpc_frontend
--- a/src/front/service_calls.cpp
+++ b/src/grpc_frontend/service_calls.cpp
@@ -1,4 +1,4 @@
-#include "front/service_calls.h"
+#include "grpc_frontend/service_calls.h"
 
 #include <google/protobuf/descriptor.h>
 #include <google/protobuf/descriptor.pb.h>
@@ -11,7 +11,7 @@
 #include "grpc/reflection/v1/reflection.pb.h"
 #include "grpc/reflection/v1alpha/reflection.pb.h"
 
-namespace garnethook::front {
+namespace garnethook::grpc_frontend {
 namespace {
 
 namespace health = ::grpc::health::v1;
@@ -183,4 +183,4 @@
 }
 std::unique_ptr<Call> reflection(CallOutput& output) { return std::make_unique<ReflectionCall>(output); }
 
-}  // namespace garnethook::front
+}  // namespace garnethook::grpc_frontend
--- a/src/front/service_calls.h
+++ b/src/grpc_frontend/service_calls.h
@@ -4,9 +4,9 @@
 #include <functional>
 #include <set>
 
-#include "front/call.h"
+#include "grpc_frontend/call.h"
 
-namespace garnethook::front {
+namespace garnethook::grpc_frontend {
 
 // Health of the process ("") and of garnethook.v1.Generation, and those who watch it.
 class HealthState {
@@ -27,4 +27,4 @@
 // Either version: their messages are the same on the wire.
 std::unique_ptr<Call> reflection(CallOutput& output);
 
-}  // namespace garnethook::front
+}  // namespace garnethook::grpc_frontend
--- a/src/http1/event_stream.h
+++ b/src/http1/event_stream.h
@@ -15,13 +15,13 @@
     std::string data;
   };
   using Handler = std::function<void(const Event&)>;
-  // `most`: octets of one event, its unfinished line included.
+  // `most`: bytes of one event, its unfinished line included.
   EventStreamParser(std::size_t most, Handler handler) : most_(most), handler_(std::move(handler)) {}
 
   // Comment lines, without their colon; passed over where nobody listens.
   void onComment(std::function<void(std::string_view)> handler) { comment_ = std::move(handler); }
   // False: an event went beyond the bound; nothing more is taken.
-  bool receive(std::string_view octets);
+  bool receive(std::string_view bytes);
   // An event without the empty line that ends it is dropped, as the standard says.
   // The stream ends in the middle of an event's lines; an unfinished comment is none.
   bool cutShort() const { return hasData_ || (!line_.empty() && line_.front() != ':'); }
--- a/src/http1/message.cpp
+++ b/src/http1/message.cpp
@@ -129,10 +129,10 @@
   return true;
 }
 
-bool MessageParser::deliver(std::string_view octets) {
-  bodySeen_ += octets.size();
+bool MessageParser::deliver(std::string_view bytes) {
+  bodySeen_ += bytes.size();
   if (bodySeen_ > limits_.bodyBytes) return fail("body too large");
-  if (!octets.empty()) events_.onBody(octets);
+  if (!bytes.empty()) events_.onBody(bytes);
   return true;
 }
 
--- a/src/http1/message.h
+++ b/src/http1/message.h
@@ -38,7 +38,7 @@
  public:
   virtual ~MessageEvents() = default;
   virtual void onHead(const Head& head) = 0;
-  virtual void onBody(std::string_view octets) = 0;
+  virtual void onBody(std::string_view bytes) = 0;
   // The message is whole. The parser is ready for the next one.
   virtual void onEnd() = 0;
 };
@@ -49,17 +49,17 @@
   MessageParser(Kind kind, const MessageLimits& limits, MessageEvents& events)
       : kind_(kind), limits_(limits), events_(events) {}
 
-  // Takes octets. False: the peer broke the protocol or a limit, error() says how; nothing more is taken.
+  // Takes bytes. False: the peer broke the protocol or a limit, error() says how; nothing more is taken.
   // An event handler may call stop(); what follows is then left alone.
-  bool receive(std::string_view octets);
+  bool receive(std::string_view bytes);
   // The peer closed its side. False where a message was cut short; true ends a body that lasts until then.
   bool close();
   void stop() { stopped_ = true; }
-  // Octets at the end of the last piece that were not taken, as stop() came before them. Within onEnd():
+  // Bytes at the end of the last piece that were not taken, as stop() came before them. Within onEnd():
   // those behind the message.
   std::size_t untaken() const { return untaken_; }
   void resume() { stopped_ = false; }
-  // Whether octets of an unfinished message were taken.
+  // Whether bytes of an unfinished message were taken.
   bool midway() const { return state_ != State::start || !line_.empty(); }
   // A response to HEAD has no body (RFC 9112 section 6.3).
   void expectNoBody() { noBody_ = true; }
@@ -73,7 +73,7 @@
   bool fieldLine();
   bool headEnd();
   bool chunkSizeLine();
-  bool deliver(std::string_view octets);
+  bool deliver(std::string_view bytes);
   void finish();
 
   Kind kind_;
--- a/src/http2/connection.cpp
+++ b/src/http2/connection.cpp
@@ -108,15 +108,15 @@
   return ++floods_[i] <= most[i];
 }
 
-bool Connection::control(std::size_t octets) {
-  controlQueued_ = std::min(controlQueued_ + octets, out_.size() - outAt_ + octets);
+bool Connection::control(std::size_t bytes) {
+  controlQueued_ = std::min(controlQueued_ + bytes, out_.size() - outAt_ + bytes);
   return controlQueued_ <= limits_.controlBytes;
 }
 
-bool Connection::receive(std::int64_t nowMicros, std::span<const std::uint8_t> octets) {
+bool Connection::receive(std::int64_t nowMicros, std::span<const std::uint8_t> bytes) {
   if (over_) return false;
   now_ = std::max(now_, nowMicros);
-  in_.append(reinterpret_cast<const char*>(octets.data()), octets.size());
+  in_.append(reinterpret_cast<const char*>(bytes.data()), bytes.size());
   if (!takePreface()) return false;
   std::size_t at = 0;
   if (prefaceAt_ < kPreface.size()) return true;
@@ -520,7 +520,7 @@
   const auto at = streams_.find(id);
   if (at == streams_.end()) return;
   queuedTotal_ -= at->second.pending.size() - at->second.pendingAt;
-  // Octets that the application will not consume any more belong to the connection's window again.
+  // Bytes that the application will not consume any more belong to the connection's window again.
   const auto open = static_cast<std::int64_t>(limits_.streamWindow) - at->second.receiveWindow -
                     static_cast<std::int64_t>(at->second.unreturned);
   if (open > 0) returnConnectionWindow(static_cast<std::size_t>(open));
@@ -540,27 +540,27 @@
 
 void Connection::ping() { putFrame(kPing, 0, 0, "garnethk"); }
 
-void Connection::consumed(StreamId id, std::size_t octets) {
+void Connection::consumed(StreamId id, std::size_t bytes) {
   const auto at = streams_.find(id);
   if (over_ || at == streams_.end()) return;  // erase() gave back what was left
-  returnConnectionWindow(octets);
+  returnConnectionWindow(bytes);
   Stream& s = at->second;
-  s.unreturned += octets;
+  s.unreturned += bytes;
   if (s.unreturned < limits_.streamWindow / 2 || s.remoteEnd) return;
   s.receiveWindow += static_cast<std::int64_t>(s.unreturned);
   putWindowUpdate(id, std::exchange(s.unreturned, 0));
 }
 
-void Connection::returnConnectionWindow(std::size_t octets) {
-  unreturned_ += octets;
+void Connection::returnConnectionWindow(std::size_t bytes) {
+  unreturned_ += bytes;
   if (over_ || unreturned_ < limits_.connectionWindow / 2) return;
   receiveWindow_ += static_cast<std::int64_t>(unreturned_);
   putWindowUpdate(0, std::exchange(unreturned_, 0));
 }
 
-void Connection::putWindowUpdate(StreamId id, std::size_t octets) {
+void Connection::putWindowUpdate(StreamId id, std::size_t bytes) {
   std::string payload;
-  put32(payload, static_cast<std::uint32_t>(octets));
+  put32(payload, static_cast<std::uint32_t>(bytes));
   putFrame(kWindowUpdate, 0, id, payload);
 }
 
@@ -640,8 +640,8 @@
   pumping_ = false;
 }
 
-void Connection::sent(std::size_t octets) {
-  outAt_ += octets;
+void Connection::sent(std::size_t bytes) {
+  outAt_ += bytes;
   if (outAt_ == out_.size()) {
     out_.clear();
     outAt_ = 0;
--- a/src/http2/connection.h
+++ b/src/http2/connection.h
@@ -1,4 +1,4 @@
-// One HTTP/2 connection (RFC 9113), either side of it, free of I/O and clocks: octets in, events out, octets
+// One HTTP/2 connection (RFC 9113), either side of it, free of I/O and clocks: bytes in, events out, bytes
 // to be sent collected. Cleartext with prior knowledge (section 3.3) or below TLS: the caller decides.
 //
 // Bounds: everything that a peer may make this side keep is bounded by Limits; a peer that goes beyond gets
@@ -39,20 +39,20 @@
 
 struct Limits {
   std::uint32_t streams = 256;               // concurrent ones that the peer may open
-  std::uint32_t streamWindow = 65'535;       // octets a peer may send on a stream before it is consumed
+  std::uint32_t streamWindow = 65'535;       // bytes a peer may send on a stream before it is consumed
   std::uint32_t connectionWindow = 1 << 20;  // and on all streams together
   std::uint32_t frame = 16'384;              // largest frame taken
   HpackLimits headers;
-  std::size_t headerBlock = 64 * 1024;  // octets of one block over its CONTINUATIONs
+  std::size_t headerBlock = 64 * 1024;  // bytes of one block over its CONTINUATIONs
   unsigned continuations = 16;          // frames of one block
   // A second's worth of each; more ends the connection with ENHANCE_YOUR_CALM.
   unsigned resets = 200;  // streams the peer opened and reset (rapid reset), or got reset by its errors
   unsigned pings = 100;
   unsigned settings = 20;
-  unsigned emptyFrames = 200;  // DATA without octets or end, and PRIORITY
+  unsigned emptyFrames = 200;  // DATA without bytes or end, and PRIORITY
   unsigned windowUpdates = 20'000;
   std::size_t controlBytes = 64 * 1024;  // unsent answers to the peer's own control frames
-  std::size_t sendAhead = 256 * 1024;    // octets framed ahead of the socket
+  std::size_t sendAhead = 256 * 1024;    // bytes framed ahead of the socket
 };
 
 class ConnectionEvents {
@@ -60,11 +60,11 @@
   virtual ~ConnectionEvents() = default;
   // The first header block of a stream, or its trailers.
   virtual void onHeaders(StreamId id, Headers headers, bool trailers, bool end) = 0;
-  // To be answered by Connection::consumed once the octets are dealt with.
+  // To be answered by Connection::consumed once the bytes are dealt with.
   virtual void onData(StreamId id, std::span<const std::uint8_t> data, bool end) = 0;
   // The stream was ended by either side's RST_STREAM; nothing more comes of it.
   virtual void onReset(StreamId id, ErrorCode code) = 0;
-  // Queued octets of the stream went out; `left` are still queued.
+  // Queued bytes of the stream went out; `left` are still queued.
   virtual void onSent(StreamId id, std::size_t left) = 0;
   // The peer opens no more streams; those of ours above `last` were not processed.
   virtual void onGoAway(StreamId last, ErrorCode code) = 0;
@@ -74,10 +74,10 @@
  public:
   Connection(Side side, const Limits& limits, ConnectionEvents& events);
 
-  // Takes octets from the peer; `nowMicros` never goes back and only paces the flood limits. False: the
+  // Takes bytes from the peer; `nowMicros` never goes back and only paces the flood limits. False: the
   // connection is over, send what output() holds (a GOAWAY) and close. Events may call back in here, but
   // not receive() itself.
-  bool receive(std::int64_t nowMicros, std::span<const std::uint8_t> octets);
+  bool receive(std::int64_t nowMicros, std::span<const std::uint8_t> bytes);
 
   // Opens a stream (client side). 0: not now (too many streams, or going away).
   StreamId open(const Headers& headers, bool end);
@@ -89,19 +89,19 @@
   void reset(StreamId id, ErrorCode code);
   // Tells the peer that no stream beyond those seen is processed.
   void goAway(ErrorCode code, std::string_view debug = {});
-  // Octets of a stream's data that were dealt with: opens the windows again.
-  void consumed(StreamId id, std::size_t octets);
+  // Bytes of a stream's data that were dealt with: opens the windows again.
+  void consumed(StreamId id, std::size_t bytes);
   void ping();
 
-  // Octets to be sent. sent(n) drops the first n and frames more from the queues.
+  // Bytes to be sent. sent(n) drops the first n and frames more from the queues.
   std::string_view output() const { return std::string_view(out_).substr(outAt_); }
-  void sent(std::size_t octets);
+  void sent(std::size_t bytes);
 
   bool over() const { return over_; }
   bool goingAway() const { return goingAway_; }
   bool has(StreamId id) const { return streams_.contains(id); }
   std::size_t openStreams() const { return streams_.size(); }
-  std::size_t queued(StreamId id) const;  // octets of data that wait for the peer's window
+  std::size_t queued(StreamId id) const;  // bytes of data that wait for the peer's window
   std::size_t queuedTotal() const { return queuedTotal_; }
   ErrorCode error() const { return error_; }
   std::string_view errorText() const { return errorText_; }
@@ -110,7 +110,7 @@
   struct Stream {
     std::int64_t sendWindow = 0;
     std::int64_t receiveWindow = 0;
-    std::size_t unreturned = 0;  // consumed octets whose window has not been given back yet
+    std::size_t unreturned = 0;  // consumed bytes whose window has not been given back yet
     std::string pending;
     std::size_t pendingAt = 0;
     Headers trailers;
@@ -150,14 +150,14 @@
   bool wellFormed(const Headers& headers, bool trailers, Stream& stream) const;
   void putFrame(std::uint8_t type, std::uint8_t flags, StreamId id, std::string_view payload);
   void putBlock(StreamId id, const Headers& headers, bool end);
-  void putWindowUpdate(StreamId id, std::size_t octets);
+  void putWindowUpdate(StreamId id, std::size_t bytes);
   void finishSend(StreamId id, Stream& s);
-  void returnConnectionWindow(std::size_t octets);
+  void returnConnectionWindow(std::size_t bytes);
   void makeReady(StreamId id, Stream& s);
   void pump();
   void erase(StreamId id);
   void rememberReset(StreamId id);
-  bool control(std::size_t octets);
+  bool control(std::size_t bytes);
 
   Side side_;
   Limits limits_;
--- a/src/http2/hpack.cpp
+++ b/src/http2/hpack.cpp
@@ -115,9 +115,9 @@
     for (unsigned shift = 0;; shift += 7) {
       if (done()) return HpackError::truncated;
       if (shift > 21) return HpackError::integer;  // no bound here is anywhere near 2^28
-      const std::uint8_t octet = in_[at_++];
-      value += static_cast<std::size_t>(octet & 127U) << shift;
-      if ((octet & 128U) == 0) return HpackError::none;
+      const std::uint8_t byte = in_[at_++];
+      value += static_cast<std::size_t>(byte & 127U) << shift;
+      if ((byte & 128U) == 0) return HpackError::none;
     }
   }
 
@@ -133,7 +133,7 @@
       out.assign(raw.begin(), raw.end());
       return HpackError::none;
     }
-    // A Huffman string is at most 8/5 of its octets; the block itself is bounded by the connection.
+    // A Huffman string is at most 8/5 of its bytes; the block itself is bounded by the connection.
     return huffmanDecode(raw, out, longest_) ? HpackError::none : HpackError::huffman;
   }
 
--- a/src/http2/hpack.h
+++ b/src/http2/hpack.h
@@ -25,13 +25,13 @@
 
 // Appends the Huffman form of `text` (RFC 7541 section 5.2, appendix B) to `out`.
 void huffmanEncode(std::string_view text, std::string& out);
-// Octets that the Huffman form of `text` takes.
+// Bytes that the Huffman form of `text` takes.
 std::size_t huffmanLength(std::string_view text);
 // Appends the decoded text to `out`. False: EOS inside, padding longer than 7 bits or not of ones, or more
-// than `most` octets decoded.
+// than `most` bytes decoded.
 bool huffmanDecode(std::span<const std::uint8_t> in, std::string& out, std::size_t most);
 
-// The dynamic table (RFC 7541 section 2.3.2): newest first, evicted from the end; sizes in octets as in
+// The dynamic table (RFC 7541 section 2.3.2): newest first, evicted from the end; sizes in bytes as in
 // section 4.1 (name + value + 32).
 class DynamicTable {
  public:
@@ -75,7 +75,7 @@
 
 class HpackEncoder {
  public:
-  // The peer's SETTINGS_HEADER_TABLE_SIZE; never more than 4096 octets are used.
+  // The peer's SETTINGS_HEADER_TABLE_SIZE; never more than 4096 bytes are used.
   void setPeerTableSize(std::size_t bytes);
   // Appends one header block. Names must be in lower case. `secret` headers (authorization, cookie) are sent
   // as never indexed (RFC 7541 section 7.1.3).
--- a/src/http2/huffman.cpp
+++ b/src/http2/huffman.cpp
@@ -103,9 +103,9 @@
   std::uint32_t value = 0;
   unsigned length = 0;
   std::size_t written = 0;
-  for (const std::uint8_t octet : in) {
+  for (const std::uint8_t byte : in) {
     for (int bit = 7; bit >= 0; --bit) {
-      value = value << 1 | (octet >> bit & 1U);
+      value = value << 1 | (byte >> bit & 1U);
       if (++length > kLongest) return false;
       if (c.count[length] == 0 || value < c.first[length] || value - c.first[length] >= c.count[length])
         continue;
--- a/src/membership/engine_list.cpp
+++ b/src/membership/endpoint_list_file.cpp
@@ -1,4 +1,4 @@
-#include "membership/engine_list.h"
+#include "membership/endpoint_list_file.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -20,10 +20,10 @@
 constexpr std::size_t kLargestList = 16u << 20;
 const std::vector<std::string> kStates{"running", "draining", "gone"};
 
-EngineSpec readEntry(const config::Node& node) {
-  EngineSpec e;
+EndpointSpec readEntry(const config::Node& node) {
+  EndpointSpec e;
   e.name = node.text("name");
-  e.id = serverId(e.name);
+  e.id = endpointId(e.name);
   const std::string address = node.text("address");
   const auto colon = address.rfind(':');
   int port = 0;
@@ -36,7 +36,7 @@
   e.kind = node.text("kind");
   e.zone = node.text("zone", "");
   e.cell = node.text("cell", "");
-  e.state = static_cast<ServerState>(node.choice("state", kStates, 0));
+  e.state = static_cast<EndpointState>(node.choice("state", kStates, 0));
   e.startedAt = node.integer("started_ms", 0, 0, std::int64_t{1} << 50) * 1000;
   if (node.has("tokeniser")) {
     const config::Node t = node.object("tokeniser");
@@ -56,21 +56,21 @@
 
 }  // namespace
 
-ServerId serverId(std::string_view name) { return {XXH3_64bits(name.data(), name.size())}; }
+EndpointId endpointId(std::string_view name) { return {XXH3_64bits(name.data(), name.size())}; }
 
-EngineMap readList(const std::shared_ptr<const config::JsonFile>& file, const EngineMap& before,
-                   std::vector<std::string>& troubles) {
+EndpointMap readList(const std::shared_ptr<const config::JsonFile>& file, const EndpointMap& before,
+                     std::vector<std::string>& errors) {
   const config::Node root(file);
   if (!root.has("engines")) root.failAt("engines", "is missing");
-  EngineMap out;
+  EndpointMap out;
   for (const auto& node : root.array("engines")) {
     std::string name;
     try {
       name = node.text("name");
-      EngineSpec e = readEntry(node);
+      EndpointSpec e = readEntry(node);
       if (!out.emplace(name, std::move(e)).second) node.failAt("name", "\"" + name + "\" stands twice");
     } catch (const config::Error& e) {
-      troubles.emplace_back(e.what());
+      errors.emplace_back(e.what());
       const auto at = before.find(name);
       if (at != before.end()) out.emplace(name, at->second);
     }
@@ -79,10 +79,10 @@
   return out;
 }
 
-ServerList toServerList(const EngineMap& engines, const Names& names, ServerList::Kind kind) {
-  ServerList list{kind, {}};
+EndpointUpdate toEndpointUpdate(const EndpointMap& engines, const Names& names, EndpointUpdate::Kind kind) {
+  EndpointUpdate list{kind, {}};
   for (const auto& [name, e] : engines) {
-    ServerEntry entry;
+    EndpointEntry entry;
     entry.id = e.id;
     entry.kind = place(names.kinds, e.kind);
     entry.zone = place(names.zones, e.zone);
@@ -95,7 +95,7 @@
   return list;
 }
 
-std::string writeList(const EngineMap& engines) {
+std::string writeList(const EndpointMap& engines) {
   nlohmann::ordered_json list = nlohmann::ordered_json::array();
   for (const auto& [name, e] : engines) {
     nlohmann::ordered_json entry{{"name", e.name},
@@ -111,18 +111,18 @@
   return nlohmann::ordered_json{{"engines", list}}.dump(2) + "\n";
 }
 
-ListFile::ListFile(std::string path, std::string remembered)
+EndpointListFile::EndpointListFile(std::string path, std::string remembered)
     : path_(std::move(path)), remembered_(std::move(remembered)) {}
 
-ListFile::Change ListFile::look() {
+EndpointListFile::Change EndpointListFile::look() {
   Change change;
-  if (unsaved_) remember(change.troubles);
+  if (unsaved_) remember(change.errors);
   std::string text;
   try {
     text = config::readFileText(path_);
   } catch (const std::system_error&) {
     if (!std::exchange(missing_, true))
-      change.troubles.push_back(path_ + ": can't be read; the last list stands");
+      change.errors.push_back(path_ + ": can't be read; the last list stands");
     last_.clear();
     return change;
   }
@@ -131,18 +131,18 @@
   last_ = text;
   try {
     if (text.size() > kLargestList) throw config::Error(path_ + ": larger than 16 MiB");
-    EngineMap next = readList(config::JsonFile::parse(path_, text), engines_, change.troubles);
+    EndpointMap next = readList(config::JsonFile::parse(path_, text), engines_, change.errors);
     change.changed = next != engines_ || engines_.empty();
     engines_ = std::move(next);
-    if (change.changed) remember(change.troubles);
+    if (change.changed) remember(change.errors);
   } catch (const config::Error& e) {
-    change.troubles.push_back(std::string(e.what()) + "; the last list stands");
+    change.errors.push_back(std::string(e.what()) + "; the last list stands");
   }
   return change;
 }
 
 // A disk may refuse for a while: the copy is owed until it is written, and the trouble told once.
-void ListFile::remember(std::vector<std::string>& troubles) {
+void EndpointListFile::remember(std::vector<std::string>& errors) {
   if (remembered_.empty()) return;
   const bool told = unsaved_;
   unsaved_ = false;
@@ -150,17 +150,17 @@
     replaceFile(remembered_, writeList(engines_));
   } catch (const std::runtime_error& e) {
     unsaved_ = true;
-    if (!told) troubles.emplace_back(e.what());
+    if (!told) errors.emplace_back(e.what());
   }
 }
 
-bool ListFile::recall(std::vector<std::string>& troubles) {
+bool EndpointListFile::recall(std::vector<std::string>& errors) {
   if (remembered_.empty()) return false;
   try {
-    engines_ = readList(config::JsonFile::load(remembered_), {}, troubles);
+    engines_ = readList(config::JsonFile::load(remembered_), {}, errors);
     return true;
   } catch (const config::Error& e) {
-    troubles.emplace_back(e.what());
+    errors.emplace_back(e.what());
     return false;
   }
 }
--- a/src/membership/start_dates.cpp
+++ b/src/membership/start_times.cpp
@@ -1,12 +1,12 @@
-#include "membership/start_dates.h"
+#include "membership/start_times.h"
 
 #include <algorithm>
 
 namespace garnethook::membership {
 
-EngineMap StartDates::date(const EngineMap& entries, bool remembered, Micros now, Micros unixNow) {
+EndpointMap StartTimes::date(const EndpointMap& entries, bool remembered, Micros now, Micros unixNow) {
   learn(entries, now, unixNow);
-  EngineMap out = entries;
+  EndpointMap out = entries;
   for (auto& [name, engine] : out) {
     if (engine.startedAt == 0) continue;
     const auto known = dates_.find(name);
@@ -20,7 +20,7 @@
 }
 
 // Where every start lies ahead of this machine's wall clock, it is that clock which is behind.
-void StartDates::learn(const EngineMap& entries, Micros now, Micros unixNow) {
+void StartTimes::learn(const EndpointMap& entries, Micros now, Micros unixNow) {
   std::optional<Micros> latest;
   std::optional<Micros> latestOfAll;
   for (const auto& [name, engine] : entries) {
@@ -34,13 +34,13 @@
 }
 
 // 0 would mean long ago.
-Micros StartDates::fresh(Micros told, bool remembered, Micros now) const {
+Micros StartTimes::fresh(Micros told, bool remembered, Micros now) const {
   const Micros mapped = offset_ ? told + *offset_ : now;
   const Micros earliest = remembered ? 1 : std::max<Micros>(1, heardAt_.value_or(1) - kToldLate);
   return std::clamp(mapped, std::min(earliest, now), std::max<Micros>(1, now));
 }
 
-void StartDates::keepOnly(const EngineMap& listed) {
+void StartTimes::keepOnly(const EndpointMap& listed) {
   std::erase_if(dates_, [&](const auto& item) { return !listed.contains(item.first); });
 }
 
--- a/src/membership/start_dates.h
+++ b/src/membership/start_times.h
@@ -13,20 +13,20 @@
 #include <optional>
 #include <string>
 
-#include "membership/engine_list.h"
+#include "membership/endpoint_list_file.h"
 
 namespace garnethook::membership {
 
-class StartDates {
+class StartTimes {
  public:
   /// Discovery said something, be it a sign of life, at this time.
   void heard(Micros now) { heardAt_ = now; }
   /// The entries with starts dated by the monotonic clock (0 stays: long ago). A start once dated keeps its
   /// date, but for those of a remembered list, which are dated anew by the first list that is told.
   /// `remembered`: the list is one from before, told by nobody now.
-  EngineMap date(const EngineMap& entries, bool remembered, Micros now, Micros unixNow);
+  EndpointMap date(const EndpointMap& entries, bool remembered, Micros now, Micros unixNow);
   /// What is kept of engines that `listed` lacks goes.
-  void keepOnly(const EngineMap& listed);
+  void keepOnly(const EndpointMap& listed);
 
   /// A start further ahead of this machine's wall clock is no evidence.
   static constexpr Micros kMostAhead = 2'000'000;
@@ -39,7 +39,7 @@
     Micros at = 0;    // on the monotonic clock
     bool remembered = false;
   };
-  void learn(const EngineMap& entries, Micros now, Micros unixNow);
+  void learn(const EndpointMap& entries, Micros now, Micros unixNow);
   Micros fresh(Micros told, bool remembered, Micros now) const;
 
   std::map<std::string, Dated> dates_;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -104,16 +104,16 @@
     wake();
 }
 
-// A full pair has an octet in it already.
+// A full pair has an byte in it already.
 void Loop::wake() {
-  const char octet = 0;
-  [[maybe_unused]] const auto sent = ::send(waker_, &octet, 1, MSG_NOSIGNAL);
+  const char byte = 0;
+  [[maybe_unused]] const auto sent = ::send(waker_, &byte, 1, MSG_NOSIGNAL);
 }
 
 void Loop::onWake(Poco::Net::ReadableNotification* notification) {
   notification->release();
-  std::array<char, 256> octets{};
-  while (::recv(woken_.impl()->sockfd(), octets.data(), octets.size(), 0) > 0) {}
+  std::array<char, 256> bytes{};
+  while (::recv(woken_.impl()->sockfd(), bytes.data(), bytes.size(), 0) > 0) {}
 }
 
 void Loop::run() {
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -65,7 +65,7 @@
   std::vector<std::function<void()>> posted_;
   std::atomic<bool> hasPosted_ = false;
   std::atomic<std::thread::id> thread_{};
-  // POCO's own wakeUp() ends no poll; an octet on this pair does.
+  // POCO's own wakeUp() ends no poll; an byte on this pair does.
   Poco::Net::StreamSocket woken_;
   int waker_ = -1;
   // A periodic timer of the monotonic clock that ends every wait. POCO (1.11.0) counts what is left of an
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -152,7 +152,7 @@
       case Transfer::broken: return over(CloseCause::reset);
       case Transfer::done: break;
     }
-    if (!closing_) events_.onOctets({piece.data(), read.count});
+    if (!closing_) events_.onBytes({piece.data(), read.count});
     if (read.count < piece.size()) return;
   }
 }
@@ -173,39 +173,39 @@
   if (std::exchange(wantDrained_, false)) events_.onDrained();
 }
 
-std::size_t Stream::trySend(std::string_view octets) {
-  if (!open_ || closing_ || finishing_ || octets.empty()) return 0;
+std::size_t Stream::trySend(std::string_view bytes) {
+  if (!open_ || closing_ || finishing_ || bytes.empty()) return 0;
   if (!connected_ || pending() > 0) {
     wantDrained_ = true;
     return 0;
   }
   std::size_t done = 0;
-  while (done < octets.size()) {
-    const auto n = write(octets.substr(done));
+  while (done < bytes.size()) {
+    const auto n = write(bytes.substr(done));
     if (!n) {
       failLater(CloseCause::reset);
-      return octets.size();
+      return bytes.size();
     }
     if (*n == 0) break;
     done += *n;
   }
-  if (done < octets.size()) {
+  if (done < bytes.size()) {
     wantDrained_ = true;
     watchWriting(true);
   }
   return done;
 }
 
-void Stream::send(std::string_view octets) {
+void Stream::send(std::string_view bytes) {
   if (!open_ || closing_ || finishing_) return;
-  out_.append(octets);
+  out_.append(bytes);
   if (connected_) flush();
   if (open_ && connected_ && pending() > 0) watchWriting(true);
 }
 
 // As much as the socket takes, 0 where it is full; nothing where the connection is broken.
-std::optional<std::size_t> Stream::write(std::string_view octets) {
-  const TransferResult sent = sendBytes(descriptor(), octets);
+std::optional<std::size_t> Stream::write(std::string_view bytes) {
+  const TransferResult sent = sendBytes(descriptor(), bytes);
   if (sent.transfer == Transfer::broken) return std::nullopt;
   return sent.count;
 }
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -27,7 +27,7 @@
  public:
   virtual ~StreamEvents() = default;
   virtual void onConnected() {}
-  virtual void onOctets(std::string_view octets) = 0;
+  virtual void onBytes(std::string_view bytes) = 0;
   // What was pending went out; more may be sent.
   virtual void onDrained() {}
   // The peer is gone. Called at most once, never from inside send() or close(), and nothing comes after it.
@@ -47,13 +47,13 @@
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  // Takes all octets; what the socket does not take at once waits in pending().
-  void send(std::string_view octets);
-  // Takes as many octets as the socket does, none while some are pending, and tells how many; onDrained
+  // Takes all bytes; what the socket does not take at once waits in pending().
+  void send(std::string_view bytes);
+  // Takes as many bytes as the socket does, none while some are pending, and tells how many; onDrained
   // follows where it was not all.
-  std::size_t trySend(std::string_view octets);
+  std::size_t trySend(std::string_view bytes);
   std::size_t pending() const { return out_.size() - outAt_; }
-  // Once closed: octets of send() that the socket never took.
+  // Once closed: bytes of send() that the socket never took.
   std::size_t unsent() const { return unsent_; }
   // Stops reading, so that the peer's socket fills; and goes on.
   void pauseReading(bool paused);
@@ -92,7 +92,7 @@
   void watchReading(bool on);
   void watchWriting(bool on);
   void flush();
-  std::optional<std::size_t> write(std::string_view octets);
+  std::optional<std::size_t> write(std::string_view bytes);
   void over(CloseCause cause);
   void failLater(CloseCause cause);
   void shutdownIfSent();
--- a/src/platform/config/platform_config.cpp
+++ b/src/platform/config/platform_config.cpp
@@ -9,7 +9,7 @@
 #include <deque>
 #include <stdexcept>
 
-#include "platform/discovery/target_list.h"
+#include "platform/discovery/endpoint_list.h"
 
 namespace garnethook::platform {
 namespace {
@@ -22,7 +22,7 @@
 class FlatSettings {
  public:
   explicit FlatSettings(const json& root) { walk(root, ""); }
-  const provision::Facts& facts() const { return facts_; }
+  const deployment_config::FieldReader& facts() const { return facts_; }
 
  private:
   static std::string plain(const json& value) {
@@ -58,7 +58,7 @@
     }
   }
   std::deque<std::string> texts_;  // whose places stay
-  provision::Facts facts_;
+  deployment_config::FieldReader facts_;
 };
 
 std::string address(const Node& root, std::string_view key, const Environment& environment,
@@ -110,9 +110,10 @@
   const Node settings = root.object("settings");
   const FlatSettings flat(settings.raw());
   try {
-    out.provision = provision::readProvision(flat.facts());
-    static_cast<void>(Brain(out.provision.settings, 1));  // what the module itself asks of its settings
-  } catch (const provision::FactError& e) {
+    out.deployment = deployment_config::readDeploymentConfig(flat.facts());
+    static_cast<void>(
+        RoutingPolicy(out.deployment.settings, 1));  // what the module itself asks of its settings
+  } catch (const deployment_config::FieldError& e) {
     std::string pointer = "/settings/" + e.field();
     std::replace(pointer.begin(), pointer.end(), '.', '/');
     throw config::Error(file->name() + ":" + std::to_string(file->line(pointer)) + ": settings." + e.what());
@@ -121,12 +122,12 @@
   if (root.has("known")) {
     const Node known = root.object("known");
     try {
-      const TargetUpdate update = parseTargets(known.raw().dump());
-      TargetList list;
+      const EndpointListUpdate update = parseEndpointList(known.raw().dump());
+      EndpointList list;
       list.apply(update);
       out.known = list.engines();
       out.knownVersion = list.version();
-      out.troubles = update.troubles;
+      out.errors = update.errors;
     } catch (const std::runtime_error& e) { known.fail(e.what()); }
   }
   return out;
--- a/src/platform/config/platform_config.h
+++ b/src/platform/config/platform_config.h
@@ -10,14 +10,14 @@
 #include <vector>
 
 #include "config/json_file.h"
-#include "membership/engine_list.h"
-#include "provision/provision.h"
+#include "deployment_config/deployment_config.h"
+#include "membership/endpoint_list_file.h"
 
 namespace garnethook::platform {
 
 struct Limits {
   double cores = 1;          // share of one core
-  std::uint64_t memory = 0;  // octets
+  std::uint64_t memory = 0;  // bytes
   std::size_t descriptors = 0;
 };
 
@@ -28,11 +28,11 @@
   std::string discovery;  // HOST:PORT
   std::uint64_t seed = 0;
   Limits limits;
-  provision::Provision provision;
+  deployment_config::DeploymentConfig deployment;
   // The engines as the router last had them, and the version of that list; it may be old.
-  membership::EngineMap known;
+  membership::EndpointMap known;
   std::int64_t knownVersion = 0;
-  std::vector<std::string> troubles;  // what of `known` can't be used
+  std::vector<std::string> errors;  // what of `known` can't be used
 };
 
 // A variable of the environment, or nothing.
--- a/src/platform/discovery/target_list.cpp
+++ b/src/platform/discovery/endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "platform/discovery/target_list.h"
+#include "platform/discovery/endpoint_list.h"
 
 #include <algorithm>
 #include <charconv>
@@ -39,19 +39,19 @@
 }
 
 // A word that is not known yet promises nothing: the engine gets no new work.
-ServerState state(const std::string& word) {
-  if (word == "ready") return ServerState::running;
-  if (word == "gone") return ServerState::gone;
-  return ServerState::draining;
+EndpointState state(const std::string& word) {
+  if (word == "ready") return EndpointState::running;
+  if (word == "gone") return EndpointState::removed;
+  return EndpointState::draining;
 }
 
-membership::EngineSpec readEntry(const json& entry) {
+membership::EndpointSpec readEntry(const json& entry) {
   if (!entry.is_object()) throw std::runtime_error("an object is wanted");
-  membership::EngineSpec e;
+  membership::EndpointSpec e;
   e.name = text(entry, "id", true);
-  e.id = membership::serverId(e.name);
+  e.id = membership::endpointId(e.name);
   e.state = state(text(entry, "phase", true));
-  const bool gone = e.state == ServerState::gone;
+  const bool gone = e.state == EndpointState::removed;
   const std::string address = text(entry, "host_port", !gone);
   const auto colon = address.rfind(':');
   int port = 0;
@@ -74,11 +74,11 @@
 
 }  // namespace
 
-TargetUpdate parseTargets(std::string_view input) {
+EndpointListUpdate parseEndpointList(std::string_view input) {
   if (config::jsonDepth(input) > config::kDeepest) throw std::runtime_error("nested too deep");
   const json root = json::parse(input, nullptr, false);
   if (!root.is_object()) throw std::runtime_error("no JSON object");
-  TargetUpdate out;
+  EndpointListUpdate out;
   const auto version = root.find("revision");
   if (version == root.end() || !version->is_number_integer())
     throw std::runtime_error("revision: is missing");
@@ -90,24 +90,24 @@
   for (const json& entry : *members) {
     try {
       out.engines.push_back(readEntry(entry));
-    } catch (const std::runtime_error& e) { out.troubles.emplace_back(e.what()); }
+    } catch (const std::runtime_error& e) { out.errors.emplace_back(e.what()); }
   }
   return out;
 }
 
-TargetList::Change TargetList::apply(const TargetUpdate& update) {
+EndpointList::Change EndpointList::apply(const EndpointListUpdate& update) {
   Change change;
   if (!update.complete && update.version < version_) return change;
-  change.kind = update.complete ? ServerList::Kind::complete : ServerList::Kind::changes;
+  change.kind = update.complete ? EndpointUpdate::Kind::snapshot : EndpointUpdate::Kind::delta;
   change.any = true;
-  const membership::EngineMap before =
-      update.complete ? std::exchange(engines_, {}) : membership::EngineMap();
-  for (membership::EngineSpec e : update.engines) {
+  const membership::EndpointMap before =
+      update.complete ? std::exchange(engines_, {}) : membership::EndpointMap();
+  for (membership::EndpointSpec e : update.engines) {
     if (const Retirement* word = update.complete ? retiredAfter(e, update.version) : nullptr)
-      e.state = word->gone ? ServerState::gone : ServerState::draining;
+      e.state = word->gone ? EndpointState::removed : EndpointState::draining;
     else
       note(e, update.version);
-    if (e.state == ServerState::gone)
+    if (e.state == EndpointState::removed)
       engines_.erase(e.name);
     else
       engines_[e.name] = e;
@@ -122,33 +122,33 @@
   return change;
 }
 
-void TargetList::note(const membership::EngineSpec& engine, std::int64_t version) {
-  if (engine.state == ServerState::running) {
+void EndpointList::note(const membership::EndpointSpec& engine, std::int64_t version) {
+  if (engine.state == EndpointState::running) {
     retired_.erase(engine.name);
     return;
   }
   const auto held = engines_.find(engine.name);  // the word itself may tell no start
   const Micros startedAt =
       engine.startedAt != 0 || held == engines_.end() ? engine.startedAt : held->second.startedAt;
-  retired_[engine.name] = {version, startedAt, engine.state == ServerState::gone};
+  retired_[engine.name] = {version, startedAt, engine.state == EndpointState::removed};
 }
 
-const TargetList::Retirement* TargetList::retiredAfter(const membership::EngineSpec& engine,
-                                                       std::int64_t version) const {
+const EndpointList::Retirement* EndpointList::retiredAfter(const membership::EndpointSpec& engine,
+                                                           std::int64_t version) const {
   const auto at = retired_.find(engine.name);
   if (at == retired_.end() || at->second.version <= version) return nullptr;
   const bool sameStart = at->second.startedAt == engine.startedAt || engine.startedAt == 0;
   return sameStart ? &at->second : nullptr;
 }
 
-void TargetList::boundRetired() {
+void EndpointList::boundRetired() {
   while (retired_.size() > kMostRetired)
     retired_.erase(std::min_element(retired_.begin(), retired_.end(), [](const auto& a, const auto& b) {
       return a.second.version < b.second.version;
     }));
 }
 
-void TargetList::recall(const membership::EngineMap& engines, std::int64_t version) {
+void EndpointList::recall(const membership::EndpointMap& engines, std::int64_t version) {
   engines_ = engines;
   version_ = version;
 }
--- a/src/platform/discovery/target_list.h
+++ b/src/platform/discovery/endpoint_list.h
@@ -7,21 +7,21 @@
 #include <string_view>
 #include <vector>
 
-#include "membership/engine_list.h"
+#include "membership/endpoint_list_file.h"
 
 namespace garnethook::platform {
 
-struct TargetUpdate {
+struct EndpointListUpdate {
   std::int64_t version = 0;
   bool complete = false;
-  std::vector<membership::EngineSpec> engines;
-  std::vector<std::string> troubles;  // entries that can't be used; they are left out
+  std::vector<membership::EndpointSpec> engines;
+  std::vector<std::string> errors;  // entries that can't be used; they are left out
 };
 
 // Throws std::runtime_error, saying what is wrong, where the text is no list at all.
-TargetUpdate parseTargets(std::string_view text);
+EndpointListUpdate parseEndpointList(std::string_view text);
 
-class TargetList {
+class EndpointList {
  public:
   // What the decision module is told of it: the changed entries, or all. An engine that a complete list lacks
   // is gone. Of changes that are older than the list nothing is taken. A complete list always holds, with one
@@ -29,13 +29,13 @@
   // lags behind the one before it, that engine does not come back by it, unless it has another start.
   struct Change {
     bool any = false;
-    ServerList::Kind kind = ServerList::Kind::changes;
-    membership::EngineMap entries;  // engines that are gone among them
+    EndpointUpdate::Kind kind = EndpointUpdate::Kind::delta;
+    membership::EndpointMap entries;  // engines that are gone among them
   };
-  Change apply(const TargetUpdate& update);
-  void recall(const membership::EngineMap& engines, std::int64_t version);
+  Change apply(const EndpointListUpdate& update);
+  void recall(const membership::EndpointMap& engines, std::int64_t version);
 
-  const membership::EngineMap& engines() const { return engines_; }  // none that is gone
+  const membership::EndpointMap& engines() const { return engines_; }  // none that is gone
   std::int64_t version() const { return version_; }
 
  private:
@@ -47,11 +47,11 @@
   };
   static constexpr std::size_t kMostRetired = 8192;  // beyond it the oldest word is forgotten
 
-  void note(const membership::EngineSpec& engine, std::int64_t version);
-  const Retirement* retiredAfter(const membership::EngineSpec& engine, std::int64_t version) const;
+  void note(const membership::EndpointSpec& engine, std::int64_t version);
+  const Retirement* retiredAfter(const membership::EndpointSpec& engine, std::int64_t version) const;
   void boundRetired();
 
-  membership::EngineMap engines_;
+  membership::EndpointMap engines_;
   std::int64_t version_ = 0;
   std::map<std::string, Retirement> retired_;
 };
--- a/src/platform/discovery/watch.cpp
+++ b/src/platform/discovery/watch.cpp
@@ -28,8 +28,7 @@
 void Watch::plan() {
   alarm_.start(std::max<Micros>(0, policy_.due() - loop_.now()), [this] {
     if (policy_.next() == WatchPolicy::Step::begin) return begin();
-    events_.trouble(address_ + ": " +
-                    (current_ && current_->midway() ? "a list that does not end" : "silent"));
+    events_.error(address_ + ": " + (current_ && current_->midway() ? "a list that does not end" : "silent"));
     setAside();
     policy_.ended(loop_.now());
     plan();
@@ -63,11 +62,11 @@
 
 bool Watch::onObject(WatchSession&, std::string_view text) {
   try {
-    events_.update(parseTargets(text));
+    events_.update(parseEndpointList(text));
     return true;
   } catch (const std::runtime_error& e) {
     // What it told is asked for again, from the version that is held: later changes would pass over it.
-    events_.trouble(address_ + ": a list can't be used: " + e.what());
+    events_.error(address_ + ": a list can't be used: " + e.what());
     policy_.spoilt();
     return false;
   }
@@ -103,7 +102,7 @@
     waiting_.erase(own);
     return;
   }
-  events_.trouble(address_ + ": " + why);
+  events_.error(address_ + ": " + why);
   discard(std::move(current_));
   policy_.ended(loop_.now());
   plan();
--- a/src/platform/discovery/watch.h
+++ b/src/platform/discovery/watch.h
@@ -10,7 +10,7 @@
 #include <memory>
 #include <string>
 
-#include "platform/discovery/target_list.h"
+#include "platform/discovery/endpoint_list.h"
 #include "platform/discovery/watch_policy.h"
 #include "platform/discovery/watch_session.h"
 
@@ -19,8 +19,8 @@
 class Watch final : private WatchSession::Events {
  public:
   struct Events {
-    std::function<void(const TargetUpdate&)> update;
-    std::function<void(const std::string&)> trouble;
+    std::function<void(const EndpointListUpdate&)> update;
+    std::function<void(const std::string&)> error;
     std::function<std::int64_t()> version;  // of the list that is held
     std::function<void()> heard = [] {};    // bytes came on a session that has brought a list
   };
--- a/src/platform/discovery/watch_policy.h
+++ b/src/platform/discovery/watch_policy.h
@@ -9,7 +9,7 @@
 #include <optional>
 #include <utility>
 
-#include "brain.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook::platform {
 
--- a/src/platform/discovery/watch_session.cpp
+++ b/src/platform/discovery/watch_session.cpp
@@ -38,7 +38,7 @@
                " HTTP/1.1\r\nHost: " + address_ + "\r\n\r\n");
 }
 
-void WatchSession::onOctets(std::string_view bytes) {
+void WatchSession::onBytes(std::string_view bytes) {
   if (!parser_.receive(bytes)) return giveUp("bad HTTP: " + std::string(parser_.error()));
   if (ended_) return;
   if (!over_.empty()) return giveUp(over_);
--- a/src/platform/discovery/watch_session.h
+++ b/src/platform/discovery/watch_session.h
@@ -37,7 +37,7 @@
 
  private:
   void onConnected() override;
-  void onOctets(std::string_view bytes) override;
+  void onBytes(std::string_view bytes) override;
   void onClosed(net::CloseCause cause) override;
   void onHead(const http1::Head& head) override;
   void onBody(std::string_view bytes) override;
--- a/src/platform/engine/platform_engines.cpp
+++ b/src/platform/engine/platform_engine_client.cpp
@@ -1,4 +1,4 @@
-#include "platform/engine/platform_engines.h"
+#include "platform/engine/platform_engine_client.h"
 
 #include <utility>
 
@@ -15,43 +15,43 @@
 
 }  // namespace
 
-void PlatformEngines::begin(const routing::Order& order) {
-  const auto* spec = pool_.find(order.server);
-  if (spec == nullptr || pool_.full(order.server)) {
+void PlatformEngineClient::begin(const routing::AttemptSpec& order) {
+  const auto* spec = pool_.find(order.endpoint);
+  if (spec == nullptr || pool_.full(order.endpoint)) {
     const bool full = spec != nullptr;
     return pool_.later([this, id = order.attempt, full] {
-      events_->onAttemptEnded(id, {.outcome = full ? Outcome::full : Outcome::connectFailed,
-                                   .left = false,
+      events_->onAttemptEnded(id, {.outcome = full ? Outcome::rejected : Outcome::connectFailed,
+                                   .leftRouter = false,
                                    .text = full ? "all connections are in use" : "no address of the engine"});
     });
   }
-  auto write = [this, server = order.server, request = engineRequest(*spec, order, loop_.now())](
+  auto write = [this, endpoint = order.endpoint, request = engineRequest(*spec, order, loop_.now())](
                    Micros now) -> std::optional<std::string> {
     // Whoever drains may get nothing new, though it was chosen before that was known.
-    if (!pool_.running(server) || (request.writeBy > 0 && now > request.writeBy)) return std::nullopt;
+    if (!pool_.running(endpoint) || (request.sendBy > 0 && now > request.sendBy)) return std::nullopt;
     return requestText(request, now);
   };
-  pool_.run(order.attempt, order.server,
-            std::make_unique<RelayExchange>(*events_, order.attempt, order.job, meanings_), std::move(write),
-            engine::reuseFor(order));
+  pool_.run(order.attempt, order.endpoint,
+            std::make_unique<RelayExchange>(*events_, order.attempt, order.phase, meanings_),
+            std::move(write), engine::reuseFor(order));
 }
 
-void PlatformEngines::release(ServerId server, RequestId request, const std::string& workId) {
+void PlatformEngineClient::release(EndpointId endpoint, RequestId request, const std::string& traceId) {
   std::vector<ReleaseCandidate> listed;
-  for (const ServerId id : releaseWindow(pool_.listed(), server, request.value)) {
+  for (const EndpointId id : releaseWindow(pool_.listed(), endpoint, request.value)) {
     const auto& spec = *pool_.find(id);
-    listed.push_back({id, spec.cell, spec.zone, spec.state == ServerState::running, pool_.word(id)});
+    listed.push_back({id, spec.cell, spec.zone, spec.state == EndpointState::running, pool_.word(id)});
   }
   auto release = std::make_shared<Release>();
-  release->route = releaseRoute(server, ownZone_, std::move(listed), request.value);
-  release->holder = server;
+  release->route = releaseRoute(endpoint, ownZone_, std::move(listed), request.value);
+  release->holder = endpoint;
   release->request = request;
-  release->workId = workId;
+  release->traceId = traceId;
   askNext(release);
 }
 
 // A release may be said any number of times, so the next engine is asked while another is still waited for.
-void PlatformEngines::askNext(const std::shared_ptr<Release>& release) {
+void PlatformEngineClient::askNext(const std::shared_ptr<Release>& release) {
   // In a cut many releases wait for engines that say nothing: they take turns.
   if (pool_.controlsFull()) {
     timers_.after(kControlPause, [this, release] {
@@ -65,7 +65,7 @@
     if (release->out == 0) end(release, false);
     return;
   }
-  const ServerId target = release->route[at++];
+  const EndpointId target = release->route[at++];
   ++release->out;
   auto done = [this, release](int status, const std::optional<LoadReport>&) {
     --release->out;
@@ -74,7 +74,7 @@
     askNext(release);
   };
   pool_.run(target, std::make_unique<engine::ControlExchange>(std::move(done)),
-            callText(*pool_.find(target), "DELETE", releaseTarget(release->workId)),
+            callText(*pool_.find(target), "DELETE", releaseTarget(release->traceId)),
             pool_.options().controlTimeout);
   if (at < release->route.size())
     timers_.after(hedge_, [this, release, after = at] {
@@ -82,7 +82,7 @@
     });
 }
 
-void PlatformEngines::end(const std::shared_ptr<Release>& release, bool ok) {
+void PlatformEngineClient::end(const std::shared_ptr<Release>& release, bool ok) {
   if (std::exchange(release->over, true)) return;
   pool_.later([this, holder = release->holder, request = release->request, ok] {
     events_->onReleaseEnded(holder, request, ok);
@@ -90,22 +90,24 @@
 }
 
 // Any answer is a sign of life, whatever its status.
-void PlatformEngines::confirm(routing::AttemptId attempt, ServerId server) {
-  const auto* spec = pool_.find(server);
-  if (spec == nullptr) return pool_.later([this, attempt] { events_->onConfirmed(attempt, false); });
-  auto done = [this, attempt](int status, const std::string&) { events_->onConfirmed(attempt, status != 0); };
-  pool_.run(server, std::make_unique<engine::DocumentExchange>(std::move(done)),
+void PlatformEngineClient::checkLiveness(routing::AttemptId attempt, EndpointId endpoint) {
+  const auto* spec = pool_.find(endpoint);
+  if (spec == nullptr) return pool_.later([this, attempt] { events_->onLivenessChecked(attempt, false); });
+  auto done = [this, attempt](int status, const std::string&) {
+    events_->onLivenessChecked(attempt, status != 0);
+  };
+  pool_.run(endpoint, std::make_unique<engine::DocumentExchange>(std::move(done)),
             callText(*spec, "GET", pool_.options().probePath), kConfirmWithin);
 }
 
-void PlatformEngines::probe(ServerId server) {
-  const auto* spec = pool_.find(server);
+void PlatformEngineClient::probe(EndpointId endpoint) {
+  const auto* spec = pool_.find(endpoint);
   if (spec == nullptr)
-    return pool_.later([this, server] { events_->onProbeEnded(server, false, std::nullopt); });
-  auto done = [this, server](int status, const std::string& body) {
-    events_->onProbeEnded(server, status >= 200 && status < 300, parseReport(body, meanings_));
+    return pool_.later([this, endpoint] { events_->onProbeEnded(endpoint, false, std::nullopt); });
+  auto done = [this, endpoint](int status, const std::string& body) {
+    events_->onProbeEnded(endpoint, status >= 200 && status < 300, parseReport(body, meanings_));
   };
-  pool_.run(server, std::make_unique<engine::DocumentExchange>(std::move(done)),
+  pool_.run(endpoint, std::make_unique<engine::DocumentExchange>(std::move(done)),
             callText(*spec, "GET", pool_.options().probePath), pool_.options().controlTimeout);
 }
 
--- a/src/platform/engine/protocol.cpp
+++ b/src/platform/engine/protocol.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <cmath>
 
-#include "provision/facts.h"
+#include "deployment_config/field_reader.h"
 
 namespace garnethook::platform {
 namespace {
@@ -25,15 +25,16 @@
 
 }  // namespace
 
-EngineRequest engineRequest(const membership::EngineSpec& engine, const routing::Order& order, Micros now) {
+EngineRequest engineRequest(const membership::EndpointSpec& engine, const routing::AttemptSpec& order,
+                            Micros now) {
   return {.host = engine.host,
           .port = engine.port,
-          .target = order.ask->target,
-          .workId = std::string(order.workId),
-          .fields = order.ask->fields,
-          .body = order.ask->body,
+          .target = order.request->target,
+          .traceId = std::string(order.traceId),
+          .fields = order.request->fields,
+          .body = order.request->body,
           .answerBy = now + order.timeout,
-          .writeBy = order.writeBy};
+          .sendBy = order.sendBy};
 }
 
 std::string requestText(const EngineRequest& request, Micros now) {
@@ -42,14 +43,15 @@
   std::string out;
   out.reserve(body.size() + request.target.size() + request.fields.size() + 256);
   out.append("POST ").append(request.target);
-  host(out, request.host, request.port).append("X-Trace-Id: ").append(request.workId);
+  host(out, request.host, request.port).append("X-Trace-Id: ").append(request.traceId);
   out.append("\r\nX-Expires-In-Ms: ").append(std::to_string(leftMs));
   out.append("\r\n").append(request.fields);
   out.append("Content-Length: ").append(std::to_string(body.size()));
   return out.append("\r\n\r\n").append(body);
 }
 
-std::string callText(const membership::EngineSpec& engine, std::string_view method, std::string_view target) {
+std::string callText(const membership::EndpointSpec& engine, std::string_view method,
+                     std::string_view target) {
   std::string out(method);
   out.append(" ").append(target);
   host(out, engine.host, engine.port);
@@ -57,14 +59,15 @@
   return out.append("\r\n");
 }
 
-std::string releaseTarget(std::string_view workId) { return "/v1/holds/" + std::string(workId); }
+std::string releaseTarget(std::string_view traceId) { return "/v1/holds/" + std::string(traceId); }
 
-std::optional<LoadReport> parseReport(std::string_view text, const provision::ReportMeanings& meanings) {
+std::optional<LoadReport> parseReport(std::string_view text,
+                                      const deployment_config::ReportMeanings& meanings) {
   text = trim(text);
   if (!text.starts_with("TEXT ")) return std::nullopt;
   text.remove_prefix(5);
   LoadReport report;
-  for (auto part : provision::split(text, ',')) {
+  for (auto part : deployment_config::split(text, ',')) {
     part = trim(part);
     const auto equals = part.find('=');
     if (equals == std::string_view::npos) return std::nullopt;
@@ -73,17 +76,17 @@
     const auto [end, bad] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
     if (bad != std::errc() || end != digits.data() + digits.size() || !std::isfinite(value) || value < 0)
       return std::nullopt;
-    provision::addReportValue(report, meanings, trim(part.substr(0, equals)), value);
+    deployment_config::addReportValue(report, meanings, trim(part.substr(0, equals)), value);
   }
   if (!report.memoryShare && !report.queuedKiloTokens && !report.queuedRequests) return std::nullopt;
   return report;
 }
 
-Verdict judge(const http1::Head& head, routing::Job job) {
-  if (head.status == 202 && job == routing::Job::read) return Verdict::readDone;
-  if (head.status == 200 && job != routing::Job::read) return Verdict::stream;
+Verdict judge(const http1::Head& head, routing::Phase phase) {
+  if (head.status == 202 && phase == routing::Phase::prefill) return Verdict::readDone;
+  if (head.status == 200 && phase != routing::Phase::prefill) return Verdict::stream;
   const auto never = http1::find(head.fields, "x-never-ran");
-  if (never && trim(*never) == "1") return head.status == 410 ? Verdict::noState : Verdict::turnedAway;
+  if (never && trim(*never) == "1") return head.status == 410 ? Verdict::noState : Verdict::rejected;
   return Verdict::failed;
 }
 
