--- a/src/platform/engine/relay_exchange.cpp
+++ b/src/platform/engine/relay_exchange.cpp
@@ -1,14 +1,14 @@
 #include "platform/engine/relay_exchange.h"
 
-#include "provision/facts.h"
+#include "deployment_config/field_reader.h"
 
 namespace garnethook::platform {
 
-RelayExchange::RelayExchange(routing::EngineEvents& events, routing::AttemptId id, routing::Job job,
-                             const provision::ReportMeanings& meanings)
+RelayExchange::RelayExchange(routing::EngineClientEvents& events, routing::AttemptId id, routing::Phase phase,
+                             const deployment_config::ReportMeanings& meanings)
     : events_(events),
       id_(id),
-      job_(job),
+      phase_(phase),
       meanings_(meanings),
       parser_(kEventBytes, [this](const http1::EventStreamParser::Event& e) { onEvent(e); }) {
   parser_.onComment([this](std::string_view text) {
@@ -23,17 +23,17 @@
 
 bool RelayExchange::onHead(const http1::Head& head) {
   status_ = head.status;
-  verdict_ = judge(head, job_);
+  verdict_ = judge(head, phase_);
   framed_ = http1::find(head.fields, "transfer-encoding") || http1::find(head.fields, "content-length");
   if (const auto load = http1::find(head.fields, "endpoint-load-metrics"))
     result_.report = parseReport(*load, meanings_);
   return true;
 }
 
-bool RelayExchange::onBody(std::string_view octets) {
+bool RelayExchange::onBody(std::string_view bytes) {
   if (told_) return false;
   if (verdict_ == Verdict::stream) {
-    const bool good = parser_.receive(octets);
+    const bool good = parser_.receive(bytes);
     if (pieces_ > 0) {
       const auto count = std::exchange(pieces_, 0);
       seen_ += count;
@@ -43,11 +43,11 @@
     if (!good) finish(Outcome::error, "an event of the answer is too large");
     return !told_;
   }
-  if (body_.size() + octets.size() > kAnswerBytes) {
+  if (body_.size() + bytes.size() > kAnswerBytes) {
     finish(Outcome::error, "the answer is too large");
     return false;
   }
-  body_.append(octets);
+  body_.append(bytes);
   return true;
 }
 
@@ -63,19 +63,23 @@
   piece_.append("\n");
   ++pieces_;
   if (event.data.find("\"usage\"") != std::string::npos)
-    if (const double cached = cachedTokens(event.data); cached > 0) result_.foundTokens = cached;
+    if (const double cached = cachedTokens(event.data); cached > 0) result_.cachedTokens = cached;
 }
 
 void RelayExchange::onEnd() {
   const std::string said = "status " + std::to_string(status_);
   switch (verdict_) {
-    case Verdict::readDone: result_.foundTokens = cachedTokens(body_); return finish(Outcome::readDone, {});
+    case Verdict::readDone:
+      result_.cachedTokens = cachedTokens(body_);
+      return finish(Outcome::prefillDone, {});
     case Verdict::stream:
       if (seen_ == 0) return finish(Outcome::error, "a stream without events");
-      if (!framed_ || parser_.cutShort()) return finish(Outcome::reset, "the stream was cut short");
-      return finish(Outcome::served, {});
-    case Verdict::noState: result_.stateMissing = true; return finish(Outcome::full, said + ", no state");
-    case Verdict::turnedAway: return finish(Outcome::full, said + ", never ran");
+      if (!framed_ || parser_.cutShort()) return finish(Outcome::connectionReset, "the stream was cut short");
+      return finish(Outcome::completed, {});
+    case Verdict::noState:
+      result_.kvStateMissing = true;
+      return finish(Outcome::rejected, said + ", no state");
+    case Verdict::rejected: return finish(Outcome::rejected, said + ", never ran");
     case Verdict::failed: return finish(Outcome::error, said);
   }
 }
--- a/src/platform/engine/relay_exchange.h
+++ b/src/platform/engine/relay_exchange.h
@@ -16,18 +16,18 @@
   static constexpr std::size_t kEventBytes = 64 * 1024;
   static constexpr std::size_t kAnswerBytes = 64 * 1024;
 
-  RelayExchange(routing::EngineEvents& events, routing::AttemptId id, routing::Job job,
-                const provision::ReportMeanings& meanings);
+  RelayExchange(routing::EngineClientEvents& events, routing::AttemptId id, routing::Phase phase,
+                const deployment_config::ReportMeanings& meanings);
   bool onHead(const http1::Head& head) override;
-  bool onBody(std::string_view octets) override;
+  bool onBody(std::string_view bytes) override;
   void onEnd() override;
   void onFailed(Outcome outcome, const std::string& text, bool kept) override {
-    result_.keptConnection = kept;
+    result_.reusedConnection = kept;
     finish(outcome, text);
   }
   void onNotSent(const std::string& text) override {
-    result_.left = false;
-    finish(Outcome::full, text);
+    result_.leftRouter = false;
+    finish(Outcome::rejected, text);
   }
   void mute() override { told_ = true; }
 
@@ -35,10 +35,10 @@
   void onEvent(const http1::EventStreamParser::Event& event);
   void finish(Outcome outcome, std::string text);
 
-  routing::EngineEvents& events_;
+  routing::EngineClientEvents& events_;
   routing::AttemptId id_;
-  routing::Job job_;
-  const provision::ReportMeanings& meanings_;
+  routing::Phase phase_;
+  const deployment_config::ReportMeanings& meanings_;
   http1::EventStreamParser parser_;
   routing::AttemptResult result_;
   Verdict verdict_ = Verdict::failed;
--- a/src/platform/engine/release_route.h
+++ b/src/platform/engine/release_route.h
@@ -17,13 +17,13 @@
 #include <utility>
 #include <vector>
 
-#include "brain.h"
 #include "engine/word.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook::platform {
 
 struct ReleaseCandidate {
-  ServerId server;
+  EndpointId endpoint;
   std::string_view cell;
   std::string_view zone;
   bool running = true;
@@ -33,8 +33,8 @@
 // How long one engine is waited for before the next is asked as well. An answer takes a few milliseconds, and
 // all must have been asked within the time that rule 5 gives.
 constexpr std::size_t kReleaseTargets = 8;
-inline Micros releaseHedge(Micros releaseWithin) {
-  return std::max<Micros>(1, releaseWithin / static_cast<Micros>(kReleaseTargets));
+inline Micros releaseHedge(Micros kvReleaseTimeout) {
+  return std::max<Micros>(1, kvReleaseTimeout / static_cast<Micros>(kReleaseTargets));
 }
 
 // Of a large fleet so many are looked at, in order of ids from a place that differs between requests.
@@ -42,10 +42,10 @@
 
 // Which of the listed engines (in order of ids) are looked at for a release: all, or kReleaseWindow and the
 // holder where it is listed.
-inline std::vector<ServerId> releaseWindow(const std::vector<ServerId>& listed, ServerId holder,
-                                           std::uint64_t request) {
+inline std::vector<EndpointId> releaseWindow(const std::vector<EndpointId>& listed, EndpointId holder,
+                                             std::uint64_t request) {
   if (listed.size() <= kReleaseWindow) return listed;
-  std::vector<ServerId> out;
+  std::vector<EndpointId> out;
   // Requests count up by one: a step apart, they look at other parts.
   const std::size_t from = request * kReleaseWindow % listed.size();
   for (std::size_t i = 0; i < kReleaseWindow; ++i) out.push_back(listed[(from + i) % listed.size()]);
@@ -56,30 +56,31 @@
 }
 
 // At most kReleaseTargets of those listed, each once, in the order in which they are to be asked.
-inline std::vector<ServerId> releaseRoute(ServerId holder, std::string_view ownZone,
-                                          std::vector<ReleaseCandidate> listed, std::uint64_t request) {
+inline std::vector<EndpointId> releaseRoute(EndpointId holder, std::string_view ownZone,
+                                            std::vector<ReleaseCandidate> listed, std::uint64_t request) {
   const auto known =
-      std::find_if(listed.begin(), listed.end(), [&](const auto& c) { return c.server == holder; });
+      std::find_if(listed.begin(), listed.end(), [&](const auto& c) { return c.endpoint == holder; });
   const bool cellKnown = known != listed.end();
   const std::string_view cell = cellKnown ? known->cell : std::string_view();
-  std::sort(listed.begin(), listed.end(), [](const auto& a, const auto& b) { return a.server < b.server; });
+  std::sort(listed.begin(), listed.end(),
+            [](const auto& a, const auto& b) { return a.endpoint < b.endpoint; });
   if (!listed.empty())
     std::rotate(listed.begin(), listed.begin() + static_cast<std::ptrdiff_t>(request % listed.size()),
                 listed.end());
   const auto rank = [&](const ReleaseCandidate& c) {
-    return static_cast<int>(c.word) * 8 + (c.server == holder ? 0 : 4) + (c.running ? 0 : 2) +
+    return static_cast<int>(c.word) * 8 + (c.endpoint == holder ? 0 : 4) + (c.running ? 0 : 2) +
            (cellKnown && c.cell == cell ? 0 : 1);
   };
   std::stable_sort(listed.begin(), listed.end(),
                    [&](const auto& a, const auto& b) { return rank(a) < rank(b); });
-  std::vector<ServerId> out;
+  std::vector<EndpointId> out;
   const auto room = [&] { return out.size() < kReleaseTargets; };
-  std::map<std::pair<bool, std::string_view>, std::vector<ServerId>> zones;  // own zone first
+  std::map<std::pair<bool, std::string_view>, std::vector<EndpointId>> zones;  // own zone first
   for (const auto& c : listed)
-    if (c.server == holder && c.word == engine::Word::heard)
-      out.push_back(c.server);
+    if (c.endpoint == holder && c.word == engine::Word::heard)
+      out.push_back(c.endpoint);
     else
-      zones[{c.zone != ownZone, c.zone}].push_back(c.server);
+      zones[{c.zone != ownZone, c.zone}].push_back(c.endpoint);
   for (std::size_t turn = 0; room() && turn < listed.size(); ++turn)
     for (const auto& [zone, servers] : zones)
       if (turn < servers.size() && room()) out.push_back(servers[turn]);
--- a/src/platform/front/connection_policy.h
+++ b/src/platform/http_frontend/connection_policy.h
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cstddef>
 
-#include "brain.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook::platform {
 
@@ -13,7 +13,7 @@
  public:
   struct Options {
     std::size_t connections = 512;     // at once
-    Micros requestWithin = 2'500'000;  // from its connection, or its first octet, to a request's last
+    Micros requestWithin = 2'500'000;  // from its connection, or its first byte, to a request's last
     Micros idleMost = 20'000'000;      // after an answer, where there is room
     Micros idleLeast = 2'100'000;      // and where there is none; clients count on two seconds
     // Of a connection between requests, while new ones wait for room. Its client sends a request that crosses
--- a/src/platform/front/http_connection.cpp
+++ b/src/platform/http_frontend/http_connection.cpp
@@ -1,4 +1,4 @@
-#include "platform/front/http_connection.h"
+#include "platform/http_frontend/http_connection.h"
 
 #include <algorithm>
 #include <charconv>
@@ -20,12 +20,12 @@
 constexpr int kLingerLooks = 10;
 
 http1::MessageLimits messageLimits() {
-  return {.headBytes = 16 * 1024, .bodyBytes = IntakeLimits().bodyBytes, .chunkLine = 256};
+  return {.headBytes = 16 * 1024, .bodyBytes = RequestLimits().bodyBytes, .chunkLine = 256};
 }
 
 }  // namespace
 
-HttpFront::Connection::Connection(HttpFront& owner, Poco::Net::StreamSocket socket, Micros waited)
+HttpFrontend::Connection::Connection(HttpFrontend& owner, Poco::Net::StreamSocket socket, Micros waited)
     : owner_(owner),
       parser_(http1::MessageParser::Kind::request, messageLimits(), *this),
       timer_(owner.loop_),
@@ -35,19 +35,19 @@
   limitRequest();
 }
 
-Standing HttpFront::Connection::standing() const {
+Standing HttpFrontend::Connection::standing() const {
   if (open_ || ended_ || parser_.midway() || !readAhead_.empty()) return Standing::busy;
   return answered_ ? Standing::idle : Standing::fresh;
 }
 
 // Once for each connection: the first reason is the one.
-void HttpFront::Connection::noteClose(CloseReason reason) {
+void HttpFrontend::Connection::noteClose(CloseReason reason) {
   if (std::exchange(closeNoted_, true)) return;
   const bool owed = open_ && !begun_ && !mayLeaveUnanswered(reason);
   owner_.noteClose(reason, open_ ? std::string_view(id_) : std::string_view(), owed);
 }
 
-void HttpFront::Connection::end(Inbound inbound, CloseReason reason) {
+void HttpFrontend::Connection::end(Inbound inbound, CloseReason reason) {
   if (std::exchange(ended_, true)) return;
   noteClose(reason);
   if (open_) leave();
@@ -60,7 +60,7 @@
 }
 
 // Waits for the client to close too; longer where it still reads what is left for it.
-void HttpFront::Connection::linger() {
+void HttpFrontend::Connection::linger() {
   unsentAtLook_ = stream_.pending();
   timer_.start(owner_.options_.lingerWithin, [this] {
     const bool reads = stream_.pending() > 0 && stream_.pending() < unsentAtLook_;
@@ -69,7 +69,7 @@
   });
 }
 
-void HttpFront::Connection::gone(CloseReason reason) {
+void HttpFrontend::Connection::gone(CloseReason reason) {
   if (std::exchange(gone_, true)) return;
   noteClose(reason);
   ended_ = true;
@@ -81,7 +81,7 @@
   owner_.closed(*this);
 }
 
-void HttpFront::Connection::drain(bool silent) {
+void HttpFrontend::Connection::drain(bool silent) {
   closing_ = true;
   const bool resting = standing() == Standing::idle || (silent && standing() == Standing::fresh);
   if (resting && stream_.quiet()) end(Inbound::leave, CloseReason::draining);
@@ -89,7 +89,7 @@
 
 // ---- bytes ----
 
-void HttpFront::Connection::onOctets(std::string_view bytes) {
+void HttpFrontend::Connection::onBytes(std::string_view bytes) {
   if (ended_) {
     lingered_ += bytes.size();
     if (lingered_ > owner_.options_.lingerBytes) gone(CloseReason::flooded);
@@ -107,7 +107,7 @@
 // Bytes that come while a request is open wait here. Reading goes on all the same, as nothing else tells that
 // the client has gone. Where too much waits, what comes from then on is thrown away, and the connection ends
 // behind the answers to what was kept. Guards the process's memory against peers that send without waiting.
-void HttpFront::Connection::keep(std::string_view bytes) {
+void HttpFrontend::Connection::keep(std::string_view bytes) {
   if (readAhead_.size() + bytes.size() > owner_.options_.aheadBytes ||
       owner_.aheadBytes_ + bytes.size() > owner_.options_.bodiesBytes) {
     flooded_ = closing_ = true;
@@ -119,7 +119,7 @@
 }
 
 // Tells how many bytes were taken: all, or those up to the end of a request.
-std::size_t HttpFront::Connection::feed(std::string_view bytes, Micros arrivedAt) {
+std::size_t HttpFrontend::Connection::feed(std::string_view bytes, Micros arrivedAt) {
   if (answered_ && !parser_.midway()) limitRequest();  // the first byte of another request
   arrivedAt_ = arrivedAt;
   parser_.resume();
@@ -128,23 +128,23 @@
   feeding_ = false;
   if (!ended_ && !good) {
     const auto error = parser_.error();
-    turnAway(error == "body too large" ? 413 : error == "head too large" ? 431 : 400, error);
+    reject(error == "body too large" ? 413 : error == "head too large" ? 431 : 400, error);
   }
   return ended_ ? bytes.size() : bytes.size() - parser_.untaken();
 }
 
 // Whether more was read behind the request that has just been parsed, or is being answered.
-bool HttpFront::Connection::moreBehind() const {
+bool HttpFrontend::Connection::moreBehind() const {
   return !readAhead_.empty() || (feeding_ && parser_.untaken() > 0);
 }
 
-void HttpFront::Connection::dropReadAhead() {
+void HttpFrontend::Connection::dropReadAhead() {
   owner_.aheadBytes_ -= readAhead_.size();
   readAhead_.clear();
 }
 
 // The next request of those that wait, in a turn of its own.
-void HttpFront::Connection::serveNextLater() {
+void HttpFrontend::Connection::serveNextLater() {
   if (std::exchange(nextPosted_, true)) return;
   owner_.loop_.post([this, alive = std::weak_ptr<bool>(alive_)] {
     if (alive.expired()) return;
@@ -153,7 +153,7 @@
   });
 }
 
-void HttpFront::Connection::serveNext() {
+void HttpFrontend::Connection::serveNext() {
   if (ended_ || open_) return;
   if (stream_.pending() > owner_.options_.unsentBytes) return awaitClientReading();
   int answers = 0;
@@ -172,7 +172,7 @@
 }
 
 // Answers to what waits would pile up here: the client has to read first, in the time of a request.
-void HttpFront::Connection::awaitClientReading() {
+void HttpFrontend::Connection::awaitClientReading() {
   if (owner_.loop_.now() - since_ > owner_.policy_.options().requestWithin)
     return gone(CloseReason::unreadAnswer);
   timer_.start(kUnsentLook, [this] { serveNext(); });
@@ -181,7 +181,7 @@
 // ---- requests ----
 
 // Bodies that are not whole yet count with those of open requests.
-void HttpFront::Connection::onBody(std::string_view bytes) {
+void HttpFrontend::Connection::onBody(std::string_view bytes) {
   if (ended_) return;
   if (owner_.bodies_ + bytes.size() > owner_.options_.bodiesBytes) {
     stream_.send(responseText({.status = 503,
@@ -195,18 +195,18 @@
   body_.append(bytes);
 }
 
-void HttpFront::Connection::releaseBody() {
+void HttpFrontend::Connection::releaseBody() {
   owner_.bodies_ -= std::exchange(bodyBytes_, 0);
   body_ = {};
 }
 
-void HttpFront::Connection::onHead(const http1::Head& head) {
+void HttpFrontend::Connection::onHead(const http1::Head& head) {
   head_ = head;
   if (const auto expect = http1::find(head.fields, "expect"); expect && *expect == "100-continue")
     stream_.send("HTTP/1.1 100 Continue\r\n\r\n");
 }
 
-void HttpFront::Connection::onEnd() {
+void HttpFrontend::Connection::onEnd() {
   parser_.stop();
   if (ended_) return;
   timer_.stop();
@@ -220,56 +220,57 @@
   }
   // A client that closed right behind its request is gone before anything begins for it.
   if (stream_.peerGone()) return gone(CloseReason::clientClosed);
-  auto read = readRequest(head_, std::move(body), owner_.provision_);
-  if (const auto* refusal = std::get_if<Refusal>(&read)) return turnAway(refusal->status, refusal->text);
-  auto& ask = std::get<routing::Ask>(read);
-  if (owner_.ids_.contains(ask.workId)) return turnAway(409, "X-Trace-Id: is that of an open request");
+  auto read = readRequest(head_, std::move(body), owner_.deployment_);
+  if (const auto* rejection = std::get_if<Rejection>(&read))
+    return reject(rejection->status, rejection->text);
+  auto& request = std::get<routing::Request>(read);
+  if (owner_.ids_.contains(request.traceId)) return reject(409, "X-Trace-Id: is that of an open request");
   // The process may end before an answer to it.
   if (owner_.refusing_) return reply(503, "the router is going down", owner_.options_.retryAfter);
   // The client's time runs from its last byte, also while that waits here behind another request.
-  ask.remaining -= owner_.loop_.now() - arrivedAt_;
-  open(std::move(ask), bodyBytes);
+  request.remaining -= owner_.loop_.now() - arrivedAt_;
+  open(std::move(request), bodyBytes);
 }
 
-void HttpFront::Connection::open(routing::Ask ask, std::size_t bodyBytes) {
-  id_ = ask.workId;
+void HttpFrontend::Connection::open(routing::Request request, std::size_t bodyBytes) {
+  id_ = request.traceId;
   owner_.ids_.insert(id_);
   bodyBytes_ = bodyBytes;
   owner_.bodies_ += bodyBytes_;
   open_ = true;
-  const auto request = owner_.router_.take(std::move(ask), *this);
-  if (open_) request_ = request;
+  const RequestId id = owner_.router_.accept(std::move(request), *this);
+  if (open_) request_ = id;
 }
 
-void HttpFront::Connection::limitRequest() {
+void HttpFrontend::Connection::limitRequest() {
   lookedAgain_ = false;
   timer_.start(owner_.policy_.options().requestWithin, [this] { tooSlow(); });
 }
 
-void HttpFront::Connection::tooSlow() {
+void HttpFrontend::Connection::tooSlow() {
   if (!stream_.quiet() && !std::exchange(lookedAgain_, true))
     return timer_.start(kLastLook, [this] { tooSlow(); });
   ++owner_.counters_.timedOut;
   if (!parser_.midway()) return end(Inbound::leave, CloseReason::tooSlow);
-  turnAway(408, "the request did not come whole in time");
+  reject(408, "the request did not come whole in time");
 }
 
-void HttpFront::Connection::closeRequest() {
+void HttpFrontend::Connection::closeRequest() {
   open_ = false;
   request_.reset();
   owner_.ids_.erase(id_);
   releaseBody();
 }
 
-void HttpFront::Connection::leave() {
+void HttpFrontend::Connection::leave() {
   const auto request = request_;
   closeRequest();
-  if (request) owner_.router_.leave(*request);
+  if (request) owner_.router_.cancel(*request);
 }
 
 // ---- answers ----
 
-void HttpFront::Connection::onTokens(const routing::Tokens& tokens) {
+void HttpFrontend::Connection::onTokens(const routing::Tokens& tokens) {
   std::string out;
   out.reserve(tokens.text.size() + 160);
   if (!std::exchange(begun_, true)) {
@@ -291,44 +292,45 @@
     });
 }
 
-void HttpFront::Connection::onEnd(const routing::Ending& ending) {
+void HttpFrontend::Connection::onCompletion(const routing::Completion& ending) {
   closeRequest();
   const bool begun = std::exchange(begun_, false);
-  if (ending.final == routing::Final::served) {
+  if (ending.disposition == routing::Disposition::completed) {
     if (!begun) return reply(502, "an answer without events", 0);
     stream_.send("0\r\n\r\n");
     return answered();
   }
   if (begun)
     return end(Inbound::read, CloseReason::streamBroken);  // without the last chunk, so that the client knows
-  if (ending.final == routing::Final::refused) {
-    const bool busy = ending.cause == routing::Cause::busy || ending.cause == routing::Cause::deadline;
+  if (ending.disposition == routing::Disposition::rejected) {
+    const bool busy = ending.failureReason == routing::FailureReason::overloaded ||
+                      ending.failureReason == routing::FailureReason::deadline;
     return reply(busy ? 429 : 503, ending.text, ending.retryAfter);
   }
-  reply(ending.cause == routing::Cause::deadline ? 504 : 502, ending.text, 0);
+  reply(ending.failureReason == routing::FailureReason::deadline ? 504 : 502, ending.text, 0);
 }
 
 // Whether the answer that begins now is the last one; its head has to say so.
-bool HttpFront::Connection::announceEnd() {
+bool HttpFrontend::Connection::announceEnd() {
   announced_ = lastRequest_ || (closing_ && !moreBehind());
   return announced_;
 }
 
-void HttpFront::Connection::reply(int status, std::string_view text, Micros retryAfter) {
+void HttpFrontend::Connection::reply(int status, std::string_view text, Micros retryAfter) {
   const bool last = announceEnd();
   stream_.send(responseText({.status = status, .text = text, .retryAfter = retryAfter, .keepAlive = !last}));
   answered();
 }
 
 // An error that says the request itself is at fault; what follows on this connection can't be trusted.
-void HttpFront::Connection::turnAway(int status, std::string_view text) {
-  ++owner_.counters_.turnedAway;
-  owner_.events_.turnedAway(status, text);
+void HttpFrontend::Connection::reject(int status, std::string_view text) {
+  ++owner_.counters_.rejected;
+  owner_.events_.rejected(status, text);
   stream_.send(responseText({.status = status, .text = text, .keepAlive = false}));
   end(Inbound::read, CloseReason::badRequest);
 }
 
-void HttpFront::Connection::answered() {
+void HttpFrontend::Connection::answered() {
   answered_ = true;
   since_ = owner_.loop_.now();
   if (announced_) return end(Inbound::read, CloseReason::answeredLast);
@@ -339,7 +341,7 @@
                [this] { idledOut(); });
 }
 
-void HttpFront::Connection::idledOut() {
+void HttpFrontend::Connection::idledOut() {
   if (!stream_.quiet()) return limitRequest();  // a request is there, unread
   ++owner_.counters_.idled;
   end(Inbound::leave, CloseReason::idle);
--- a/src/platform/front/http_connection.h
+++ b/src/platform/http_frontend/http_connection.h
@@ -13,18 +13,18 @@
 
 #include "http1/message.h"
 #include "net/stream.h"
-#include "platform/front/http_front.h"
-#include "platform/front/read_ahead.h"
-#include "platform/front/response.h"
+#include "platform/http_frontend/http_frontend.h"
+#include "platform/http_frontend/read_ahead.h"
+#include "platform/http_frontend/response.h"
 
 namespace garnethook::platform {
 
-class HttpFront::Connection final : public net::StreamEvents,
-                                    public http1::MessageEvents,
-                                    public routing::Client {
+class HttpFrontend::Connection final : public net::StreamEvents,
+                                       public http1::MessageEvents,
+                                       public routing::Client {
  public:
   // `waited`: how long it may have waited to be accepted, with its first request.
-  Connection(HttpFront& owner, Poco::Net::StreamSocket socket, Micros waited);
+  Connection(HttpFrontend& owner, Poco::Net::StreamSocket socket, Micros waited);
   ~Connection() override = default;
 
   ConnectionPolicy::Standing standing() const;
@@ -42,7 +42,7 @@
 
  private:
   // ---- bytes ----
-  void onOctets(std::string_view bytes) override;
+  void onBytes(std::string_view bytes) override;
   void onClosed(net::CloseCause) override { gone(CloseReason::clientClosed); }
   void noteClose(CloseReason reason);
   void keep(std::string_view bytes);
@@ -56,24 +56,24 @@
   void onHead(const http1::Head& head) override;
   void onBody(std::string_view bytes) override;
   void onEnd() override;
-  void open(routing::Ask ask, std::size_t bodyBytes);
+  void open(routing::Request request, std::size_t bodyBytes);
   void releaseBody();
   void limitRequest();
   void tooSlow();
   void closeRequest();
   void leave();
   // ---- answers ----
-  bool departed() const override { return stream_.peerGone(); }
+  bool isCancelled() const override { return stream_.peerGone(); }
   void onTokens(const routing::Tokens& tokens) override;
-  void onEnd(const routing::Ending& ending) override;
+  void onCompletion(const routing::Completion& ending) override;
   bool announceEnd();
   void reply(int status, std::string_view text, Micros retryAfter);
-  void turnAway(int status, std::string_view text);
+  void reject(int status, std::string_view text);
   void answered();
   void idledOut();
   void linger();
 
-  HttpFront& owner_;
+  HttpFrontend& owner_;
   http1::MessageParser parser_;
   timing::Alarm timer_;
   http1::Head head_;
--- a/src/platform/front/http_front.cpp
+++ b/src/platform/http_frontend/http_frontend.cpp
@@ -1,30 +1,31 @@
-#include "platform/front/http_front.h"
+#include "platform/http_frontend/http_frontend.h"
 
 #include <algorithm>
 #include <utility>
 #include <vector>
 
-#include "platform/front/http_connection.h"
+#include "platform/http_frontend/http_connection.h"
 
 namespace garnethook::platform {
 
-HttpFront::HttpFront(net::Loop& loop, const Poco::Net::SocketAddress& address, const Options& options,
-                     const provision::Provision& provision, routing::Router& router, Events events)
+HttpFrontend::HttpFrontend(net::Loop& loop, const Poco::Net::SocketAddress& address, const Options& options,
+                           const deployment_config::DeploymentConfig& deployment, routing::Router& router,
+                           Events events)
     : loop_(loop),
       options_(options),
       policy_(options.connections),
-      provision_(provision),
+      deployment_(deployment),
       router_(router),
       events_(std::move(events)),
       roomAlarm_(loop),
       listener_(loop, address, [this](Poco::Net::StreamSocket socket) { accept(std::move(socket)); }) {}
 
-HttpFront::~HttpFront() {
+HttpFrontend::~HttpFrontend() {
   *alive_ = false;
   connections_.clear();
 }
 
-void HttpFront::noteClose(CloseReason reason, std::string_view trace, bool owed) {
+void HttpFrontend::noteClose(CloseReason reason, std::string_view trace, bool owed) {
   ++counters_.closed[static_cast<std::size_t>(reason)];
   if (owed) ++counters_.closedUnanswered;
   events_.closed(reason, trace, owed);
@@ -32,17 +33,17 @@
 
 // Those whose end this side has told wait for their peers to close, as long as there are descriptors for
 // them.
-void HttpFront::ending(Connection& connection) {
+void HttpFrontend::ending(Connection& connection) {
   ending_.push_back(&connection);
   boundLingering();
 }
 
-void HttpFront::boundLingering() {
+void HttpFrontend::boundLingering() {
   const std::size_t most = options_.connections.connections + options_.lingering;
   if (connections_.size() > most && !ending_.empty()) ending_.front()->gone(CloseReason::stopped);
 }
 
-void HttpFront::accept(Poco::Net::StreamSocket socket) {
+void HttpFrontend::accept(Poco::Net::StreamSocket socket) {
   ++counters_.accepted;
   try {
     const Micros waited = loop_.now() - listener_.backlogSince().value_or(loop_.now());
@@ -58,7 +59,7 @@
 
 // Room for the next connection is made ahead. Where none may go yet, whoever comes waits in the system's
 // queue.
-void HttpFront::makeRoom() {
+void HttpFrontend::makeRoom() {
   if (!policy_.full(connections_.size() - ending_.size()) || evictOne()) return listener_.resume();
   ++counters_.overfull;
   listener_.pause();
@@ -67,7 +68,7 @@
 
 // The connection that has stood longest without a request goes, silent ones before those that have been used;
 // never one of which something waits unread.
-bool HttpFront::evictOne() {
+bool HttpFrontend::evictOne() {
   const Micros now = loop_.now();
   std::vector<std::pair<std::pair<bool, Micros>, Connection*>> order;
   for (const auto& [c, own] : connections_)
@@ -86,7 +87,7 @@
 }
 
 // It may be the one that calls: it ends in the loop's next turn.
-void HttpFront::closed(Connection& connection) {
+void HttpFrontend::closed(Connection& connection) {
   const auto at = connections_.find(&connection);
   if (at == connections_.end()) return;
   std::erase(ending_, &connection);
@@ -94,18 +95,18 @@
   connections_.erase(at);
 }
 
-void HttpFront::endIdle(bool silent) {
+void HttpFrontend::endIdle(bool silent) {
   std::vector<Connection*> all;
   for (const auto& [c, own] : connections_) all.push_back(c);
   for (Connection* c : all) c->drain(silent);
 }
 
-void HttpFront::drain() {
+void HttpFrontend::drain() {
   draining_ = true;
   endIdle(false);
 }
 
-void HttpFront::close() {
+void HttpFrontend::close() {
   draining_ = true;
   refusing_ = true;
   listener_.close();
--- a/src/platform/front/http_front.h
+++ b/src/platform/http_frontend/http_frontend.h
@@ -10,14 +10,14 @@
 #include <unordered_set>
 
 #include "net/stream.h"
-#include "platform/front/close_reason.h"
-#include "platform/front/connection_policy.h"
-#include "platform/front/intake.h"
+#include "platform/http_frontend/close_reason.h"
+#include "platform/http_frontend/connection_policy.h"
+#include "platform/http_frontend/request_decoder.h"
 #include "routing/router.h"
 
 namespace garnethook::platform {
 
-class HttpFront {
+class HttpFrontend {
  public:
   struct Options {
     ConnectionPolicy::Options connections;
@@ -32,8 +32,8 @@
   };
   struct Counters {
     std::uint64_t accepted = 0;
-    std::uint64_t turnedAway = 0;  // requests that could not be read, or asked for nothing there is
-    std::uint64_t timedOut = 0;    // connections without a whole request in time
+    std::uint64_t rejected = 0;  // requests that could not be read, or asked for nothing there is
+    std::uint64_t timedOut = 0;  // connections without a whole request in time
     std::uint64_t evicted = 0;
     std::uint64_t overfull = 0;  // connections closed as there was no room
     std::uint64_t idled = 0;     // closed between requests
@@ -43,15 +43,15 @@
   struct Events {
     std::function<bool()> ready;  // what `/-/ready` tells
     // A request that could not be read, or asked for nothing there is; the text names the cause.
-    std::function<void(int status, std::string_view text)> turnedAway = [](int, std::string_view) {};
+    std::function<void(int status, std::string_view text)> rejected = [](int, std::string_view) {};
     // A connection ended. `trace`: of the request that was open; `owed`: its answer, against the rules.
     std::function<void(CloseReason reason, std::string_view trace, bool owed)> closed =
         [](CloseReason, std::string_view, bool) {};
   };
 
-  HttpFront(net::Loop& loop, const Poco::Net::SocketAddress& address, const Options& options,
-            const provision::Provision& provision, routing::Router& router, Events events);
-  ~HttpFront();
+  HttpFrontend(net::Loop& loop, const Poco::Net::SocketAddress& address, const Options& options,
+               const deployment_config::DeploymentConfig& deployment, routing::Router& router, Events events);
+  ~HttpFrontend();
 
   // Answers end their connections from now on; those between requests end.
   void drain();
@@ -82,7 +82,7 @@
   net::Loop& loop_;
   Options options_;
   ConnectionPolicy policy_;
-  const provision::Provision& provision_;
+  const deployment_config::DeploymentConfig& deployment_;
   routing::Router& router_;
   Events events_;
   std::unordered_map<Connection*, std::unique_ptr<Connection>> connections_;
--- a/src/platform/front/read_ahead.h
+++ b/src/platform/http_frontend/read_ahead.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <utility>
 
-#include "brain.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook::platform {
 
--- a/src/platform/front/intake.cpp
+++ b/src/platform/http_frontend/request_decoder.cpp
@@ -1,4 +1,4 @@
-#include "platform/front/intake.h"
+#include "platform/http_frontend/request_decoder.h"
 
 #include <algorithm>
 #include <array>
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "config/json_depth.h"
-#include "provision/facts.h"
+#include "deployment_config/field_reader.h"
 
 namespace garnethook::platform {
 namespace {
@@ -49,8 +49,9 @@
 }
 
 // `name=value, ...`; names that are not known are passed over.
-std::string readProps(std::string_view text, const IntakeLimits& limits, routing::Ask& ask, bool& counted) {
-  for (auto part : provision::split(text, ',')) {
+std::string readProps(std::string_view text, const RequestLimits& limits, routing::Request& request,
+                      bool& counted) {
+  for (auto part : deployment_config::split(text, ',')) {
     while (!part.empty() && part.front() == ' ') part.remove_prefix(1);
     while (!part.empty() && part.back() == ' ') part.remove_suffix(1);
     const auto equals = part.find('=');
@@ -59,7 +60,7 @@
     const auto value = part.substr(equals + 1);
     if (name == "prefix") {
       if (value.size() > kLongestKey) return "X-Props: prefix is too long";
-      ask.shared = value;
+      request.sharedPrefixKey = value;
       continue;
     }
     if (name != "prompt_len" && name != "prefix_len" && name != "max_out") continue;
@@ -67,12 +68,12 @@
     if (!number || *number < 0 || static_cast<double>(*number) > limits.tokens)
       return "X-Props: " + std::string(name) + " is no length";
     if (name == "prompt_len") {
-      ask.promptTokens = static_cast<double>(*number);
+      request.promptTokens = static_cast<double>(*number);
       counted = true;
     } else if (name == "prefix_len") {
-      ask.sharedTokens = static_cast<double>(*number);
+      request.sharedPrefixTokens = static_cast<double>(*number);
     } else {
-      ask.maxOutput = static_cast<std::uint32_t>(*number);
+      request.maxOutput = static_cast<std::uint32_t>(*number);
     }
   }
   return {};
@@ -115,53 +116,53 @@
 
 }  // namespace
 
-std::variant<routing::Ask, Refusal> readRequest(const http1::Head& head, std::string body,
-                                                const provision::Provision& provision,
-                                                const IntakeLimits& limits) {
+std::variant<routing::Request, Rejection> readRequest(const http1::Head& head, std::string body,
+                                                      const deployment_config::DeploymentConfig& deployment,
+                                                      const RequestLimits& limits) {
   const auto path = std::string_view(head.target).substr(0, head.target.find('?'));
-  if (path != "/v1/chat/completions") return Refusal{404, "no such resource"};
-  if (head.method != "POST") return Refusal{405, "POST is wanted"};
+  if (path != "/v1/chat/completions") return Rejection{404, "no such resource"};
+  if (head.method != "POST") return Rejection{405, "POST is wanted"};
   const auto id = lone(head.fields, "x-trace-id");
   const auto kind = lone(head.fields, "x-qos");
   const auto session = lone(head.fields, "x-object");
   const auto expires = lone(head.fields, "x-expires-in-ms");
   const auto props = lone(head.fields, "x-props");
   for (const auto& field : {id, kind, session, expires, props})
-    if (field.twice) return Refusal{400, "a field of the request stands twice"};
+    if (field.twice) return Rejection{400, "a field of the request stands twice"};
 
-  routing::Ask ask;
-  if (!id.value || !isId(*id.value)) return Refusal{400, "X-Trace-Id: an id is wanted"};
-  ask.workId = *id.value;
-  if (!kind.value) return Refusal{400, "X-Qos: is missing"};
-  const auto index = provision::indexOf(provision.classNames, *kind.value);
-  if (!index) return Refusal{400, "X-Qos: no such class"};
-  ask.requestClass = *index;
+  routing::Request request;
+  if (!id.value || !isId(*id.value)) return Rejection{400, "X-Trace-Id: an id is wanted"};
+  request.traceId = *id.value;
+  if (!kind.value) return Rejection{400, "X-Qos: is missing"};
+  const auto index = deployment_config::indexOf(deployment.classNames, *kind.value);
+  if (!index) return Rejection{400, "X-Qos: no such class"};
+  request.requestClass = *index;
   const auto remaining = expires.value ? wholeNumber(*expires.value) : std::nullopt;
   if (!remaining || *remaining <= 0 || *remaining > limits.longestDeadline / 1000)
-    return Refusal{400, "X-Expires-In-Ms: whole milliseconds are wanted"};
-  ask.remaining = *remaining * 1000;
+    return Rejection{400, "X-Expires-In-Ms: whole milliseconds are wanted"};
+  request.remaining = *remaining * 1000;
   if (session.value) {
-    if (session.value->size() > kLongestKey) return Refusal{400, "X-Object: too long"};
-    ask.session = *session.value;
+    if (session.value->size() > kLongestKey) return Rejection{400, "X-Object: too long"};
+    request.session = *session.value;
   }
   bool counted = false;
   if (props.value)
-    if (auto trouble = readProps(*props.value, limits, ask, counted); !trouble.empty())
-      return Refusal{400, std::move(trouble)};
-  if (body.size() > limits.bodyBytes) return Refusal{413, "the body is too large"};
+    if (auto error = readProps(*props.value, limits, request, counted); !error.empty())
+      return Rejection{400, std::move(error)};
+  if (body.size() > limits.bodyBytes) return Rejection{413, "the body is too large"};
   // Engines would turn away, late and at a cost, what is no whole JSON object: a body that was cut short.
   if (body.empty() || body.front() != '{' || config::jsonDepth(body) > config::kDeepest ||
       !nlohmann::json::accept(body))
-    return Refusal{400, "the body is no JSON object"};
+    return Rejection{400, "the body is no JSON object"};
   if (!counted) {
-    ask.promptTokens = std::ceil(static_cast<double>(body.size()) / kCharactersPerToken);
-    ask.estimated = true;
+    request.promptTokens = std::ceil(static_cast<double>(body.size()) / kCharactersPerToken);
+    request.estimated = true;
   }
-  ask.sharedTokens = std::min(ask.sharedTokens, ask.promptTokens);
-  ask.target = head.target;
-  ask.fields = furtherFields(head.fields);
-  ask.body = std::make_shared<const std::string>(std::move(body));
-  return ask;
+  request.sharedPrefixTokens = std::min(request.sharedPrefixTokens, request.promptTokens);
+  request.target = head.target;
+  request.fields = furtherFields(head.fields);
+  request.body = std::make_shared<const std::string>(std::move(body));
+  return request;
 }
 
 }  // namespace garnethook::platform
--- a/src/platform/front/response.cpp
+++ b/src/platform/http_frontend/response.cpp
@@ -1,4 +1,4 @@
-#include "platform/front/response.h"
+#include "platform/http_frontend/response.h"
 
 namespace garnethook::platform {
 namespace {
--- a/src/platform/front/response.h
+++ b/src/platform/http_frontend/response.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-#include "brain.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook::platform {
 
--- a/src/platform/node/budget.h
+++ b/src/platform/process/resource_budget.h
@@ -9,21 +9,21 @@
 
 namespace garnethook::platform {
 
-struct Budget {
+struct ResourceBudget {
   std::size_t clients = 0;    // connections of clients
   std::size_t lingering = 0;  // and of those that have ended here and wait for their clients to close
   std::size_t attempts = 0;   // connections to engines that carry attempts, or rest
   std::size_t controls = 0;   // connections to engines that carry releases and probes
-  std::size_t bodies = 0;     // octets of open requests' bodies
+  std::size_t bodies = 0;     // bytes of open requests' bodies
 };
 
 // Descriptors: some are the process's own (the loop, logs, the listener, discovery). Of the rest clients get
 // half, attempts a little over a third, releases and probes a twelfth, since they must go out even when all
 // attempts are. A twentieth is left for connections that end.
-inline Budget share(const Limits& limits) {
+inline ResourceBudget share(const Limits& limits) {
   constexpr std::size_t kOwn = 24;
   const std::size_t free = limits.descriptors > 2 * kOwn ? limits.descriptors - kOwn : limits.descriptors / 2;
-  Budget out;
+  ResourceBudget out;
   out.clients = std::max<std::size_t>(8, free / 2);
   out.lingering = std::max<std::size_t>(4, free / 20);
   out.attempts = std::max<std::size_t>(8, free * 36 / 100);
--- a/src/decision/fleet.h
+++ b/src/policy/endpoint_registry.h
@@ -13,14 +13,14 @@
 #include <unordered_map>
 #include <vector>
 
-#include "hash.h"
-#include "state.h"
+#include "policy/hash.h"
+#include "policy/policy_state.h"
 
 namespace garnethook {
 
 class Fleet {
  public:
-  using Servers = std::map<ServerId, Server>;
+  using Servers = std::map<EndpointId, Server>;
   using Group = std::vector<const Server*>;
 
   // Up to so many servers of a role are looked at whole.
@@ -36,12 +36,12 @@
 
   Servers& all() { return servers_; }
   const Servers& all() const { return servers_; }
-  Server& at(ServerId id) { return servers_[id]; }
-  Server* find(ServerId id) {
+  Server& at(EndpointId id) { return servers_[id]; }
+  Server* find(EndpointId id) {
     const auto at = servers_.find(id);
     return at == servers_.end() ? nullptr : &at->second;
   }
-  const Server* find(ServerId id) const {
+  const Server* find(EndpointId id) const {
     const auto at = servers_.find(id);
     return at == servers_.end() ? nullptr : &at->second;
   }
@@ -56,8 +56,8 @@
   }
 
   // Servers with which this router has had to do, in order of ids.
-  const std::map<ServerId, Server*>& met() const { return met_; }
-  void meet(ServerId id, Server& server) { met_.emplace(id, &server); }
+  const std::map<EndpointId, Server*>& met() const { return met_; }
+  void meet(EndpointId id, Server& endpoint) { met_.emplace(id, &endpoint); }
 
   // Servers that started at a known time and had not warmed up when they were last looked at.
   std::vector<Server*>& starting() { return starting_; }
@@ -83,7 +83,7 @@
 
   // Adds the `count` listed servers of a role with the least weighted rendezvous hash of the key, in its
   // order; a server's weight is its `pull`, as of the last indexHashes().
-  void leastByWeightedHash(Role role, PrefixKey key, std::size_t count, std::vector<ServerId>& out) {
+  void leastByWeightedHash(Role role, PrefixKey key, std::size_t count, std::vector<EndpointId>& out) {
     if (!large(role)) return findLeast(role, key, count, out);
     auto& remembered = remembered_[index(role)];
     if (remembered.size() >= kRememberedKeys && !remembered.contains(key.value)) remembered.clear();
@@ -155,12 +155,12 @@
     if (s.info.zone) ++listedInZone_[*s.info.zone];
   }
 
-  void findLeast(Role role, PrefixKey key, std::size_t count, std::vector<ServerId>& out) const {
+  void findLeast(Role role, PrefixKey key, std::size_t count, std::vector<EndpointId>& out) const {
     if (count == 0) return;
     constexpr double kRange = 9007199254740992.0;  // 2^53
     const std::uint64_t mixedKey = mix(key.value + 0x9e3779b97f4a7c15ULL);
-    std::vector<std::pair<double, ServerId>> least;  // a heap, its worst first
-    double unlikely = 0;                             // draws below it are worse than all of a full heap
+    std::vector<std::pair<double, EndpointId>> least;  // a heap, its worst first
+    double unlikely = 0;                               // draws below it are worse than all of a full heap
     for (const Hashed& h : hashed_[index(role)]) {
       const double draw = static_cast<double>(mix(mixedKey ^ h.mixedId) >> 11) + 0.5;
       if (draw < unlikely) continue;
@@ -201,14 +201,14 @@
   struct Hashed {
     std::uint64_t mixedId;
     double weight;
-    ServerId id;
+    EndpointId id;
   };
   std::array<std::vector<Hashed>, 3> hashed_;
   double mostWeight_ = 1;
-  std::array<std::unordered_map<std::uint64_t, std::vector<ServerId>>, 3> remembered_;  // by key
+  std::array<std::unordered_map<std::uint64_t, std::vector<EndpointId>>, 3> remembered_;  // by key
   std::map<std::size_t, std::size_t> listedInZone_;
   std::unordered_multimap<std::uint64_t, Server*> byCell_;
-  std::map<ServerId, Server*> met_;
+  std::map<EndpointId, Server*> met_;
   std::vector<Server*> starting_;
   bool anyUnlisted_ = false;
 };
--- a/src/decision/hash.h
+++ b/src/policy/hash.h
@@ -3,7 +3,7 @@
 
 #include <cstdint>
 
-#include "brain.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook {
 
@@ -15,8 +15,8 @@
   value *= 0x94d049bb133111ebULL;
   return value ^ (value >> 31);
 }
-inline std::uint64_t rendezvous(PrefixKey key, ServerId server) {
-  return mix(mix(key.value + 0x9e3779b97f4a7c15ULL) ^ mix(server.value));
+inline std::uint64_t rendezvous(PrefixKey key, EndpointId endpoint) {
+  return mix(mix(key.value + 0x9e3779b97f4a7c15ULL) ^ mix(endpoint.value));
 }
 
 }  // namespace garnethook
--- a/src/decision/state.h
+++ b/src/policy/policy_state.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "brain.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook {
 
@@ -17,7 +17,7 @@
 
 struct Flight {  // an attempt that is out
   int number = 0;
-  ServerId server;
+  EndpointId endpoint;
   Stage stage = Stage::read;
   Micros sentAt = 0;
   double work = 0;       // predicted time of the read alone
@@ -72,18 +72,18 @@
 };
 
 struct Request {
-  RequestArrived ask;
+  RequestArrived request;
   RequestClass kind;
   Micros aimAt = 0;
   Micros deadline = 0;
   int attempts = 0;
   std::optional<Flight> out;
-  std::vector<ServerId> homes;  // where its beginning is hashed to, of each role
-  std::optional<ServerEntry> stateAt;
+  std::vector<EndpointId> homes;  // where its beginning is hashed to, of each role
+  std::optional<EndpointEntry> stateAt;
   Micros stateSince = 0;
-  std::vector<ServerId> failed;          // servers that failed it
+  std::vector<EndpointId> failed;        // servers that failed it
   std::vector<std::uint64_t> slowCells;  // where a writer gave it no first token in its time
-  std::optional<ServerEntry> riskAt;     // where it may have run ...
+  std::optional<EndpointEntry> riskAt;   // where it may have run ...
   Micros riskSince = 0;                  // ... and when it was first sent there
   double excess = 0;  // time by which it was last found too late to hope for; below 0: in time
   bool ended = false;
@@ -91,8 +91,8 @@
 };
 
 struct Server {
-  ServerEntry info;
-  Role role = Role::both;
+  EndpointEntry info;
+  Role role = Role::combined;
   double memory = 0;
   bool listed = false;
   double speed = 1;
@@ -109,7 +109,7 @@
   Micros trialWait = 0;  // 0: the shortest
   Micros heardAt = 0;
   Micros fullUntil = 0;
-  double turnedAway = 0;  // share of attempts there that were turned away of late, as of turnedAt
+  double rejected = 0;    // share of attempts there that were turned away of late, as of turnedAt
   double turnedTime = 0;  // and after what time
   Micros turnedAt = 0;
   Micros readDoneAt = 0;
@@ -168,7 +168,7 @@
 };
 
 struct Cached {
-  ServerId server;
+  EndpointId endpoint;
   double tokens = 0;
   Micros at = 0;
 };
--- a/src/decision/read_curve.h
+++ b/src/policy/prefill_cost_model.h
@@ -9,14 +9,15 @@
 
 // exec(x, y) = d + c x (1 - y) + a x^2 (1 - y^2), x in tokens, time in microseconds. Fitted online by
 // least squares with forgetting; coordinate descent keeps every coefficient at 0 or above.
-class ReadCurve {
+class PrefillCostModel {
  public:
   static constexpr double kMemory = 300;  // samples that still count
   static constexpr double kPrior = 3;     // weight of the starting guess, in samples
   static constexpr double kOutlier = 3;   // how far from its prediction a sample may pull, as a factor
 
   // Starting guess: a fixed part, and the time for 1,000 tokens.
-  ReadCurve(double delay, double perKiloToken) : prior_{delay, perKiloToken, 0}, coefficient_(prior_) {}
+  PrefillCostModel(double delay, double perKiloToken)
+      : prior_{delay, perKiloToken, 0}, coefficient_(prior_) {}
 
   double predict(double tokens, double cached) const {
     const auto f = features(tokens, cached);
--- a/src/decision/brain.cpp
+++ b/src/policy/routing_policy.cpp
@@ -3,7 +3,7 @@
 // Ordinary path, after MemServe: a request is read where reading it costs least, by a fitted curve of
 // prompt length and cached ratio plus the reader's queue; then it is answered by the writer of that
 // reader's cell with most room. Everything else here acts only when that path is in trouble.
-#include "brain.h"
+#include "policy/routing_policy.h"
 
 #include <algorithm>
 #include <array>
@@ -17,11 +17,11 @@
 #include <stdexcept>
 #include <unordered_map>
 
-#include "fleet.h"
-#include "hash.h"
-#include "read_curve.h"
-#include "settings.h"
-#include "state.h"
+#include "policy/endpoint_registry.h"
+#include "policy/hash.h"
+#include "policy/policy_state.h"
+#include "policy/prefill_cost_model.h"
+#include "policy/settings_validation.h"
 
 namespace garnethook {
 namespace {
@@ -32,8 +32,8 @@
 constexpr Micros kTableLife = 10 * kSecond;
 constexpr std::size_t kTableKeys = 50'000;
 // How far from its prediction a sample may pull, and samples that still count.
-constexpr double kOutlier = ReadCurve::kOutlier;
-constexpr double kCurveMemory = ReadCurve::kMemory;
+constexpr double kOutlier = PrefillCostModel::kOutlier;
+constexpr double kCurveMemory = PrefillCostModel::kMemory;
 constexpr double kPriorDelayShare = 0.02;  // of the smallest aim: fixed part of a read, to start with
 constexpr double kPriorTokenShare = 0.25;  // of that aim: a read of kPriorPrompt, when no slope is told
 constexpr double kPriorPrompt = 4000;
@@ -119,20 +119,21 @@
 }
 
 double smallestAim(const Settings& s) {
-  Micros aim = s.classes.empty() ? kSecond : std::numeric_limits<Micros>::max();
-  for (const auto& c : s.classes) aim = std::min(aim, std::max<Micros>(c.aim, 1000));
-  return asDouble(aim);
+  Micros ttftObjective = s.classes.empty() ? kSecond : std::numeric_limits<Micros>::max();
+  for (const auto& c : s.classes)
+    ttftObjective = std::min(ttftObjective, std::max<Micros>(c.ttftObjective, 1000));
+  return asDouble(ttftObjective);
 }
 
 double tokenSlope(const Settings& s) {  // starting guess of the time for 1,000 tokens
   double slope = 0;
-  for (const auto& c : s.classes) slope = std::max(slope, asDouble(c.aimPerKiloToken));
+  for (const auto& c : s.classes) slope = std::max(slope, asDouble(c.ttftObjectivePerKiloToken));
   return slope > 0 ? slope : kPriorTokenShare * smallestAim(s) * 1000 / kPriorPrompt;
 }
 
 }  // namespace
 
-class Brain::Impl {
+class RoutingPolicy::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed)
       : set_(checked(settings)),
@@ -153,10 +154,10 @@
  private:
   // ---- the list of servers ----
 
-  void on(const ServerList& list) {
-    subscribed_ = list.kind != ServerList::Kind::failed && list.kind != ServerList::Kind::remembered;
-    if (list.kind == ServerList::Kind::failed) return;
-    if (list.kind != ServerList::Kind::changes)
+  void on(const EndpointUpdate& list) {
+    subscribed_ = list.kind != EndpointUpdate::Kind::failure && list.kind != EndpointUpdate::Kind::staleCopy;
+    if (list.kind == EndpointUpdate::Kind::failure) return;
+    if (list.kind != EndpointUpdate::Kind::delta)
       for (auto& [id, s] : fleet_.all()) s.listed = false;
     for (const auto& entry : list.entries) update(entry);
     fleet_.reindex();
@@ -165,7 +166,7 @@
     fleet_.indexHashes();
   }
 
-  void update(const ServerEntry& entry) {
+  void update(const EndpointEntry& entry) {
     Server& s = fleet_.at(entry.id);
     if (s.info.startedAt != entry.startedAt) {  // a restart: nothing that was known of it holds
       s.tableFrom = now_;
@@ -177,15 +178,15 @@
       acquit(s);
     }
     s.info = entry;
-    s.listed = entry.state == ServerState::running;
+    s.listed = entry.state == EndpointState::running;
     const bool known = entry.kind && *entry.kind < set_.kinds.size();
-    s.role = known ? set_.kinds[*entry.kind].role : Role::writer;
+    s.role = known ? set_.kinds[*entry.kind].role : Role::decode;
     s.memory = known ? set_.kinds[*entry.kind].memoryTokens : 0;
   }
 
   // ---- health, by symptom ----
 
-  void strike(ServerId id, double points, const char* symptom) {
+  void strike(EndpointId id, double points, const char* symptom) {
     Server& s = fleet_.at(id);
     fleet_.meet(id, s);
     cuts_.clear();
@@ -240,8 +241,9 @@
 
   bool trusted(const Server& s, const Request& r) const {
     if (s.suspect) {
-      const bool probed = !set_.mayProbe || s.answeredProbe;
-      return probed && !s.trial && now_ >= s.trialAt && r.kind.effect == Effect::safe && r.attempts == 0;
+      const bool probed = !set_.canProbe || s.answeredProbe;
+      return probed && !s.trial && now_ >= s.trialAt && r.kind.idempotency == Idempotency::idempotent &&
+             r.attempts == 0;
     }
     return !quiet(s) && !(s.info.zone && cut(*s.info.zone));
   }
@@ -249,7 +251,7 @@
   // ---- cold servers ----
 
   bool cold(const Server& s) const {
-    return s.info.startedAt > 0 && now_ - s.info.startedAt < set_.warmWithin;
+    return s.info.startedAt > 0 && now_ - s.info.startedAt < set_.warmUpDuration;
   }
 
   static double sum(const std::deque<std::pair<Micros, double>>& ledger, Micros since) {
@@ -268,8 +270,8 @@
         work[static_cast<std::size_t>(s->role)] += sum(s->finished, now_ - kLoadHorizon);
     for (const Server* s : fleet_.starting())
       if (s->listed && cold(*s)) ++notWarm[static_cast<std::size_t>(s->role)];
-    const double window = asDouble(set_.fallAfter) / asDouble(kLoadHorizon);
-    for (const Role role : {Role::reader, Role::writer, Role::both}) {
+    const double window = asDouble(set_.overloadWindow) / asDouble(kLoadHorizon);
+    for (const Role role : {Role::prefill, Role::decode, Role::combined}) {
       const auto at = static_cast<std::size_t>(role);
       const auto all = asDouble(static_cast<Micros>(fleet_.listed(role)));
       const double warm = all - asDouble(static_cast<Micros>(notWarm[at]));
@@ -285,8 +287,8 @@
   // the budget. Guards against a hundred routers that each find an empty server at once, and against a share
   // kept back for chance, which at a few sends a window would be nearly all. Harm: idle routers' turns lapse.
   bool coldRoom(const Server& s) const {
-    if (!cold(s) || set_.fallMultiple <= 0 || set_.fallAfter <= 0) return true;
-    const auto fresh = [this](const auto& item) { return item.first > now_ - set_.fallAfter; };
+    if (!cold(s) || set_.overloadMultiple <= 0 || set_.overloadWindow <= 0) return true;
+    const auto fresh = [this](const auto& item) { return item.first > now_ - set_.overloadWindow; };
     return std::count_if(s.sends.begin(), s.sends.end(), fresh) <
            std::count_if(s.turns.begin(), s.turns.end(), fresh);
   }
@@ -299,15 +301,15 @@
       s.turns.clear();
       s.turn = 1 - turnPhase(s.info.id);
     }
-    if (!cold(s) || set_.fallAfter <= 0) return;
-    s.turn += windows * kColdTurns * set_.fallMultiple * set_.coldFrom *
+    if (!cold(s) || set_.overloadWindow <= 0) return;
+    s.turn += windows * kColdTurns * set_.overloadMultiple * set_.warmUpMinCapacity *
               std::max(0.0, usual_[static_cast<std::size_t>(s.role)]) / meanWork;
     for (; s.turn >= 1; --s.turn) s.turns.emplace_back(now_, 1);
-    while (!s.turns.empty() && s.turns.front().first <= now_ - set_.fallAfter) s.turns.pop_front();
+    while (!s.turns.empty() && s.turns.front().first <= now_ - set_.overloadWindow) s.turns.pop_front();
   }
 
   // By the router's number among all, or by lot where that is not told; another one at each server.
-  double turnPhase(ServerId id) const {
+  double turnPhase(EndpointId id) const {
     const double own =
         set_.self ? asDouble(static_cast<Micros>(*set_.self)) / asDouble(static_cast<Micros>(set_.routers))
                   : unit(order_.value);
@@ -319,8 +321,8 @@
 
   // What a send weighs on a server: the mean prompt of its class.
   double workOf(const Request& r) const {
-    const auto at = meanPrompt_.find(r.ask.requestClass.value_or(0));
-    return std::max(1.0, at == meanPrompt_.end() ? r.ask.promptTokens : at->second);
+    const auto at = meanPrompt_.find(r.request.requestClass.value_or(0));
+    return std::max(1.0, at == meanPrompt_.end() ? r.request.promptTokens : at->second);
   }
 
   bool usable(const Server& s) const { return s.listed && coldRoom(s) && now_ >= s.fullUntil; }
@@ -328,14 +330,14 @@
   // A request's tokens as this server counts them.
   double promptAt(const Request& r, const Server& s) const {
     const auto* own = countAt(r, s);
-    return own ? own->promptTokens : r.ask.promptTokens * s.info.promptFactor;
+    return own ? own->promptTokens : r.request.promptTokens * s.info.promptFactor;
   }
   double sharedAt(const Request& r, const Server& s) const {
     const auto* own = countAt(r, s);
-    return own ? own->sharedTokens : r.ask.sharedTokens * s.info.promptFactor;
+    return own ? own->sharedPrefixTokens : r.request.sharedPrefixTokens * s.info.promptFactor;
   }
   static const PromptCount* countAt(const Request& r, const Server& s) {
-    for (const auto& c : r.ask.counts)
+    for (const auto& c : r.request.counts)
       if (c.tokeniser == s.info.tokeniser) return &c;
     return nullptr;
   }
@@ -346,26 +348,27 @@
     const auto* places = table.find(key);
     if (places == nullptr) return 0;
     for (const auto& c : *places)
-      if (c.server == s.info.id && c.at >= s.tableFrom && now_ - c.at <= kTableLife) return c.tokens;
+      if (c.endpoint == s.info.id && c.at >= s.tableFrom && now_ - c.at <= kTableLife) return c.tokens;
     return 0;
   }
 
   double cached(const Request& r, const Server& s) const {
-    const double shared = std::min(cachedAt(shared_, r.ask.sharedBeginning, s), sharedAt(r, s));
-    return std::min(std::max(shared, cachedAt(sessions_, r.ask.session, s)), promptAt(r, s));
+    const double shared = std::min(cachedAt(shared_, r.request.sharedPrefix, s), sharedAt(r, s));
+    return std::min(std::max(shared, cachedAt(sessions_, r.request.session, s)), promptAt(r, s));
   }
 
-  void remember(Table& table, PrefixKey key, ServerId server, double tokens) {
+  void remember(Table& table, PrefixKey key, EndpointId endpoint, double tokens) {
     if (key.value == 0 || tokens <= 0 || (table.size() >= kTableKeys && !table.find(key))) return;
     auto& places = table.touch(key, now_);
-    std::erase_if(places, [&](const Cached& c) { return c.server == server || now_ - c.at > kTableLife; });
-    places.push_back({server, tokens, now_});
+    std::erase_if(places,
+                  [&](const Cached& c) { return c.endpoint == endpoint || now_ - c.at > kTableLife; });
+    places.push_back({endpoint, tokens, now_});
   }
 
   // A read tells how much it found. Broken promises in a row mean that the server lost its cache, by
   // whatever cause: what the table says of it is void, so that no key is sent there for nothing.
   void correct(const Request& r, const Flight& f, double found) {
-    Server& s = fleet_.at(f.server);
+    Server& s = fleet_.at(f.endpoint);
     const double shared = sharedAt(r, s);
     if (f.promised == 0 && shared > 0 && isHome(r, s))
       homeShare_ +=
@@ -373,8 +376,8 @@
     const bool broken = f.promised > 0 && found < f.promised / 2;
     s.emptyPromises = broken ? s.emptyPromises + 1 : 0;
     if (s.emptyPromises >= 2) s.tableFrom = now_;
-    remember(shared_, r.ask.sharedBeginning, f.server, shared);
-    remember(sessions_, r.ask.session, f.server, promptAt(r, s));
+    remember(shared_, r.request.sharedPrefix, f.endpoint, shared);
+    remember(sessions_, r.request.session, f.endpoint, promptAt(r, s));
   }
 
   // ---- choosing a reader: least queue plus read ----
@@ -451,7 +454,7 @@
     return std::max((backlog(s) + queue(s)) * speed(s), longestWait(s)) + readWork(r, s) * speed(s);
   }
 
-  static bool failedAt(const Request& r, ServerId id) {
+  static bool failedAt(const Request& r, EndpointId id) {
     return std::find(r.failed.begin(), r.failed.end(), id) != r.failed.end();
   }
 
@@ -484,17 +487,17 @@
   // servers for each request; harm: a better server outside of the set is passed over.
   Fleet::Group boundedSet(const Request& r, Role role, const std::uint64_t* cell, std::size_t sampled) const {
     Fleet::Group group = fleet_.part(role, cell);
-    const auto add = [&](ServerId id) {
+    const auto add = [&](EndpointId id) {
       const Server* s = fleet_.find(id);
       if (s != nullptr && s->role == role) group.push_back(s);
     };
-    for (const ServerId id : r.homes) add(id);
-    for (const auto* places : {shared_.find(r.ask.sharedBeginning), sessions_.find(r.ask.session)})
+    for (const EndpointId id : r.homes) add(id);
+    for (const auto* places : {shared_.find(r.request.sharedPrefix), sessions_.find(r.request.session)})
       if (places != nullptr)
-        for (const Cached& c : *places) add(c.server);
+        for (const Cached& c : *places) add(c.endpoint);
     const auto& all = fleet_.ofRole(role);
     for (std::size_t i = 0; i < sampled; ++i)
-      group.push_back(all[mix(order_.value ^ mix(r.ask.id.value * kSampledLate + i + 1)) % all.size()]);
+      group.push_back(all[mix(order_.value ^ mix(r.request.id.value * kSampledLate + i + 1)) % all.size()]);
     const auto byId = [](const Server* a, const Server* b) { return a->info.id < b->info.id; };
     std::sort(group.begin(), group.end(), byId);
     group.erase(std::unique(group.begin(), group.end()), group.end());
@@ -521,12 +524,12 @@
   // own reads look like a hot beginning, and more readers then keep it.
   void findHomes(Request& r) {
     r.homes.clear();
-    addHomes(r, Role::reader);
-    addHomes(r, Role::both);
+    addHomes(r, Role::prefill);
+    addHomes(r, Role::combined);
   }
 
   void addHomes(Request& r, Role role) {
-    const PrefixKey key = r.ask.sharedBeginning.value != 0 ? r.ask.sharedBeginning : r.ask.session;
+    const PrefixKey key = r.request.sharedPrefix.value != 0 ? r.request.sharedPrefix : r.request.session;
     const double share = reads_.of(key) / std::max(1.0, reads_.all());
     const double parts = share * asDouble(static_cast<Micros>(fleet_.listed(role)));
     const auto homes = std::min(fleet_.listed(role), 1 + static_cast<std::size_t>(parts));
@@ -536,12 +539,12 @@
 
   // Of a large role a request looks at some of many homes, this router's own: all routers together use all.
   void addOwnHomes(Request& r, Role role, PrefixKey key, std::size_t homes) {
-    std::vector<ServerId> all;
+    std::vector<EndpointId> all;
     fleet_.leastByWeightedHash(role, key, homes, all);
     const auto own = std::min(all.size(), kOwnHomes);
     std::partial_sort(
         all.begin(), all.begin() + static_cast<std::ptrdiff_t>(own), all.end(),
-        [this](ServerId a, ServerId b) { return rendezvous(order_, a) > rendezvous(order_, b); });
+        [this](EndpointId a, EndpointId b) { return rendezvous(order_, a) > rendezvous(order_, b); });
     r.homes.insert(r.homes.end(), all.begin(), all.begin() + static_cast<std::ptrdiff_t>(own));
   }
 
@@ -559,28 +562,28 @@
     for (const auto& [id, s] : fleet_.all())
       for (auto* c : {&cells[s.info.cell], &all})
         if (s.listed)
-          (s.role == Role::reader ? c->first : c->second) +=
-              s.role == Role::reader ? 1 : std::max(1.0, s.memory);
+          (s.role == Role::prefill ? c->first : c->second) +=
+              s.role == Role::prefill ? 1 : std::max(1.0, s.memory);
     const double fair = all.second / std::max(1.0, all.first);
     for (auto& [id, s] : fleet_.all()) {
       const auto& [readers, memory] = cells[s.info.cell];
       const double pull = memory / std::max(1.0, readers) / std::max(1.0, fair);
-      s.pull = s.role != Role::reader ? 1 : memory > 0 ? std::clamp(pull, kPullMin, kPullMax) : kPullFar;
+      s.pull = s.role != Role::prefill ? 1 : memory > 0 ? std::clamp(pull, kPullMin, kPullMax) : kPullFar;
     }
   }
 
   // The time that being turned away is likely to take at a server, once and again, before it lets one in.
   // Guards against servers that turn away slowly and show no load; where it is quick it costs next to
   // nothing.
-  double refusal(const Server& s) const {
-    const double share = s.turnedAway * freshness(s.turnedAt, kTurnedLife);
+  double rejection(const Server& s) const {
+    const double share = s.rejected * freshness(s.turnedAt, kTurnedLife);
     return s.turnedTime * share / std::max(kTurnedLeast, 1 - share);
   }
 
   void learnTurned(Server& s, const Flight& f, bool away) {
-    if (!away && s.turnedAway == 0) return;
-    const double share = s.turnedAway * freshness(s.turnedAt, kTurnedLife);
-    s.turnedAway = share + kTurnedWeight * ((away ? 1 : 0) - share);
+    if (!away && s.rejected == 0) return;
+    const double share = s.rejected * freshness(s.turnedAt, kTurnedLife);
+    s.rejected = share + kTurnedWeight * ((away ? 1 : 0) - share);
     s.turnedAt = now_;
     const double took = asDouble(now_ - f.sentAt);
     if (away) s.turnedTime += s.turnedTime == 0 ? took : kTurnedWeight * (took - s.turnedTime);
@@ -597,22 +600,22 @@
 
   const Server* pickReader(const Request& r, const std::vector<const Server*>& list) const {
     if (list.empty()) return nullptr;
-    const auto cost = [&](const Server& s) { return readCost(r, s) + refusal(s); };
+    const auto cost = [&](const Server& s) { return readCost(r, s) + rejection(s); };
     const bool known = std::any_of(list.begin(), list.end(), [&](auto* s) { return cached(r, *s) > 0; });
     auto homes = list;
     std::erase_if(homes, [&](auto* s) { return !isHome(r, *s); });
     const Server* home = known ? nullptr : least(homes, order_, cost);
-    const bool letsIn = home && refusal(*home) <= kTurnedHome * aim_;
+    const bool letsIn = home && rejection(*home) <= kTurnedHome * aim_;
     if (letsIn && readCost(r, *home) <= kHashGuard * asDouble(r.aimAt - now_)) return home;
-    return least(list, r.ask.sharedBeginning, cost);
+    return least(list, r.request.sharedPrefix, cost);
   }
 
   // ---- choosing a writer: most room in the reader's cell ----
 
   double tokensHeld(const Request& r, const Server& s) const {
-    const double perToken = std::max(1.0, asDouble(r.kind.tokenAim));
-    const double output =
-        r.ask.expectedOutput > 0 ? asDouble(r.ask.expectedOutput) / perToken : kOutputGuess * r.ask.maxOutput;
+    const double perToken = std::max(1.0, asDouble(r.kind.timePerOutputTokenObjective));
+    const double output = r.request.expectedOutput > 0 ? asDouble(r.request.expectedOutput) / perToken
+                                                       : kOutputGuess * r.request.maxOutput;
     return promptAt(r, s) + output;
   }
 
@@ -630,7 +633,7 @@
     double share = 0;
     double weight = 0;
     const auto servers =
-        asDouble(static_cast<Micros>(fleet_.listed(Role::writer) + fleet_.listed(Role::both)));
+        asDouble(static_cast<Micros>(fleet_.listed(Role::decode) + fleet_.listed(Role::combined)));
     std::array<double, 3> seen{1, 1, 1};
     queues_ = {};
     for (const auto& [id, s] : fleet_.met()) {
@@ -638,7 +641,7 @@
       const double met = freshness(s->queueAt, kQueueLife * aim_);
       queues_[static_cast<std::size_t>(s->role)] += met * s->queue;
       seen[static_cast<std::size_t>(s->role)] += met;
-      if (s->role == Role::reader) continue;
+      if (s->role == Role::prefill) continue;
       const double fresh = s->report.memoryShare ? freshness(s->reportAt, kShareLife) : 0;
       share += fresh * s->report.memoryShare.value_or(0);
       weight += fresh;
@@ -660,10 +663,10 @@
   // writers of a hot beginning's cell, one after the other; harm: a state crosses a link where one writer
   // alone is slow.
   const Server* pickWriter(const Request& r, std::uint64_t cell, double limit) const {
-    const auto list = candidates(r, Role::writer, &cell);
-    const auto mixed = candidates(r, Role::both, &cell);
+    const auto list = candidates(r, Role::decode, &cell);
+    const auto mixed = candidates(r, Role::combined, &cell);
     const auto score = [&](const Server& s) {
-      return fill(s, tokensHeld(r, s)) * speed(s) + refusal(s) / aim_;
+      return fill(s, tokensHeld(r, s)) * speed(s) + rejection(s) / aim_;
     };
     const auto best = [&](auto fits) -> const Server* {
       for (const auto* group : {&list, &mixed}) {
@@ -707,18 +710,19 @@
 
   // ---- a request's way ----
 
-  void on(const RequestArrived& ask) {
-    if (requests_.contains(ask.id)) return;
-    Request& r = requests_[ask.id];
-    r.ask = ask;
-    if (!ask.requestClass || *ask.requestClass >= set_.classes.size()) return end(r, false);
-    r.kind = set_.classes[*ask.requestClass];
-    r.aimAt = now_ + r.kind.aim + asMicros(asDouble(r.kind.aimPerKiloToken) * ask.promptTokens / 1000);
-    r.deadline = now_ + ask.remaining;
-    double& mean = meanPrompt_.try_emplace(*ask.requestClass, ask.promptTokens).first->second;
-    mean += 0.05 * (ask.promptTokens - mean);
+  void on(const RequestArrived& request) {
+    if (requests_.contains(request.id)) return;
+    Request& r = requests_[request.id];
+    r.request = request;
+    if (!request.requestClass || *request.requestClass >= set_.classes.size()) return end(r, false);
+    r.kind = set_.classes[*request.requestClass];
+    r.aimAt = now_ + r.kind.ttftObjective +
+              asMicros(asDouble(r.kind.ttftObjectivePerKiloToken) * request.promptTokens / 1000);
+    r.deadline = now_ + request.remaining;
+    double& mean = meanPrompt_.try_emplace(*request.requestClass, request.promptTokens).first->second;
+    mean += 0.05 * (request.promptTokens - mean);
     arrived_.emplace_back(now_, workOf(r));
-    setTimer(timerFor(ask.id, Purpose::deadline), std::max<Micros>(0, ask.remaining));
+    setTimer(timerFor(request.id, Purpose::deadline), std::max<Micros>(0, request.remaining));
     advance(r);
   }
 
@@ -727,9 +731,9 @@
     if (now_ >= r.deadline || r.attempts >= set_.maxAttempts || !mayTry(r)) return end(r, true);
     if (r.stateAt && !outlived(r)) return write(r);
     findHomes(r);
-    if (takesWhole(r) && whole(r, Role::both)) return;
-    if (const Server* reader = pickReader(r, Role::reader)) return read(r, *reader);
-    if (whole(r, Role::both) || (set_.writersRead && whole(r, Role::writer))) return;
+    if (takesWhole(r) && whole(r, Role::combined)) return;
+    if (const Server* reader = pickReader(r, Role::prefill)) return read(r, *reader);
+    if (whole(r, Role::combined) || (set_.decodeEndpointsPrefill && whole(r, Role::decode))) return;
     mayServeYet(r) ? look(r, asMicros(aim_ / kHoldLooks)) : end(r, true);
   }
 
@@ -737,7 +741,7 @@
   // hope the answer comes at once: a client that is held back can't try elsewhere or come back in time.
   bool mayServeYet(const Request& r) const {
     return anyListed([&](const Server& s) {
-      return !usable(s) && inScope(r, s) && (s.role != Role::writer || set_.writersRead) &&
+      return !usable(s) && inScope(r, s) && (s.role != Role::decode || set_.decodeEndpointsPrefill) &&
              readWork(r, s) + writeTime_ <= kHope * asDouble(hopeUntil(r) - now_);
     });
   }
@@ -745,18 +749,22 @@
 
   // Rule 2: an unsafe request that may have run is never tried again; a keyed one only while remembered.
   bool mayTry(const Request& r) const {
-    if (!r.riskAt || r.kind.effect == Effect::safe) return true;
-    return r.kind.effect == Effect::keyed && now_ - r.riskSince < r.kind.repeatWindow;
+    if (!r.riskAt || r.kind.idempotency == Idempotency::idempotent) return true;
+    return r.kind.idempotency == Idempotency::idempotentWithKey &&
+           now_ - r.riskSince < r.kind.deduplicationWindow;
   }
 
   bool inScope(const Request& r, const Server& s) const {
-    if (!r.riskAt || r.kind.effect == Effect::safe || r.kind.scope == RepeatScope::everywhere) return true;
+    if (!r.riskAt || r.kind.idempotency == Idempotency::idempotent ||
+        r.kind.deduplicationScope == DeduplicationScope::fleet)
+      return true;
     const auto& risk = *r.riskAt;
-    return r.kind.scope == RepeatScope::zone ? s.info.zone == risk.zone : s.info.cell == risk.cell;
+    return r.kind.deduplicationScope == DeduplicationScope::zone ? s.info.zone == risk.zone
+                                                                 : s.info.cell == risk.cell;
   }
 
   void read(Request& r, const Server& s) {
-    Flight f{.server = s.info.id, .stage = Stage::read};
+    Flight f{.endpoint = s.info.id, .stage = Stage::read};
     f.promised = cached(r, s);
     f.size = promptAt(r, s) - f.promised;
     f.work = readWork(r, s);
@@ -778,14 +786,14 @@
     return r.excess <= 0;
   }
 
-  Micros holdLimit() const { return set_.releaseWithin > 0 ? set_.releaseWithin : asMicros(aim_); }
+  Micros holdLimit() const { return set_.kvReleaseTimeout > 0 ? set_.kvReleaseTimeout : asMicros(aim_); }
 
   // Whether a state's time is over, as writes that never arrived have used it up: it is let go, and the
   // prompt read anew. Guards rule 5 where connections to writers fail one after another; harm: one more read.
   bool outlived(Request& r) {
     if (now_ - r.stateSince < holdLimit()) return false;
     r.stateAt.reset();
-    out_->push_back(Release{r.ask.id});
+    out_->push_back(Release{r.request.id});
     return true;
   }
 
@@ -795,15 +803,15 @@
     const Server* s = pickWriter(r, r.stateAt->cell, lastLook ? kAnyRoom : kRoom);
     if (s && !inScope(r, *s)) s = nullptr;
     if (!s) return lastLook || !answerableYet(r) ? end(r, true) : look(r, limit / kHoldLooks);
-    Flight f{.server = s->info.id, .stage = Stage::write};
+    Flight f{.endpoint = s->info.id, .stage = Stage::write};
     f.predicted = writeTime_ * speed(*s);
     f.size = f.held = tokensHeld(r, *s);
-    send(r, f, r.kind.effect == Effect::safe ? patience(r, f, kWritePatience) : 0);
+    send(r, f, r.kind.idempotency == Idempotency::idempotent ? patience(r, f, kWritePatience) : 0);
   }
 
   bool answerableYet(const Request& r) const {  // a state waits for room only while it may be in time
     return asDouble(r.deadline - now_) > writeTime_ &&
-           anyListed([&](const Server& s) { return s.role != Role::reader && inScope(r, s); });
+           anyListed([&](const Server& s) { return s.role != Role::prefill && inScope(r, s); });
   }
   template <class Test>
   bool anyListed(Test test) const {
@@ -818,34 +826,35 @@
     if (r.attempts > 0) return false;
     double mixed = 0;
     double writers = 0;
-    for (const Role role : {Role::both, Role::writer}) {
+    for (const Role role : {Role::combined, Role::decode}) {
       if (fleet_.large(role)) {
-        (role == Role::both ? mixed : writers) += fleet_.listedMemory(role) / streamTime(role);
+        (role == Role::combined ? mixed : writers) += fleet_.listedMemory(role) / streamTime(role);
         continue;
       }
       for (const Server* s : fleet_.ofRole(role))
-        if (s->listed) (role == Role::both ? mixed : writers) += std::max(1.0, s->memory) / streamTime(role);
+        if (s->listed)
+          (role == Role::combined ? mixed : writers) += std::max(1.0, s->memory) / streamTime(role);
     }
     if (mixed <= 0 || uniform() * (mixed + writers) >= mixed) return false;
-    const Server* s = pickReader(r, Role::both);
+    const Server* s = pickReader(r, Role::combined);
     return s && readWork(r, *s) <= kMixedRead * readTime_;
   }
 
   double& streamTime(Role role) { return streams_[static_cast<std::size_t>(role)]; }
 
   bool whole(Request& r, Role role) {
-    if (role == Role::writer) addHomes(r, role);
+    if (role == Role::decode) addHomes(r, role);
     const Server* s = pickReader(r, role);
     if (!s || !inScope(r, *s)) return false;
-    Flight f{.server = s->info.id, .stage = Stage::whole};
+    Flight f{.endpoint = s->info.id, .stage = Stage::whole};
     f.promised = cached(r, *s);
     f.size = promptAt(r, *s) - f.promised;
     f.work = readWork(r, *s);
     f.predicted = readCost(r, *s) + firstToken(*s);
     f.held = tokensHeld(r, *s);
     if (!hopeful(r, f.predicted, f.work, r.aimAt)) return false;
-    if (role == Role::writer && (r.attempts > 0 || fill(*s, f.held) > kEntryRoom)) return false;
-    send(r, f, r.kind.effect == Effect::safe ? patience(r, f, kWritePatience) : 0);
+    if (role == Role::decode && (r.attempts > 0 || fill(*s, f.held) > kEntryRoom)) return false;
+    send(r, f, r.kind.idempotency == Idempotency::idempotent ? patience(r, f, kWritePatience) : 0);
     return true;
   }
 
@@ -860,22 +869,22 @@
   }
 
   void send(Request& r, Flight f, Micros timeout) {
-    Server& s = fleet_.at(f.server);
-    fleet_.meet(f.server, s);
+    Server& s = fleet_.at(f.endpoint);
+    fleet_.meet(f.endpoint, s);
     f.number = r.attempts++;
     f.sentAt = now_;
     f.trial = s.suspect;
-    if (f.trial) s.trial = r.ask.id;
+    if (f.trial) s.trial = r.request.id;
     f.patience = timeout;
     s.held += f.held;
-    s.waits.set(r.ask.id, f);
+    s.waits.set(r.request.id, f);
     cuts_.clear();
     s.sends.emplace_back(now_, workOf(r));
-    if (f.work > 0) reads_.add({r.ask.sharedBeginning, now_, f.work});
+    if (f.work > 0) reads_.add({r.request.sharedPrefix, now_, f.work});
     r.out = f;
-    const bool watched = set_.mayCancel && timeout > 0;
-    out_->push_back(Send{r.ask.id, f.server, watched ? 0 : timeout});
-    if (watched) setTimer(timerFor(r.ask.id, Purpose::watch), timeout);
+    const bool watched = set_.canCancel && timeout > 0;
+    out_->push_back(Send{r.request.id, f.endpoint, watched ? 0 : timeout});
+    if (watched) setTimer(timerFor(r.request.id, Purpose::watch), timeout);
   }
 
   void on(const StreamStarted& event) {
@@ -886,8 +895,8 @@
     f.started = true;
     f.startedAt = now_;
     r.stateAt.reset();
-    Server& s = fleet_.at(f.server);
-    heard(s, r.ask.id, f);
+    Server& s = fleet_.at(f.endpoint);
+    heard(s, r.request.id, f);
     const double took = asDouble(now_ - f.sentAt);
     learnSpeed(s, took / std::max(1.0, f.predicted));
     if (f.stage == Stage::whole) learnQueue(s, took - (f.work + writeTime_) * speed(s));
@@ -913,17 +922,17 @@
     Request& r = at->second;
     const Flight f = *r.out;
     r.out.reset();
-    Server& s = fleet_.at(f.server);
+    Server& s = fleet_.at(f.endpoint);
     if (event.report) note(s, *event.report);
     s.held = std::max(0.0, s.held - f.held);
     judge(r, s, f, event);
-    s.waits.erase(r.ask.id);
+    s.waits.erase(r.request.id);
     cuts_.clear();
-    if (s.trial == r.ask.id) s.trial.reset();
-    if (event.arrived) r.stateSince = now_;
-    if (event.outcome == Outcome::readDone || event.outcome == Outcome::served)
+    if (s.trial == r.request.id) s.trial.reset();
+    if (event.reachedEndpoint) r.stateSince = now_;
+    if (event.outcome == Outcome::prefillDone || event.outcome == Outcome::completed)
       s.finished.emplace_back(now_, workOf(r));
-    if (event.last) r.ended = true;
+    if (event.requestEnded) r.ended = true;
     if (r.ended) return forget(r);
     advance(r);
   }
@@ -952,29 +961,30 @@
 
   void judge(Request& r, Server& s, const Flight& f, const AttemptEnded& event) {
     switch (event.outcome) {
-      case Outcome::readDone: return readDone(r, s, f, event.foundTokens);
-      case Outcome::served:
-        heard(s, r.ask.id, f);
+      case Outcome::prefillDone: return readDone(r, s, f, event.cachedTokens);
+      case Outcome::completed:
+        heard(s, r.request.id, f);
         if (f.started)
           streamTime(s.role) += kStreamWeight * (asDouble(now_ - f.startedAt) - streamTime(s.role));
-        if (f.stage == Stage::whole) correct(r, f, event.foundTokens);
+        if (f.stage == Stage::whole) correct(r, f, event.cachedTokens);
         return;
-      case Outcome::full: return full(r, s, f, event);
+      case Outcome::rejected: return full(r, s, f, event);
       case Outcome::notSent: return;
-      case Outcome::connectFailed: strike(f.server, kStrikeConnect, "no connection"); break;
-      case Outcome::reset:
-        if (event.keptConnection && f.stage == Stage::read)
+      case Outcome::connectFailed: strike(f.endpoint, kStrikeConnect, "no connection"); break;
+      case Outcome::connectionReset:
+        if (event.reusedConnection && f.stage == Stage::read)
           return;  // once more, at the same server if it is best
-        if (!event.keptConnection) strike(f.server, kStrikeReset, "reset");
+        if (!event.reusedConnection) strike(f.endpoint, kStrikeReset, "reset");
         break;
-      case Outcome::error: strike(f.server, kStrikeError, "error"); break;
+      case Outcome::error: strike(f.endpoint, kStrikeError, "error"); break;
       case Outcome::cancelled:
         // A client that went away early tells nothing of the server that had its request.
         if (r.left && asDouble(now_ - f.sentAt) < kReadPatience * f.predicted) return;
         [[fallthrough]];
       case Outcome::timedOut:
-        if (s.heardAt <= f.sentAt) strike(f.server, kStrikeTimeout, "silence");  // else it is slow, not sick
-        if (const Flight* w = s.waits.find(r.ask.id); w && lost(*w, kQuietShare)) break;
+        if (s.heardAt <= f.sentAt)
+          strike(f.endpoint, kStrikeTimeout, "silence");  // else it is slow, not sick
+        if (const Flight* w = s.waits.find(r.request.id); w && lost(*w, kQuietShare)) break;
         learnSpeed(s, kSpeedMax);
         if (f.stage == Stage::write) {
           learnFleetFirst(asDouble(now_ - f.sentAt));  // at least that long
@@ -983,9 +993,9 @@
         if (f.stage != Stage::write) learnQueue(s, asDouble(now_ - f.sentAt) - f.work * speed(s));
         break;
     }
-    r.failed.push_back(f.server);
+    r.failed.push_back(f.endpoint);
     if (f.stage != Stage::read && event.outcome != Outcome::connectFailed && !r.riskAt) {
-      r.riskAt = fleet_.at(f.server).info;
+      r.riskAt = fleet_.at(f.endpoint).info;
       r.riskSince = f.sentAt;
     }
   }
@@ -1000,7 +1010,7 @@
     learnSpeed(s, took / std::max(1.0, f.predicted / speed(s)));
     readTime_ += readTime_ == 0 ? alone : 0.05 * (alone - readTime_);
     s.readDoneAt = now_;
-    heard(s, r.ask.id, f);
+    heard(s, r.request.id, f);
     correct(r, f, found);
     r.stateAt = s.info;
   }
@@ -1008,9 +1018,9 @@
   // Full is an answer: the server lives. Without a state it is the state that failed, by its reader's
   // death, a cut or a release, so the writer is not blamed and the prompt is read anew elsewhere.
   void full(Request& r, Server& s, const Flight& f, const AttemptEnded& event) {
-    if (event.arrived) s.heardAt = now_;
+    if (event.reachedEndpoint) s.heardAt = now_;
     cuts_.clear();
-    if (event.stateMissing && r.stateAt) {
+    if (event.kvStateMissing && r.stateAt) {
       r.failed.push_back(r.stateAt->id);
       r.stateAt.reset();
       return;
@@ -1021,7 +1031,7 @@
   }
 
   void look(Request& r, Micros delay) {
-    setTimer(timerFor(r.ask.id, Purpose::look), std::max<Micros>(1000, delay));
+    setTimer(timerFor(r.request.id, Purpose::look), std::max<Micros>(1000, delay));
   }
 
   void on(const TimerFired& event) {
@@ -1041,15 +1051,15 @@
   void watch(Request& r) {
     if (!r.out || r.out->started || r.out->patience == 0) return;
     const Micros due = r.out->sentAt + r.out->patience;
-    const Server& s = fleet_.at(r.out->server);
-    const Flight* w = s.waits.find(r.ask.id);
+    const Server& s = fleet_.at(r.out->endpoint);
+    const Flight* w = s.waits.find(r.request.id);
     if (now_ < due || (s.heardAt > r.out->sentAt && !(w && lost(*w, 1))))
-      return setTimer(timerFor(r.ask.id, Purpose::watch), std::max(due - now_, r.out->patience / 2));
-    out_->push_back(Cancel{r.ask.id, r.out->number});
+      return setTimer(timerFor(r.request.id, Purpose::watch), std::max(due - now_, r.out->patience / 2));
+    out_->push_back(Cancel{r.request.id, r.out->number});
     r.out->patience = 0;
   }
 
-  void on(const RequestGone& event) {
+  void on(const RequestCancelled& event) {
     const auto at = requests_.find(event.id);
     if (at == requests_.end()) return;
     at->second.ended = at->second.left = true;
@@ -1057,21 +1067,23 @@
   }
 
   void on(const PromptCounted& event) {
-    if (const auto at = requests_.find(event.id); at != requests_.end()) at->second.ask.counts = event.counts;
+    if (const auto at = requests_.find(event.id); at != requests_.end())
+      at->second.request.counts = event.counts;
   }
 
   // ---- ends: one final answer, then nothing held ----
 
   // Refusing promises that a retry is harmless: only where nothing may have run.
   void end(Request& r, bool known) {
-    const bool harmless = r.kind.effect == Effect::safe ||
-                          (r.kind.effect == Effect::keyed && r.kind.scope == RepeatScope::everywhere) ||
+    const bool harmless = r.kind.idempotency == Idempotency::idempotent ||
+                          (r.kind.idempotency == Idempotency::idempotentWithKey &&
+                           r.kind.deduplicationScope == DeduplicationScope::fleet) ||
                           (!r.riskAt && (!r.out || r.out->stage == Stage::read));
-    const bool readOut = r.out && r.kind.effect != Effect::safe;
+    const bool readOut = r.out && r.kind.idempotency != Idempotency::idempotent;
     if (known && harmless && !readOut)
-      out_->push_back(Refuse{r.ask.id, retryAfter(r)});
+      out_->push_back(Reject{r.request.id, retryAfter(r)});
     else
-      out_->push_back(Fail{r.ask.id});
+      out_->push_back(Fail{r.request.id});
     r.ended = true;
     forget(r);
   }
@@ -1086,27 +1098,27 @@
   }
 
   void forget(Request& r) {
-    if (r.out && !r.out->started && set_.mayCancel) out_->push_back(Cancel{r.ask.id, r.out->number});
-    out_->push_back(Release{r.ask.id});
-    if (!r.out) requests_.erase(r.ask.id);  // else at the outcome of what is out, which may leave a state
+    if (r.out && !r.out->started && set_.canCancel) out_->push_back(Cancel{r.request.id, r.out->number});
+    out_->push_back(Release{r.request.id});
+    if (!r.out) requests_.erase(r.request.id);  // else at the outcome of what is out, which may leave a state
   }
 
   // ---- probes, lists to be asked for, memory ----
 
   void on(const ProbeEnded& event) {
-    Server* const known = fleet_.find(event.server);
+    Server* const known = fleet_.find(event.endpoint);
     if (known == nullptr) return;
     Server& s = *known;
     s.probing = false;
     if (event.report) note(s, *event.report);
     s.answeredProbe = event.ok;
-    if (!event.ok) strike(event.server, kStrikeConnect, "probe unanswered");
+    if (!event.ok) strike(event.endpoint, kStrikeConnect, "probe unanswered");
   }
 
   void tick() {
     ticking_ = true;
     setTimer(timerFor({0}, Purpose::tick), kTick);
-    if (set_.discovery == Discovery::ask && !subscribed_) out_->push_back(Subscribe{});
+    if (set_.discovery == Discovery::poll && !subscribed_) out_->push_back(Subscribe{});
     while (!arrived_.empty() && arrived_.front().first < now_ - kLoadHorizon) arrived_.pop_front();
     reads_.expire(now_ - kTableLife);
     std::erase_if(fleet_.starting(), [this](const Server* s) { return !cold(*s); });
@@ -1115,24 +1127,24 @@
     const double arrived = asDouble(std::ssize(arrived_));  // with none there is no demand, and no turn
     const double meanWork = std::max(1.0, sum(arrived_, 0) / std::max(1.0, arrived));
     const double windows =
-        arrived > 0 ? asDouble(now_ - tickedAt_) / std::max(1.0, asDouble(set_.fallAfter)) : 0;
+        arrived > 0 ? asDouble(now_ - tickedAt_) / std::max(1.0, asDouble(set_.overloadWindow)) : 0;
     for (Server* s : fleet_.starting()) giveTurns(*s, windows, meanWork);
     for (const auto& [id, s] : fleet_.met()) {
       for (auto* ledger : {&s->sends, &s->finished})
         while (!ledger->empty() && ledger->front().first < now_ - kLoadHorizon) ledger->pop_front();
-      if (!set_.mayProbe || !s->suspect || !s->listed || s->probing || s->answeredProbe || now_ < s->trialAt)
+      if (!set_.canProbe || !s->suspect || !s->listed || s->probing || s->answeredProbe || now_ < s->trialAt)
         continue;
       s->probing = true;
       out_->push_back(Probe{id});
     }
     fleet_.forgetGone();
-    std::erase_if(suspects_, [this](ServerId id) { return fleet_.find(id) == nullptr; });
+    std::erase_if(suspects_, [this](EndpointId id) { return fleet_.find(id) == nullptr; });
     for (auto* table : {&shared_, &sessions_}) table->expire(now_ - kTableLife);
     tickedAt_ = now_;
   }
 
   void setTimer(TimerId id, Micros delay) { out_->push_back(SetTimer{id, delay}); }
-  void say(ServerId id, const std::string& what, const std::string& why) {
+  void say(EndpointId id, const std::string& what, const std::string& why) {
     out_->push_back(Log{"server " + std::to_string(id.value) + " " + what + ": " + why});
   }
   double uniform() { return unit(random_()); }
@@ -1144,7 +1156,7 @@
   double evidence_ = 0;  // 0: own streams tell nothing of a server's load, 1: all
   double others_ = 1;
   double aim_;  // smallest of the classes' aims
-  ReadCurve curve_;
+  PrefillCostModel curve_;
   double writeTime_;      // usual time from a send to a writer to the first token
   double firstTime_ = 0;  // first tokens of all writers, of late
   Micros firstAt_ = 0;
@@ -1161,7 +1173,7 @@
   Micros now_ = 0;
   std::vector<Action>* out_ = nullptr;
   Fleet fleet_{order_};
-  std::set<ServerId> suspects_;  // some may have left the list
+  std::set<EndpointId> suspects_;  // some may have left the list
   std::map<RequestId, Request> requests_;
   mutable std::map<std::size_t, bool>
       cuts_;  // zones whose state is known, until anything that counts changes
@@ -1173,12 +1185,13 @@
   std::array<double, 3> usual_{-1, -1, -1};        // by role; negative: never seen
 };
 
-Brain::Brain(const Settings& settings, std::uint64_t seed) : impl_(std::make_unique<Impl>(settings, seed)) {}
-Brain::Brain(Brain&&) noexcept = default;
-Brain& Brain::operator=(Brain&&) noexcept = default;
-Brain::~Brain() = default;
+RoutingPolicy::RoutingPolicy(const Settings& settings, std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(settings, seed)) {}
+RoutingPolicy::RoutingPolicy(RoutingPolicy&&) noexcept = default;
+RoutingPolicy& RoutingPolicy::operator=(RoutingPolicy&&) noexcept = default;
+RoutingPolicy::~RoutingPolicy() = default;
 
-void Brain::handle(Micros now, const Event& event, std::vector<Action>& actions) {
+void RoutingPolicy::handle(Micros now, const Event& event, std::vector<Action>& actions) {
   impl_->handle(now, event, actions);
 }
 
--- a/src/decision/settings.h
+++ b/src/policy/settings_validation.h
@@ -1,7 +1,7 @@
 // Check of the settings at construction.
 #pragma once
 
-#include "brain.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook {
 
--- a/src/routing/held_states.h
+++ b/src/routing/kv_reservation_tracker.h
@@ -14,36 +14,36 @@
 #include <utility>
 #include <vector>
 
-#include "brain.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook::routing {
 
-class HeldStates {
+class KvReservationTracker {
  public:
   struct Options {
-    Micros releaseWithin = 500'000;  // rule 5
-    int tries = 40;                  // of one release; then the reader's own time-out is relied on
-    Micros pause = 100'000;          // before the second try; doubled up to half of releaseWithin, so that a
-                                     // reader that can be reached again is told within that time
-    bool sparesAwaited = false;      // a release leaves alone what a write at an engine waits for
+    Micros kvReleaseTimeout = 500'000;  // rule 5
+    int tries = 40;                     // of one release; then the reader's own time-out is relied on
+    Micros pause = 100'000;      // before the second try; doubled up to half of releaseWithin, so that a
+                                 // reader that can be reached again is told within that time
+    bool sparesAwaited = false;  // a release leaves alone what a write at an engine waits for
   };
   struct Call {
-    ServerId server;
+    EndpointId endpoint;
     RequestId request;
   };
-  explicit HeldStates(const Options& options) : options_(options) {}
+  explicit KvReservationTracker(const Options& options) : options_(options) {}
 
   // A read of the request went to the reader. A release of an earlier read of it there is not tried again: it
   // could let go of the new state.
-  void readSent(RequestId request, ServerId reader, Micros now);
+  void readSent(RequestId request, EndpointId reader, Micros now);
   // The time of what earlier reads may have left is over while a read at the reader is out that may never
   // have arrived: the calls to be made now. At that reader there is one only where releases spare what is
   // awaited, and it is not tried again.
-  std::vector<Call> releaseOthers(RequestId request, ServerId reader, Micros now);
+  std::vector<Call> releaseOthers(RequestId request, EndpointId reader, Micros now);
   // The read is known to have left nothing (the reader turned it away, or was never reached).
-  void nothingLeft(RequestId request, ServerId reader);
+  void nothingLeft(RequestId request, EndpointId reader);
   // A writer has begun to answer: the fetched state's reader has let go by itself.
-  void consumed(RequestId request, ServerId reader);
+  void consumed(RequestId request, EndpointId reader);
   // An attempt of the request ended that had reached an engine: the time for what is held starts anew.
   void outcome(RequestId request, Micros now);
   // When what is held for the request has to be taken or let go, unless an attempt has reached an engine by
@@ -57,7 +57,7 @@
   // How a call ended. Failed ones are due again after the pause, up to the tries.
   void ended(const Call& call, bool ok, Micros now);
   // A reader is gone or was restarted: what it held is gone.
-  void readerLost(ServerId reader);
+  void readerLost(EndpointId reader);
   // Calls that are due again by now.
   std::vector<Call> due(Micros now);
 
@@ -70,7 +70,7 @@
   Micros slowest() const { return slowest_; }             // longest time from the release's start to its end
 
  private:
-  using Key = std::pair<RequestId, ServerId>;
+  using Key = std::pair<RequestId, EndpointId>;
   struct Release {
     Micros since = 0;
     Micros again = 0;  // 0: a call is out
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -8,7 +8,7 @@
 #include <cmath>
 #include <utility>
 
-#include "routing/final_rules.h"
+#include "routing/execution_history.h"
 
 namespace garnethook::routing {
 namespace {
@@ -24,14 +24,16 @@
 
 }  // namespace
 
-std::string_view name(Cause cause) {
+std::string_view name(FailureReason cause) {
   constexpr std::array<std::string_view, 12> names{
       "none",   "busy",          "no-engine",      "too-many",    "stopping",    "deadline",
       "engine", "stream-broken", "stream-stalled", "bad-request", "slow-client", ""};
   return names[static_cast<std::size_t>(cause)];
 }
 
-std::string_view name(Job job) { return job == Job::read ? "read" : job == Job::write ? "write" : "whole"; }
+std::string_view name(Phase phase) {
+  return phase == Phase::prefill ? "read" : phase == Phase::decode ? "write" : "whole";
+}
 
 std::string_view name(Outcome outcome) {
   constexpr std::array<std::string_view, 9> names{
@@ -39,7 +41,7 @@
   return names[static_cast<std::size_t>(outcome)];
 }
 
-std::string withNames(std::string_view said, const std::function<std::string(ServerId)>& nameOf) {
+std::string withNames(std::string_view said, const std::function<std::string(EndpointId)>& nameOf) {
   std::string out;
   for (std::size_t at = 0; at < said.size();) {
     const auto end = std::min(said.find(' ', at), said.size());
@@ -53,7 +55,7 @@
   return out;
 }
 
-Router::Router(const Options& options, timing::Timers& timers, Engines& engines, Observer& observer)
+Router::Router(const Options& options, timing::Timers& timers, EngineClient& engines, Observer& observer)
     : options_(options),
       timers_(timers),
       engines_(engines),
@@ -63,88 +65,92 @@
       held_(options.held),
       releaseAlarm_(timers_) {}
 
-Router::Life* Router::find(RequestId id) {
+Router::ActiveRequest* Router::find(RequestId id) {
   const auto at = lives_.find(id.value);
   return at == lives_.end() ? nullptr : &at->second;
 }
 
-RequestId Router::take(Ask ask, Client& client) {
+RequestId Router::accept(Request request, Client& client) {
   const RequestId id{nextId_++};
   ++counters_.taken;
-  Life& life = lives_[id.value];
-  life.ask = std::move(ask);
+  ActiveRequest& life = lives_[id.value];
+  life.request = std::move(request);
   life.client = &client;
   life.arrived = timers_.now();
-  life.workId =
-      life.ask.workId.empty() ? options_.instance + "-" + std::to_string(id.value) : life.ask.workId;
+  life.traceId = life.request.traceId.empty() ? options_.instance + "-" + std::to_string(id.value)
+                                              : life.request.traceId;
   ++open_;
-  const Micros usable = guard_.usable(life.ask.remaining);
+  const Micros usable = guard_.usable(life.request.remaining);
   life.usableUntil = life.arrived + usable;
   if (stopping_ || open_ > options_.openRequests) {
     finish(id, life,
-           {.final = Final::refused,
-            .cause = stopping_ ? Cause::stopping : Cause::tooMany,
+           {.disposition = Disposition::rejected,
+            .failureReason = stopping_ ? FailureReason::shuttingDown : FailureReason::tooManyRequests,
             .text = stopping_ ? "the router is going down" : "too many requests are open here",
             .retryAfter = options_.stopRetryAfter});
     settle();
     return id;
   }
-  if (life.ask.remaining <= 0) {
-    finish(id, life, {.final = Final::refused, .cause = Cause::deadline, .text = "the deadline has passed"});
+  if (life.request.remaining <= 0) {
+    finish(id, life,
+           {.disposition = Disposition::rejected,
+            .failureReason = FailureReason::deadline,
+            .text = "the deadline has passed"});
     settle();
     return id;
   }
   RequestArrived event;
   event.id = id;
-  event.requestClass = life.ask.requestClass;
+  event.requestClass = life.request.requestClass;
   event.remaining = usable;
-  event.session = {keyOf(life.ask.session)};
-  event.sharedBeginning = {keyOf(life.ask.shared)};
-  event.promptTokens = life.ask.promptTokens;
-  event.sharedTokens = std::min(life.ask.sharedTokens, life.ask.promptTokens);
-  event.maxOutput = life.ask.maxOutput;
-  event.counts = life.ask.counts;
+  event.session = {keyOf(life.request.session)};
+  event.sharedPrefix = {keyOf(life.request.sharedPrefixKey)};
+  event.promptTokens = life.request.promptTokens;
+  event.sharedPrefixTokens = std::min(life.request.sharedPrefixTokens, life.request.promptTokens);
+  event.maxOutput = life.request.maxOutput;
+  event.counts = life.request.counts;
   give(event);
   return id;
 }
 
-void Router::leave(RequestId id) {
-  Life* life = find(id);
+void Router::cancel(RequestId id) {
+  ActiveRequest* life = find(id);
   if (life == nullptr || life->client == nullptr) return;
   life->client = nullptr;
   --open_;
   ++counters_.left;
   done_.push_back(id);
-  observer_.onLeft(id);
-  give(RequestGone{id});
+  observer_.onCancelled(id);
+  give(RequestCancelled{id});
 }
 
-void Router::giveUp(RequestId id, Cause cause, const std::string& text) {
-  Life* life = find(id);
+void Router::abort(RequestId id, FailureReason cause, const std::string& text) {
+  ActiveRequest* life = find(id);
   if (life == nullptr || life->client == nullptr) return;
-  finish(id, *life, {.final = Final::failed, .cause = cause, .text = text});
-  give(RequestGone{id});
+  finish(id, *life, {.disposition = Disposition::failed, .failureReason = cause, .text = text});
+  give(RequestCancelled{id});
 }
 
-void Router::recounted(RequestId id, std::vector<PromptCount> counts) {
-  Life* life = find(id);
+void Router::updateTokenCounts(RequestId id, std::vector<PromptCount> counts) {
+  ActiveRequest* life = find(id);
   if (life == nullptr || life->client == nullptr) return;
-  life->ask.counts = counts;
+  life->request.counts = counts;
   give(PromptCounted{id, std::move(counts)});
 }
 
-void Router::eachWaiting(const std::function<void(RequestId, const Ask&)>& call) const {
+void Router::forEachPending(const std::function<void(RequestId, const Request&)>& call) const {
   for (const auto& [id, life] : lives_)
-    if (life.client != nullptr && life.nextToken == 0) call({id}, life.ask);
+    if (life.client != nullptr && life.nextToken == 0) call({id}, life.request);
 }
 
-void Router::onList(const ServerList& list) {
-  if (list.kind == ServerList::Kind::complete || list.kind == ServerList::Kind::remembered) running_.clear();
-  for (const ServerEntry& e : list.entries) {
+void Router::onList(const EndpointUpdate& list) {
+  if (list.kind == EndpointUpdate::Kind::snapshot || list.kind == EndpointUpdate::Kind::staleCopy)
+    running_.clear();
+  for (const EndpointEntry& e : list.entries) {
     const bool known = e.kind && *e.kind < options_.settings.kinds.size();
     places_[e.id.value] = {e.zone, e.cell};
-    roles_[e.id.value] = known ? options_.settings.kinds[*e.kind].role : Role::writer;
-    if (e.state == ServerState::running)
+    roles_[e.id.value] = known ? options_.settings.kinds[*e.kind].role : Role::decode;
+    if (e.state == EndpointState::running)
       running_.insert(e.id.value);
     else
       running_.erase(e.id.value);
@@ -167,17 +173,17 @@
     if (life.client != nullptr) ids.push_back({id});
   std::sort(ids.begin(), ids.end());
   for (const RequestId id : ids) {
-    Life* life = find(id);
+    ActiveRequest* life = find(id);
     if (life == nullptr || life->client == nullptr) continue;
-    const auto& c = options_.settings.classes[life->ask.requestClass];
-    const bool answerOut = life->out && life->out->job != Job::read;
-    const bool refuse = life->nextToken == 0 && mayRefuse(c, {life->exposed.mayHaveRun || answerOut});
+    const auto& c = options_.settings.classes[life->request.requestClass];
+    const bool answerOut = life->out && life->out->phase != Phase::prefill;
+    const bool refuse = life->nextToken == 0 && mayReject(c, {life->exposed.possiblyExecuted || answerOut});
     finish(id, *life,
-           {.final = refuse ? Final::refused : Final::failed,
-            .cause = Cause::stopping,
+           {.disposition = refuse ? Disposition::rejected : Disposition::failed,
+            .failureReason = FailureReason::shuttingDown,
             .text = "the router is going down",
             .retryAfter = refuse ? options_.stopRetryAfter : 0});
-    give(RequestGone{id});
+    give(RequestCancelled{id});
   }
 }
 
@@ -220,62 +226,63 @@
 }
 
 // What is to be done at an engine of this role.
-Job Router::jobAt(ServerId server, const Life& life) const {
-  const auto role = roles_.find(server.value);
-  if (role != roles_.end() && role->second == Role::reader) return Job::read;
-  return life.stateAt ? Job::write : Job::whole;
+Phase Router::phaseAt(EndpointId endpoint, const ActiveRequest& life) const {
+  const auto role = roles_.find(endpoint.value);
+  if (role != roles_.end() && role->second == Role::prefill) return Phase::prefill;
+  return life.stateAt ? Phase::decode : Phase::combined;
 }
 
 // Whether the attempt breaks no rule; one that would is not made.
-bool Router::allowed(const Send& a, const Life* life) {
+bool Router::allowed(const Send& a, const ActiveRequest* life) {
   if (life == nullptr) return false;
-  const auto place = places_.find(a.server.value);
-  const auto violation = RuleGuard::judge({.requestClass = options_.settings.classes[life->ask.requestClass],
-                                           .exposure = life->exposed,
-                                           .firstPlace = life->firstPlace,
-                                           .target = place == places_.end() ? EnginePlace() : place->second,
-                                           .job = jobAt(a.server, *life),
-                                           .answered = life->client == nullptr,
-                                           .attemptOut = life->out.has_value(),
-                                           .now = timers_.now()});
+  const auto place = places_.find(a.endpoint.value);
+  const auto violation =
+      RuleGuard::judge({.requestClass = options_.settings.classes[life->request.requestClass],
+                        .exposure = life->exposed,
+                        .firstPlace = life->firstPlace,
+                        .target = place == places_.end() ? EndpointLocation() : place->second,
+                        .phase = phaseAt(a.endpoint, *life),
+                        .answered = life->client == nullptr,
+                        .attemptOut = life->out.has_value(),
+                        .now = timers_.now()});
   if (violation) violated(*violation, a.id, life);
   return !violation;
 }
 
-void Router::violated(Violation violation, RequestId id, const Life* life) {
+void Router::violated(Violation violation, RequestId id, const ActiveRequest* life) {
   rules_.count(violation);
-  observer_.onViolation(violation, id, life->ask);
+  observer_.onViolation(violation, id, life->request);
 }
 
 void Router::carry(const Send& a) {
-  Life* life = find(a.id);
+  ActiveRequest* life = find(a.id);
   if (!allowed(a, life)) {
     give(AttemptEnded{.id = a.id,
                       .attempt = life ? life->attempts++ : 0,
-                      .server = a.server,
+                      .endpoint = a.endpoint,
                       .outcome = Outcome::notSent,
-                      .last = true});
+                      .requestEnded = true});
     return;
   }
-  if (life->client->departed()) {  // its close waits behind other events of this turn
+  if (life->client->isCancelled()) {  // its close waits behind other events of this turn
     give(AttemptEnded{.id = a.id,
                       .attempt = life->attempts++,
-                      .server = a.server,
+                      .endpoint = a.endpoint,
                       .outcome = Outcome::notSent,
-                      .last = true});
-    return leave(a.id);
+                      .requestEnded = true});
+    return cancel(a.id);
   }
-  const Job job = jobAt(a.server, *life);
+  const Phase phase = phaseAt(a.endpoint, *life);
   Out out;
   out.number = life->attempts++;
-  out.server = a.server;
-  out.job = job;
+  out.endpoint = a.endpoint;
+  out.phase = phase;
   out.sentAt = timers_.now();
   ++counters_.attempts;
   life->usage.attempts = static_cast<std::uint32_t>(life->attempts);
   if (a.timeout > 0)
     out.timeout = timers_.after(a.timeout, [this, attempt = AttemptId{a.id, out.number}] {
-      Life* late = find(attempt.request);
+      ActiveRequest* late = find(attempt.request);
       if (late == nullptr || !late->out || late->out->number != attempt.number || late->out->started) return;
       endAttempt(attempt.request, *late, Outcome::timedOut, false);
     });
@@ -284,29 +291,30 @@
     out.unreached = timers_.after(std::max<Micros>(0, *due - out.sentAt),
                                   [this, attempt = AttemptId{a.id, out.number}] { stateDue(attempt); });
   life->out = out;
-  if (job == Job::read) {
-    held_.readSent(a.id, a.server, out.sentAt);
-    works_.try_emplace(a.id.value, life->workId);
+  if (phase == Phase::prefill) {
+    held_.readSent(a.id, a.endpoint, out.sentAt);
+    works_.try_emplace(a.id.value, life->traceId);
   }
-  const Order order{
+  const AttemptSpec order{
       {a.id, out.number},
-      a.server,
-      job,
-      &life->ask,
-      life->workId,
-      job == Job::write ? life->handover : std::string_view(),
-      job != Job::read && !mayRefuse(options_.settings.classes[life->ask.requestClass], {.mayHaveRun = true}),
+      a.endpoint,
+      phase,
+      &life->request,
+      life->traceId,
+      phase == Phase::decode ? life->kvTransferParams : std::string_view(),
+      phase != Phase::prefill &&
+          !mayReject(options_.settings.classes[life->request.requestClass], {.possiblyExecuted = true}),
       // What an earlier read may have left waits for this one's arrival, or is let go of.
-      job == Job::read && due.has_value(),
+      phase == Phase::prefill && due.has_value(),
       a.timeout > 0 ? a.timeout : life->usableUntil - out.sentAt,
-      repeatUntil(options_.settings.classes[life->ask.requestClass], life->exposed)};
+      retryUntil(options_.settings.classes[life->request.requestClass], life->exposed)};
   observer_.onAttempt(order);
   engines_.begin(order);
 }
 
 // The life of the request whose attempt this is, where it is out and nothing has come of it yet.
-Router::Life* Router::unstarted(AttemptId attempt) {
-  Life* life = find(attempt.request);
+Router::ActiveRequest* Router::unstarted(AttemptId attempt) {
+  ActiveRequest* life = find(attempt.request);
   const bool out = life != nullptr && life->out && life->out->number == attempt.number;
   return out && !life->out->started ? life : nullptr;
 }
@@ -317,17 +325,17 @@
 // it the engine is asked for a sign of life first. Guards against connections that fall silent, in a cut
 // above all.
 void Router::stateDue(AttemptId attempt) {
-  Life* life = unstarted(attempt);
+  ActiveRequest* life = unstarted(attempt);
   if (life == nullptr) return;
-  switch (engines_.reach(attempt)) {
-    case Reach::engine: return;
-    case Reach::connected:
-      if (engines_.confirms()) engines_.confirm(attempt, life->out->server);
+  switch (engines_.deliveryState(attempt)) {
+    case DeliveryState::confirmed: return;
+    case DeliveryState::connected:
+      if (engines_.canCheckLiveness()) engines_.checkLiveness(attempt, life->out->endpoint);
       return;
-    case Reach::written: return releaseBeside(attempt, *life->out);
-    case Reach::nowhere: break;
+    case DeliveryState::written: return releaseBeside(attempt, *life->out);
+    case DeliveryState::undelivered: break;
   }
-  if (life->out->job == Job::read) callReleases(held_.release(attempt.request, timers_.now()));
+  if (life->out->phase == Phase::prefill) callReleases(held_.release(attempt.request, timers_.now()));
   endAttempt(attempt.request, *life, Outcome::connectFailed, false);
 }
 
@@ -335,13 +343,13 @@
 // engine has in hand.
 void Router::releaseBeside(AttemptId attempt, const Out& out) {
   const Micros now = timers_.now();
-  callReleases(out.job == Job::read ? held_.releaseOthers(attempt.request, out.server, now)
-                                    : held_.releaseInDoubt(attempt.request, now));
+  callReleases(out.phase == Phase::prefill ? held_.releaseOthers(attempt.request, out.endpoint, now)
+                                           : held_.releaseInDoubt(attempt.request, now));
 }
 
-void Router::onConfirmed(AttemptId attempt, bool alive) {
-  Life* life = unstarted(attempt);
-  if (life == nullptr || engines_.reach(attempt) == Reach::engine) return;
+void Router::onLivenessChecked(AttemptId attempt, bool alive) {
+  ActiveRequest* life = unstarted(attempt);
+  if (life == nullptr || engines_.deliveryState(attempt) == DeliveryState::confirmed) return;
   life->out->confirmed = alive;
   if (!alive) releaseBeside(attempt, *life->out);
 }
@@ -349,39 +357,40 @@
 // Whether the attempt has reached its engine, as far as the time of what is held goes.
 bool Router::arrivedForCertain(RequestId id, const Out& out) const {
   if (out.started || out.confirmed) return true;
-  const Reach reach = engines_.reach({id, out.number});
-  return reach == Reach::engine || (reach == Reach::connected && !engines_.confirms());
+  const DeliveryState reach = engines_.deliveryState({id, out.number});
+  return reach == DeliveryState::confirmed ||
+         (reach == DeliveryState::connected && !engines_.canCheckLiveness());
 }
 
 void Router::carry(const Cancel& a) {
-  Life* life = find(a.id);
+  ActiveRequest* life = find(a.id);
   if (life == nullptr || !life->out || life->out->number != a.attempt) return;
   endAttempt(a.id, *life, Outcome::cancelled, false);
 }
 
-void Router::expose(Life& life, const Out& out) {
-  if (!life.exposed.mayHaveRun) {
-    const auto place = places_.find(out.server.value);
+void Router::expose(ActiveRequest& life, const Out& out) {
+  if (!life.exposed.possiblyExecuted) {
+    const auto place = places_.find(out.endpoint.value);
     if (place != places_.end()) life.firstPlace = place->second;
   }
   life.exposed.note(out.sentAt);
 }
 
-void Router::carry(const Refuse& a) {
-  Life* life = find(a.id);
+void Router::carry(const Reject& a) {
+  ActiveRequest* life = find(a.id);
   if (life == nullptr || life->client == nullptr) return;
-  const bool answerOut = life->out && life->out->job != Job::read;
-  if (!mayRefuse(options_.settings.classes[life->ask.requestClass],
-                 {.mayHaveRun = life->exposed.mayHaveRun || answerOut})) {
-    violated(Violation::refusalOfRun, a.id, life);
+  const bool answerOut = life->out && life->out->phase != Phase::prefill;
+  if (!mayReject(options_.settings.classes[life->request.requestClass],
+                 {.possiblyExecuted = life->exposed.possiblyExecuted || answerOut})) {
+    violated(Violation::rejectionAfterExecution, a.id, life);
     return carry(Fail{a.id});
   }
   const bool late = timers_.now() >= life->usableUntil;
-  Ending e{.final = Final::refused,
-           .cause = late               ? Cause::deadline
-                    : running_.empty() ? Cause::noEngine
-                                       : Cause::busy,
-           .retryAfter = a.retryAfter};
+  Completion e{.disposition = Disposition::rejected,
+               .failureReason = late               ? FailureReason::deadline
+                                : running_.empty() ? FailureReason::noEndpoint
+                                                   : FailureReason::overloaded,
+               .retryAfter = a.retryAfter};
   e.text = late               ? "no answer before the deadline; a repeat does no harm"
            : running_.empty() ? "no engine is listed"
                               : "no engine would answer in time";
@@ -390,10 +399,11 @@
 }
 
 void Router::carry(const Fail& a) {
-  Life* life = find(a.id);
+  ActiveRequest* life = find(a.id);
   if (life == nullptr || life->client == nullptr) return;
   const bool late = timers_.now() >= life->usableUntil;
-  Ending e{.final = Final::failed, .cause = late ? Cause::deadline : Cause::engine};
+  Completion e{.disposition = Disposition::failed,
+               .failureReason = late ? FailureReason::deadline : FailureReason::attemptsFailed};
   e.text = late ? "no answer before the deadline" : "attempts failed";
   if (!life->lastTrouble.empty()) e.text += "; last: " + life->lastTrouble;
   finish(a.id, *life, std::move(e));
@@ -401,9 +411,9 @@
 
 // What is let go of can't be written from any more: where the request goes on, it begins anew.
 void Router::carry(const Release& a) {
-  if (Life* life = find(a.id)) {
+  if (ActiveRequest* life = find(a.id)) {
     life->stateAt.reset();
-    life->handover.clear();
+    life->kvTransferParams.clear();
   }
   callReleases(held_.release(a.id, timers_.now()));
 }
@@ -412,14 +422,14 @@
   timers_.after(a.delay, [this, id = a.id] { give(TimerFired{id}); });
 }
 
-void Router::carry(const Probe& a) { engines_.probe(a.server); }
+void Router::carry(const Probe& a) { engines_.probe(a.endpoint); }
 void Router::carry(const Log& a) { observer_.onModuleLog(a.text); }
 
 // ---- engines ----
 
 void Router::onTokens(AttemptId attempt, std::string_view text, std::uint32_t count,
                       std::span<const std::uint32_t> ids) {
-  Life* life = find(attempt.request);
+  ActiveRequest* life = find(attempt.request);
   if (life == nullptr || !life->out || life->out->number != attempt.number || life->client == nullptr) {
     ++counters_.dropped;
     return;
@@ -431,7 +441,7 @@
     out.started = true;
     out.firstToken = out.lastToken;
     timers_.cancel(out.timeout);
-    if (out.job == Job::write && life->stateAt) {
+    if (out.phase == Phase::decode && life->stateAt) {
       held_.consumed(attempt.request, *life->stateAt);
       life->stateAt.reset();
     }
@@ -451,7 +461,7 @@
 }
 
 void Router::guardStream(RequestId id) {
-  Life* life = find(id);
+  ActiveRequest* life = find(id);
   if (life == nullptr || !life->out || !life->out->started) return;
   const Micros now = timers_.now();
   const auto look = guard_.look(now, life->out->lastToken, life->usableUntil);
@@ -460,23 +470,25 @@
       life->guard = timers_.after(look.again - now, [this, id] { guardStream(id); });
       return;
     case StreamGuard::Verdict::stalled:
-      return breakStream(id, *life, Cause::streamStalled, Outcome::reset, "the answer went quiet");
+      return breakStream(id, *life, FailureReason::streamStalled, Outcome::connectionReset,
+                         "the answer went quiet");
     case StreamGuard::Verdict::deadline: {
       const Out& out = *life->out;
       const bool quiet = guard_.wentQuiet(now, out.firstToken, out.lastToken, out.tokens);
-      return breakStream(id, *life, Cause::deadline, quiet ? Outcome::reset : kNoJudgement,
+      return breakStream(id, *life, FailureReason::deadline, quiet ? Outcome::connectionReset : kNoJudgement,
                          "the answer was not finished before the deadline");
     }
   }
 }
 
-void Router::breakStream(RequestId id, Life& life, Cause cause, Outcome outcome, const std::string& text) {
-  finish(id, life, {.final = Final::failed, .cause = cause, .text = text});
+void Router::breakStream(RequestId id, ActiveRequest& life, FailureReason cause, Outcome outcome,
+                         const std::string& text) {
+  finish(id, life, {.disposition = Disposition::failed, .failureReason = cause, .text = text});
   endAttempt(id, life, outcome, true);
 }
 
 // Ends the attempt that is out by this router's own doing.
-void Router::endAttempt(RequestId id, Life& life, Outcome outcome, bool last) {
+void Router::endAttempt(RequestId id, ActiveRequest& life, Outcome outcome, bool last) {
   const Out out = *life.out;
   const bool arrived = arrivedForCertain(id, out);
   engines_.cancel({id, out.number});
@@ -487,18 +499,18 @@
   timers_.cancel(life.guard);
   ++counters_.outcomes[outcome];
   const bool ended = !provesNotRun(outcome) || (outcome == kNoJudgement && out.started);
-  if (out.job != Job::read && ended) expose(life, out);
-  observer_.onAttemptEnded({id, out.number}, out.server, {.outcome = outcome, .text = "ended here"});
+  if (out.phase != Phase::prefill && ended) expose(life, out);
+  observer_.onAttemptEnded({id, out.number}, out.endpoint, {.outcome = outcome, .text = "ended here"});
   give(AttemptEnded{.id = id,
                     .attempt = out.number,
-                    .server = out.server,
+                    .endpoint = out.endpoint,
                     .outcome = outcome,
-                    .last = last,
-                    .arrived = arrived});
+                    .requestEnded = last,
+                    .reachedEndpoint = arrived});
 }
 
 void Router::onAttemptEnded(AttemptId attempt, const AttemptResult& result) {
-  Life* life = find(attempt.request);
+  ActiveRequest* life = find(attempt.request);
   if (life == nullptr || !life->out || life->out->number != attempt.number) {
     ++counters_.dropped;
     return;
@@ -509,57 +521,62 @@
   timers_.cancel(out.timeout);
   timers_.cancel(out.unreached);
   timers_.cancel(life->guard);
-  const bool arrived = result.left && result.outcome != Outcome::connectFailed && !result.keptConnection;
+  const bool arrived =
+      result.leftRouter && result.outcome != Outcome::connectFailed && !result.reusedConnection;
   if (arrived) held_.outcome(id, timers_.now());
   ++counters_.outcomes[result.outcome];
-  observer_.onAttemptEnded(attempt, out.server, result);
+  observer_.onAttemptEnded(attempt, out.endpoint, result);
   if (!result.text.empty()) life->lastTrouble = result.text;
-  if (out.job != Job::read && !provesNotRun(result.outcome)) expose(*life, out);
+  if (out.phase != Phase::prefill && !provesNotRun(result.outcome)) expose(*life, out);
 
   AttemptEnded event{.id = id,
                      .attempt = attempt.number,
-                     .server = out.server,
+                     .endpoint = out.endpoint,
                      .outcome = result.outcome,
-                     .foundTokens = result.foundTokens,
-                     .stateMissing = result.stateMissing,
-                     .keptConnection = result.keptConnection,
-                     .arrived = arrived,
+                     .cachedTokens = result.cachedTokens,
+                     .kvStateMissing = result.kvStateMissing,
+                     .reusedConnection = result.reusedConnection,
+                     .reachedEndpoint = arrived,
                      .report = result.report};
   if (result.promptTokens > 0) {
     life->usage.promptTokens = result.promptTokens;
-    if (out.job != Job::write) observer_.onPromptRead(out.server, life->ask, result.promptTokens);
+    if (out.phase != Phase::decode) observer_.onPromptRead(out.endpoint, life->request, result.promptTokens);
   }
-  if (result.foundTokens > 0) life->usage.cachedTokens = static_cast<std::uint32_t>(result.foundTokens);
+  if (result.cachedTokens > 0) life->usage.cachedTokens = static_cast<std::uint32_t>(result.cachedTokens);
   switch (result.outcome) {
-    case Outcome::readDone:
-      life->stateAt = out.server;
-      life->handover = result.handover;
+    case Outcome::prefillDone:
+      life->stateAt = out.endpoint;
+      life->kvTransferParams = result.kvTransferParams;
       break;
-    case Outcome::served: {
-      event.last = true;
-      if (out.job == Job::write && life->stateAt) {  // an answer without a single token
+    case Outcome::completed: {
+      event.requestEnded = true;
+      if (out.phase == Phase::decode && life->stateAt) {  // an answer without a single token
         held_.consumed(id, *life->stateAt);
         life->stateAt.reset();
       }
       life->usage.outputTokens = std::max(result.outputTokens, life->nextToken);
       if (life->client != nullptr)
-        finish(id, *life, {.final = Final::served, .reason = result.reason, .usage = life->usage});
+        finish(id, *life,
+               {.disposition = Disposition::completed, .reason = result.reason, .usage = life->usage});
       break;
     }
     default:
-      if (out.job == Job::read && provesNotRun(result.outcome)) held_.nothingLeft(id, out.server);
-      if (result.stateMissing) life->stateAt.reset();
+      if (out.phase == Phase::prefill && provesNotRun(result.outcome)) held_.nothingLeft(id, out.endpoint);
+      if (result.kvStateMissing) life->stateAt.reset();
       if (result.badRequest) {
         event.outcome = kNoJudgement;
-        event.last = true;
+        event.requestEnded = true;
         if (life->client != nullptr)
-          finish(id, *life, {.final = Final::failed, .cause = Cause::badRequest, .text = result.text});
+          finish(id, *life,
+                 {.disposition = Disposition::failed,
+                  .failureReason = FailureReason::badRequest,
+                  .text = result.text});
       } else if (out.started) {  // a stream that breaks is lost
-        event.last = true;
+        event.requestEnded = true;
         if (life->client != nullptr)
           finish(id, *life,
-                 {.final = Final::failed,
-                  .cause = Cause::streamBroken,
+                 {.disposition = Disposition::failed,
+                  .failureReason = FailureReason::streamBroken,
                   .text = "the answer broke off" + (result.text.empty() ? "" : ": " + result.text)});
       }
       break;
@@ -567,30 +584,30 @@
   give(event);
 }
 
-void Router::onProbeEnded(ServerId server, bool ok, const std::optional<LoadReport>& report) {
-  give(ProbeEnded{server, ok, report});
+void Router::onProbeEnded(EndpointId endpoint, bool ok, const std::optional<LoadReport>& report) {
+  give(ProbeEnded{endpoint, ok, report});
 }
 
 // ---- ends ----
 
-void Router::finish(RequestId id, Life& life, Ending ending) {
+void Router::finish(RequestId id, ActiveRequest& life, Completion ending) {
   const bool begun = life.nextToken > 0;
   if (!begun &&
-      RuleGuard::late(timers_.now(), life.arrived + life.ask.remaining, options_.settings.answerSlack))
-    violated(Violation::lateAnswer, id, &life);
+      RuleGuard::late(timers_.now(), life.arrived + life.request.remaining, options_.settings.answerSlack))
+    violated(Violation::lateCompletion, id, &life);
   Client* client = std::exchange(life.client, nullptr);
   done_.push_back(id);
   --open_;
-  ++(ending.final == Final::served    ? counters_.served
-     : ending.final == Final::refused ? counters_.refused
-                                      : counters_.failed);
-  if (ending.final != Final::served) {
-    ++counters_.causes[ending.cause];
+  ++(ending.disposition == Disposition::completed  ? counters_.served
+     : ending.disposition == Disposition::rejected ? counters_.rejected
+                                                   : counters_.failed);
+  if (ending.disposition != Disposition::completed) {
+    ++counters_.causes[ending.failureReason];
     ending.usage = life.usage;
     ending.usage.outputTokens = life.nextToken;
   }
-  observer_.onFinal(id, life.ask, ending, timers_.now() - life.arrived);
-  client->onEnd(ending);
+  observer_.onCompletion(id, life.request, ending, timers_.now() - life.arrived);
+  client->onCompletion(ending);
 }
 
 // Forgets requests that are answered or left. What the module did not cancel (answers that had begun, and all
@@ -598,7 +615,7 @@
 void Router::settle() {
   for (std::size_t i = 0; i < done_.size(); ++i) {
     const RequestId id = done_[i];
-    Life* life = find(id);
+    ActiveRequest* life = find(id);
     if (life == nullptr || life->client != nullptr) continue;
     if (life->out) {
       endAttempt(id, *life, life->out->started ? kNoJudgement : Outcome::cancelled, true);
@@ -616,18 +633,18 @@
   if (find(id) == nullptr && !held_.knows(id)) works_.erase(id.value);
 }
 
-void Router::callReleases(const std::vector<HeldStates::Call>& calls) {
+void Router::callReleases(const std::vector<KvReservationTracker::Call>& calls) {
   for (const auto& call : calls) {
     const auto work = works_.find(call.request.value);
     if (work == works_.end()) continue;
-    observer_.onRelease(call.server, call.request, work->second);
-    engines_.release(call.server, call.request, work->second);
+    observer_.onRelease(call.endpoint, call.request, work->second);
+    engines_.release(call.endpoint, call.request, work->second);
   }
 }
 
-void Router::onReleaseEnded(ServerId server, RequestId request, bool ok) {
-  observer_.onReleaseEnded(server, request, ok);
-  held_.ended({server, request}, ok, timers_.now());
+void Router::onReleaseEnded(EndpointId endpoint, RequestId request, bool ok) {
+  observer_.onReleaseEnded(endpoint, request, ok);
+  held_.ended({endpoint, request}, ok, timers_.now());
   forgetWork(request);
   if (!ok && !releaseAlarm_.running()) releaseAlarm_.start(options_.held.pause, [this] { lookAtReleases(); });
 }
--- a/src/routing/rule_guard.cpp
+++ b/src/routing/rule_guard.cpp
@@ -5,11 +5,11 @@
 namespace garnethook::routing {
 namespace {
 
-bool inGroup(RepeatScope scope, const EnginePlace& first, const EnginePlace& target) {
+bool inGroup(DeduplicationScope scope, const EndpointLocation& first, const EndpointLocation& target) {
   switch (scope) {
-    case RepeatScope::everywhere: return true;
-    case RepeatScope::zone: return first.zone == target.zone;
-    case RepeatScope::cell: return first.cell == target.cell;
+    case DeduplicationScope::fleet: return true;
+    case DeduplicationScope::zone: return first.zone == target.zone;
+    case DeduplicationScope::cell: return first.cell == target.cell;
   }
   return false;
 }
@@ -18,13 +18,13 @@
 
 std::string_view name(Violation violation) {
   switch (violation) {
-    case Violation::secondAttempt: return "second-attempt";
-    case Violation::attemptAfterEnd: return "attempt-after-end";
-    case Violation::repeatOfUnsafe: return "repeat-of-unsafe";
-    case Violation::repeatOutOfWindow: return "repeat-out-of-window";
-    case Violation::repeatOutOfGroup: return "repeat-out-of-group";
-    case Violation::refusalOfRun: return "refusal-of-run";
-    case Violation::lateAnswer: return "late-answer";
+    case Violation::concurrentAttempt: return "second-attempt";
+    case Violation::attemptAfterCompletion: return "attempt-after-end";
+    case Violation::retryOfNonIdempotent: return "repeat-of-unsafe";
+    case Violation::retryOutsideDeduplicationWindow: return "repeat-out-of-window";
+    case Violation::retryOutsideDeduplicationScope: return "repeat-out-of-group";
+    case Violation::rejectionAfterExecution: return "refusal-of-run";
+    case Violation::lateCompletion: return "late-answer";
     case Violation::count_: break;
   }
   return "unknown";
@@ -32,15 +32,16 @@
 
 // Reading is no effect, so only attempts that answer may repeat work.
 std::optional<Violation> RuleGuard::judge(const AttemptQuestion& question) {
-  if (question.answered) return Violation::attemptAfterEnd;
-  if (question.attemptOut) return Violation::secondAttempt;
+  if (question.answered) return Violation::attemptAfterCompletion;
+  if (question.attemptOut) return Violation::concurrentAttempt;
   const RequestClass& c = question.requestClass;
-  if (!question.exposure.mayHaveRun || c.effect == Effect::safe || question.job == Job::read)
+  if (!question.exposure.possiblyExecuted || c.idempotency == Idempotency::idempotent ||
+      question.phase == Phase::prefill)
     return std::nullopt;
-  if (c.effect == Effect::unsafe) return Violation::repeatOfUnsafe;
-  if (question.now > repeatUntil(c, question.exposure)) return Violation::repeatOutOfWindow;
-  if (question.firstPlace && !inGroup(c.scope, *question.firstPlace, question.target))
-    return Violation::repeatOutOfGroup;
+  if (c.idempotency == Idempotency::nonIdempotent) return Violation::retryOfNonIdempotent;
+  if (question.now > retryUntil(c, question.exposure)) return Violation::retryOutsideDeduplicationWindow;
+  if (question.firstPlace && !inGroup(c.deduplicationScope, *question.firstPlace, question.target))
+    return Violation::retryOutsideDeduplicationScope;
   return std::nullopt;
 }
 
--- a/src/routing/rule_guard.h
+++ b/src/routing/rule_guard.h
@@ -9,37 +9,37 @@
 #include <optional>
 #include <string_view>
 
-#include "routing/final_rules.h"
+#include "routing/execution_history.h"
 #include "routing/types.h"
 
 namespace garnethook::routing {
 
 enum class Violation {
-  secondAttempt,      ///< An attempt while another one is out.
-  attemptAfterEnd,    ///< An attempt for a request that was answered.
-  repeatOfUnsafe,     ///< A further attempt of work that may have run and may run only once.
-  repeatOutOfWindow,  ///< A repeat of keyed work behind the time for which engines remember it.
-  repeatOutOfGroup,   ///< A repeat of keyed work at an engine that does not know its first try.
-  refusalOfRun,       ///< A refusal promises that nothing ran; something may have.
-  lateAnswer,         ///< A final answer behind the client's deadline and its slack.
+  concurrentAttempt,                ///< An attempt while another one is out.
+  attemptAfterCompletion,           ///< An attempt for a request that was answered.
+  retryOfNonIdempotent,             ///< A further attempt of work that may have run and may run only once.
+  retryOutsideDeduplicationWindow,  ///< A repeat of keyed work behind the time for which engines remember it.
+  retryOutsideDeduplicationScope,   ///< A repeat of keyed work at an engine that does not know its first try.
+  rejectionAfterExecution,          ///< A refusal promises that nothing ran; something may have.
+  lateCompletion,                   ///< A final answer behind the client's deadline and its slack.
   count_
 };
 std::string_view name(Violation violation);
 
 /// Where an engine stands, as far as repeats of keyed work are concerned.
-struct EnginePlace {
+struct EndpointLocation {
   std::optional<std::size_t> zone;
   std::uint64_t cell = 0;
-  friend bool operator==(const EnginePlace&, const EnginePlace&) = default;
+  friend bool operator==(const EndpointLocation&, const EndpointLocation&) = default;
 };
 
 /// What a request has been through when a further attempt is to begin.
 struct AttemptQuestion {
   const RequestClass& requestClass;
-  const Exposure& exposure;
-  std::optional<EnginePlace> firstPlace;  ///< Of the first attempt that may have run.
-  EnginePlace target;
-  Job job = Job::whole;
+  const ExecutionHistory& exposure;
+  std::optional<EndpointLocation> firstPlace;  ///< Of the first attempt that may have run.
+  EndpointLocation target;
+  Phase phase = Phase::combined;
   bool answered = false;
   bool attemptOut = false;
   Micros now = 0;
--- a/src/routing/types.h
+++ b/src/routing/types.h
@@ -10,21 +10,21 @@
 #include <string_view>
 #include <vector>
 
-#include "brain.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook::routing {
 
 // What a client asks for, whatever the front it came by.
-struct Ask {
+struct Request {
   std::size_t requestClass = 0;  // index into the settings' classes
   Micros remaining = 0;          // until the client's deadline
   std::string session;           // empty: none
-  std::string shared;            // key of the shared beginning; empty: none
+  std::string sharedPrefixKey;   // key of the shared beginning; empty: none
   double promptTokens = 0;
-  double sharedTokens = 0;
+  double sharedPrefixTokens = 0;
   std::vector<PromptCount> counts;            // by the tokenisers of engines, where they are known
   bool estimated = false;                     // promptTokens is a guess by the text's length
-  std::size_t sharedOctets = 0;               // of the prompt: the shared beginning
+  std::size_t sharedPrefixBytes = 0;          // of the prompt: the shared beginning
   bool specialTokens = false;                 // special tokens' text in the prompt is meant as such
   std::shared_ptr<const std::string> prompt;  // or
   std::vector<std::uint32_t> promptIds;       // token ids
@@ -34,9 +34,9 @@
   std::optional<std::uint64_t> seed;
   std::string model;
   // Where engines get the client's own request as it came, in place of one made for them:
-  std::string workId;  // empty: the router makes one
-  std::string target;  // path and query
-  std::string fields;  // further header fields for engines, each a line with its CRLF
+  std::string traceId;  // empty: the router makes one
+  std::string target;   // path and query
+  std::string fields;   // further header fields for engines, each a line with its CRLF
   std::shared_ptr<const std::string> body;
 };
 
@@ -57,27 +57,27 @@
   std::uint32_t attempts = 0;
 };
 
-enum class Final { served, refused, failed };
+enum class Disposition { completed, rejected, failed };
 
 // Why a request was not served.
-enum class Cause {
+enum class FailureReason {
   none,
-  busy,           // the decision module refused: no hope of an answer in time
-  noEngine,       // and there was none that might have served
-  tooMany,        // the router's own bound on open requests
-  stopping,       // the router is going down
-  deadline,       // no answer before the client's deadline
-  engine,         // attempts failed, and another was not allowed or not left
-  streamBroken,   // the answer began and broke off
-  streamStalled,  // the answer began and went quiet
-  badRequest,     // the engine says that the request itself is at fault
-  slowClient,     // the client reads too slowly for what waits for it
+  overloaded,       // the decision module refused: no hope of an answer in time
+  noEndpoint,       // and there was none that might have served
+  tooManyRequests,  // the router's own bound on open requests
+  shuttingDown,     // the router is going down
+  deadline,         // no answer before the client's deadline
+  attemptsFailed,   // attempts failed, and another was not allowed or not left
+  streamBroken,     // the answer began and broke off
+  streamStalled,    // the answer began and went quiet
+  badRequest,       // the engine says that the request itself is at fault
+  slowClient,       // the client reads too slowly for what waits for it
 };
-std::string_view name(Cause cause);
+std::string_view name(FailureReason cause);
 
-struct Ending {
-  Final final = Final::failed;
-  Cause cause = Cause::none;
+struct Completion {
+  Disposition disposition = Disposition::failed;
+  FailureReason failureReason = FailureReason::none;
   std::string text{};
   Micros retryAfter = 0;  // refused: when to come back; 0: not told
   FinishReason reason = FinishReason::stop;
@@ -86,7 +86,7 @@
 
 std::string_view name(Outcome outcome);
 // What the module said, with the names of servers in place of the numbers that it knows them by.
-std::string withNames(std::string_view said, const std::function<std::string(ServerId)>& nameOf);
+std::string withNames(std::string_view said, const std::function<std::string(EndpointId)>& nameOf);
 
 // The client's end of a request, owned by a front.
 class Client {
@@ -94,10 +94,10 @@
   virtual ~Client() = default;
   virtual void onTokens(const Tokens& tokens) = 0;
   // The one final answer; nothing comes after it and the router forgets the client.
-  virtual void onEnd(const Ending& ending) = 0;
+  virtual void onCompletion(const Completion& ending) = 0;
   // Whether the client has gone, also where its front was not told so yet. Asked before each attempt, so that
   // none begins for a client whose close waits behind other events of the same turn.
-  virtual bool departed() const { return false; }
+  virtual bool isCancelled() const { return false; }
 };
 
 // ---- engines ----
@@ -108,75 +108,75 @@
   friend auto operator<=>(const AttemptId&, const AttemptId&) = default;
 };
 
-enum class Job { read, write, whole };
-std::string_view name(Job job);
+enum class Phase { prefill, decode, combined };
+std::string_view name(Phase phase);
 
 // One attempt to be made at an engine. Views hold during Engines::begin only.
-struct Order {
+struct AttemptSpec {
   AttemptId attempt;
-  ServerId server;
-  Job job = Job::whole;
-  const Ask* ask = nullptr;
-  std::string_view workId;    // the same for all attempts of the request, unique among all routers
-  std::string_view handover;  // write: what the read returned for the fetch, as JSON text
-  bool costly = false;        // can't be sent again once it may have run
-  bool fresh = false;         // on a new connection: it has to be known whether it arrives
-  Micros timeout = 0;         // the router waits so long for the first sign
+  EndpointId endpoint;
+  Phase phase = Phase::combined;
+  const Request* request = nullptr;
+  std::string_view traceId;            // the same for all attempts of the request, unique among all routers
+  std::string_view kvTransferParams;   // write: what the read returned for the fetch, as JSON text
+  bool nonRepeatable = false;          // can't be sent again once it may have run
+  bool requiresNewConnection = false;  // on a new connection: it has to be known whether it arrives
+  Micros timeout = 0;                  // the router waits so long for the first sign
   // A repeat that a later arrival would make a second piece of work must be written by then; 0: any time.
-  Micros writeBy = 0;
+  Micros sendBy = 0;
 };
 
 struct AttemptResult {
   Outcome outcome = Outcome::error;
-  double foundTokens = 0;
-  bool stateMissing = false;
-  bool keptConnection = false;  // the connection was an old one and broke without a sign
-  bool badRequest = false;      // nothing ran, and no engine would take it
-  bool left = true;             // false: nothing of it left this router
+  double cachedTokens = 0;
+  bool kvStateMissing = false;
+  bool reusedConnection = false;  // the connection was an old one and broke without a sign
+  bool badRequest = false;        // nothing ran, and no engine would take it
+  bool leftRouter = true;         // false: nothing of it left this router
   std::optional<LoadReport> report{};
-  std::string handover{};  // readDone
+  std::string kvTransferParams{};  // readDone
   FinishReason reason = FinishReason::stop;
   std::uint32_t promptTokens = 0;
   std::uint32_t outputTokens = 0;  // as the engine counts them
   std::string text{};              // what the engine or the connection said of a failure
 };
 
-class EngineEvents {
+class EngineClientEvents {
  public:
-  virtual ~EngineEvents() = default;
+  virtual ~EngineClientEvents() = default;
   virtual void onTokens(AttemptId attempt, std::string_view text, std::uint32_t count,
                         std::span<const std::uint32_t> ids) = 0;
   virtual void onAttemptEnded(AttemptId attempt, const AttemptResult& result) = 0;
-  virtual void onProbeEnded(ServerId server, bool ok, const std::optional<LoadReport>& report) = 0;
-  virtual void onReleaseEnded(ServerId server, RequestId request, bool ok) = 0;
+  virtual void onProbeEnded(EndpointId endpoint, bool ok, const std::optional<LoadReport>& report) = 0;
+  virtual void onReleaseEnded(EndpointId endpoint, RequestId request, bool ok) = 0;
   // Answers Engines::confirm.
-  virtual void onConfirmed(AttemptId /*attempt*/, bool /*alive*/) {}
+  virtual void onLivenessChecked(AttemptId /*attempt*/, bool /*alive*/) {}
 };
 
 // How far the request of an attempt that is out has got for certain.
-enum class Reach {
-  nowhere,    // not written whole, or on a connection that is not up yet
+enum class DeliveryState {
+  undelivered,  // not written whole, or on a connection that is not up yet
   written,    // whole, on a connection kept from before that has given no sign since, and may be dead; or the
               // engine's system has not acknowledged all of it
   connected,  // on a connection that came up for it and has given no sign since: it may have fallen silent
-  engine      // the connection has given a sign since
+  confirmed   // the connection has given a sign since
 };
 
 // The engines as the router core sees them. Events come later than the call that they answer.
-class Engines {
+class EngineClient {
  public:
-  virtual ~Engines() = default;
-  virtual void begin(const Order& order) = 0;
+  virtual ~EngineClient() = default;
+  virtual void begin(const AttemptSpec& order) = 0;
   // Ends the attempt at this side at once; no event of it comes after.
   virtual void cancel(AttemptId attempt) = 0;
-  virtual Reach reach(AttemptId attempt) const = 0;
+  virtual DeliveryState deliveryState(AttemptId attempt) const = 0;
   // Asks a reader to let go of what it holds for the work. Where engines don't know how, done at once.
-  virtual void release(ServerId server, RequestId request, const std::string& workId) = 0;
-  virtual void probe(ServerId server) = 0;
+  virtual void release(EndpointId endpoint, RequestId request, const std::string& traceId) = 0;
+  virtual void probe(EndpointId endpoint) = 0;
   // Whether engines can be asked for a sign of life beside an attempt.
-  virtual bool confirms() const { return false; }
+  virtual bool canCheckLiveness() const { return false; }
   // Asks the attempt's engine for a sign of life on another connection, within a short time.
-  virtual void confirm(AttemptId /*attempt*/, ServerId /*server*/) {}
+  virtual void checkLiveness(AttemptId /*attempt*/, EndpointId /*server*/) {}
 };
 
 }  // namespace garnethook::routing
--- a/src/scheduler/worker_pool.cpp
+++ b/src/scheduler/worker_pool.cpp
@@ -56,10 +56,10 @@
     ++counters_.slices;
     lock.unlock();
     std::size_t left = 0;
-    std::exception_ptr trouble;
+    std::exception_ptr error;
     try {
       left = job->slice(options_.sliceCost);
-    } catch (...) { trouble = std::current_exception(); }
+    } catch (...) { error = std::current_exception(); }
     lock.lock();
     const bool over = queue_.ran(*id, left);
     // The end of a long one's slice may let another run.
@@ -67,15 +67,15 @@
     if (!over) continue;
     jobs_.erase(id->value);
     if (left > 0) continue;  // cancelled
-    ++(trouble ? counters_.failed : counters_.done);
-    post_([waiting = std::weak_ptr(waiting_), id = id->value, trouble] {
+    ++(error ? counters_.failed : counters_.done);
+    post_([waiting = std::weak_ptr(waiting_), id = id->value, error] {
       const auto all = waiting.lock();
       if (!all) return;
       const auto at = all->find(id);
       if (at == all->end()) return;  // cancelled
       const Done done = std::move(at->second);
       all->erase(at);
-      done(trouble);
+      done(error);
     });
   }
 }
--- a/src/server/router_server.cpp
+++ b/src/server/router_server.cpp
@@ -33,25 +33,25 @@
   engines_.setEvents(*router_);
   counts_.setRouter(*router_);
   const auto change = list_.look();
-  for (const auto& trouble : change.troubles) log_.warn("engine-list", {{"trouble", trouble}});
+  for (const auto& error : change.errors) log_.warn("engine-list", {{"trouble", error}});
   if (change.changed) {
-    tell(ServerList::Kind::complete);
+    tell(EndpointUpdate::Kind::snapshot);
   } else {
-    std::vector<std::string> troubles;
-    const bool recalled = list_.recall(troubles);
-    for (const auto& trouble : troubles) log_.warn("engine-list", {{"trouble", trouble}});
-    if (recalled) tell(ServerList::Kind::remembered);
+    std::vector<std::string> errors;
+    const bool recalled = list_.recall(errors);
+    for (const auto& error : errors) log_.warn("engine-list", {{"trouble", error}});
+    if (recalled) tell(EndpointUpdate::Kind::staleCopy);
   }
-  front_ = std::make_unique<front::GrpcServer>(loop_, Poco::Net::SocketAddress(settings_.listen),
-                                               settings_.grpc, settings_.intake, *router_, health_,
-                                               counts_.on() ? &counts_ : nullptr);
+  frontend_ = std::make_unique<grpc_frontend::GrpcServer>(loop_, Poco::Net::SocketAddress(settings_.listen),
+                                                          settings_.grpc, settings_.intake, *router_, health_,
+                                                          counts_.on() ? &counts_ : nullptr);
   health_.set(true);
   log_.info("listening", {{"address", address().toString()}, {"engines", list_.engines().size()}});
   pollAlarm_.start(settings_.listPoll, [this] { poll(); });
 }
 
 RouterServer::~RouterServer() {
-  front_.reset();
+  frontend_.reset();
   router_.reset();
 }
 
@@ -62,15 +62,15 @@
 
 void RouterServer::lookAtList() {
   const auto change = list_.look();
-  for (const auto& trouble : change.troubles) log_.warn("engine-list", {{"trouble", trouble}});
+  for (const auto& error : change.errors) log_.warn("engine-list", {{"trouble", error}});
   if (change.changed)
-    tell(ServerList::Kind::complete);
-  else if (!change.troubles.empty())
+    tell(EndpointUpdate::Kind::snapshot);
+  else if (!change.errors.empty())
     return;
   starts_.heard(loop_.now());
 }
 
-void RouterServer::tell(ServerList::Kind kind) {
+void RouterServer::tell(EndpointUpdate::Kind kind) {
   for (const auto& [name, e] : list_.engines()) {
     names_[e.id.value] = name;
     if (std::find(settings_.names.kinds.begin(), settings_.names.kinds.end(), e.kind) ==
@@ -80,42 +80,42 @@
                  {"trouble", "kind \"" + e.kind + "\" is not in the settings; taken for a writer"}});
   }
   log_.info("engine-list",
-            {{"engines", list_.engines().size()}, {"remembered", kind == ServerList::Kind::remembered}});
+            {{"engines", list_.engines().size()}, {"remembered", kind == EndpointUpdate::Kind::staleCopy}});
   engines_.update(list_.engines());
   counts_.onList(list_.engines());
-  auto list =
-      membership::toServerList(datedEngines(kind == ServerList::Kind::remembered), settings_.names, kind);
+  auto list = membership::toEndpointUpdate(datedEngines(kind == EndpointUpdate::Kind::staleCopy),
+                                           settings_.names, kind);
   counts_.fill(list);
   router_->onList(list);
 }
 
-membership::EngineMap RouterServer::datedEngines(bool remembered) {
+membership::EndpointMap RouterServer::datedEngines(bool remembered) {
   return starts_.date(list_.engines(), remembered, loop_.now(), timing::unixNow());
 }
 
 // Engines count otherwise now; nothing else of the list changed.
 void RouterServer::tellCounts() {
-  auto list = membership::toServerList(datedEngines(false), settings_.names, ServerList::Kind::changes);
+  auto list = membership::toEndpointUpdate(datedEngines(false), settings_.names, EndpointUpdate::Kind::delta);
   counts_.fill(list);
   router_->onList(list);
 }
 
-std::string RouterServer::nameOf(ServerId id) const {
+std::string RouterServer::nameOf(EndpointId id) const {
   const auto at = names_.find(id.value);
   return at == names_.end() ? std::to_string(id.value) : at->second;
 }
 
-void RouterServer::onAttempt(const routing::Order& order) {
+void RouterServer::onAttempt(const routing::AttemptSpec& order) {
   if (log_.debugs())
     log_.debug("attempt", {{"request", order.attempt.request.value},
                            {"number", order.attempt.number},
-                           {"engine", nameOf(order.server)},
-                           {"job", name(order.job)}});
+                           {"engine", nameOf(order.endpoint)},
+                           {"job", name(order.phase)}});
 }
 
-void RouterServer::onAttemptEnded(routing::AttemptId id, ServerId server,
+void RouterServer::onAttemptEnded(routing::AttemptId id, EndpointId server,
                                   const routing::AttemptResult& result) {
-  const bool good = result.outcome == Outcome::served || result.outcome == Outcome::readDone;
+  const bool good = result.outcome == Outcome::completed || result.outcome == Outcome::prefillDone;
   if (good && !log_.debugs()) return;
   const Log::Fields fields{{"request", id.request.value},
                            {"number", id.number},
@@ -128,19 +128,19 @@
     log_.info("attempt-ended", fields);
 }
 
-void RouterServer::onFinal(RequestId id, const routing::Ask& ask, const routing::Ending& ending,
-                           Micros took) {
-  const bool served = ending.final == routing::Final::served;
+void RouterServer::onCompletion(RequestId id, const routing::Request& request,
+                                const routing::Completion& ending, Micros took) {
+  const bool served = ending.disposition == routing::Disposition::completed;
   if (served && !log_.debugs()) return;
   const Log::Fields fields{{"request", id.value},
-                           {"class", settings_.classNames[ask.requestClass]},
-                           {"final", served                                    ? "served"
-                                     : ending.final == routing::Final::refused ? "refused"
-                                                                               : "failed"},
-                           {"cause", name(ending.cause)},
+                           {"class", settings_.classNames[request.requestClass]},
+                           {"final", served                                                 ? "served"
+                                     : ending.disposition == routing::Disposition::rejected ? "refused"
+                                                                                            : "failed"},
+                           {"cause", name(ending.failureReason)},
                            {"text", ending.text},
-                           {"prompt_tokens", ask.promptTokens},
-                           {"estimated", ask.estimated},
+                           {"prompt_tokens", request.promptTokens},
+                           {"estimated", request.estimated},
                            {"tokens", ending.usage.outputTokens},
                            {"attempts", ending.usage.attempts},
                            {"took_ms", took / 1000},
@@ -151,12 +151,12 @@
     log_.info("final", fields);
 }
 
-void RouterServer::onLeft(RequestId id) {
+void RouterServer::onCancelled(RequestId id) {
   if (log_.debugs()) log_.debug("client-left", {{"request", id.value}});
 }
 
 void RouterServer::onModuleLog(const std::string& said) {
-  log_.info("decision", {{"text", routing::withNames(said, [this](ServerId id) { return nameOf(id); })}});
+  log_.info("decision", {{"text", routing::withNames(said, [this](EndpointId id) { return nameOf(id); })}});
 }
 
 void RouterServer::onDecision(Micros now, const Event& event, const std::vector<Action>& actions) {
@@ -165,7 +165,7 @@
 
 void RouterServer::reload(const RouterSettings& settings) {
   settings_.intake = settings.intake;
-  front_->setIntake(settings.intake);
+  frontend_->setIntake(settings.intake);
   settings_.log = settings.log;
   log_.setLevel(settings.log.level);
   counts_.reload(settings.counting.files);
@@ -180,7 +180,7 @@
   drainUntil_ = loop_.now() + settings_.stopWithin;
   log_.info("draining", {{"open", router_->open()}, {"within_ms", settings_.stopWithin / 1000}});
   health_.set(false);
-  front_->drain();
+  frontend_->drain();
   checkDrained();
 }
 
@@ -190,7 +190,7 @@
                     router_->held().held() + router_->held().releasing() == 0;
   const bool given = loop_.now() >= drainUntil_ + settings_.engine.controlTimeout * 2;
   if (!over && !given) return drainAlarm_.start(20'000, [this] { checkDrained(); });
-  front_->close();
+  frontend_->close();
   log_.info("drained", {{"summary", summary()}});
   drainAlarm_.start(100'000, [this] { drained_(); });
 }
@@ -198,7 +198,7 @@
 std::string RouterServer::summary() const {
   const auto& c = router_->counters();
   return "taken " + std::to_string(c.taken) + ", served " + std::to_string(c.served) + ", refused " +
-         std::to_string(c.refused) + ", failed " + std::to_string(c.failed) + ", left " +
+         std::to_string(c.rejected) + ", failed " + std::to_string(c.failed) + ", left " +
          std::to_string(c.left) + ", open " + std::to_string(router_->open()) + "; attempts " +
          std::to_string(c.attempts) + ", tokens " + std::to_string(c.tokens) + "; states held " +
          std::to_string(router_->held().held()) + ", being released " +
--- a/src/server/router_server.h
+++ b/src/server/router_server.h
@@ -5,10 +5,10 @@
 #include <memory>
 #include <string>
 
-#include "engine/http_engines.h"
-#include "front/grpc_server.h"
+#include "engine/http_engine_client.h"
+#include "grpc_frontend/grpc_server.h"
 #include "log/log.h"
-#include "membership/start_dates.h"
+#include "membership/start_times.h"
 #include "net/loop.h"
 #include "server/settings.h"
 #include "server/token_counts.h"
@@ -22,7 +22,7 @@
                log::Log log);
   ~RouterServer() override;
 
-  Poco::Net::SocketAddress address() const { return front_->address(); }
+  Poco::Net::SocketAddress address() const { return frontend_->address(); }
   // Takes no new work; open requests may end within the settings' time and get their final answer then.
   // `done` is called once all is over.
   void drain(std::function<void()> done);
@@ -31,8 +31,8 @@
   void reload(const RouterSettings& settings);
 
   const routing::Router& router() const { return *router_; }
-  const engine::HttpEngines& engines() const { return engines_; }
-  const front::GrpcServer& front() const { return *front_; }
+  const engine::HttpEngineClient& engines() const { return engines_; }
+  const grpc_frontend::GrpcServer& front() const { return *frontend_; }
   const TokenCounts& counts() const { return counts_; }
   // Looks at the list now, not at the next poll.
   void lookAtList();
@@ -41,33 +41,35 @@
   std::function<void(Micros, const Event&, const std::vector<Action>&)> onDecisionMade;
 
  private:
-  void onAttempt(const routing::Order& order) override;
-  void onAttemptEnded(routing::AttemptId id, ServerId server, const routing::AttemptResult& result) override;
-  void onPromptRead(ServerId server, const routing::Ask& ask, double tokens) override {
-    counts_.onPromptRead(server, ask, tokens);
+  void onAttempt(const routing::AttemptSpec& order) override;
+  void onAttemptEnded(routing::AttemptId id, EndpointId server,
+                      const routing::AttemptResult& result) override;
+  void onPromptRead(EndpointId server, const routing::Request& request, double tokens) override {
+    counts_.onPromptRead(server, request, tokens);
   }
-  void onFinal(RequestId id, const routing::Ask& ask, const routing::Ending& ending, Micros took) override;
-  void onLeft(RequestId id) override;
+  void onCompletion(RequestId id, const routing::Request& request, const routing::Completion& ending,
+                    Micros took) override;
+  void onCancelled(RequestId id) override;
   void onModuleLog(const std::string& text) override;
   void onDecision(Micros now, const Event& event, const std::vector<Action>& actions) override;
   void poll();
-  void tell(ServerList::Kind kind);
+  void tell(EndpointUpdate::Kind kind);
   void tellCounts();
-  membership::EngineMap datedEngines(bool remembered);
+  membership::EndpointMap datedEngines(bool remembered);
   void checkDrained();
-  std::string nameOf(ServerId id) const;
+  std::string nameOf(EndpointId id) const;
 
   net::Loop& loop_;
   RouterSettings settings_;
   log::Log log_;
-  membership::ListFile list_;
-  membership::StartDates starts_;
+  membership::EndpointListFile list_;
+  membership::StartTimes starts_;
   std::map<std::uint64_t, std::string> names_;
-  front::HealthState health_;
-  engine::HttpEngines engines_;
+  grpc_frontend::HealthState health_;
+  engine::HttpEngineClient engines_;
   TokenCounts counts_;
   std::unique_ptr<routing::Router> router_;
-  std::unique_ptr<front::GrpcServer> front_;
+  std::unique_ptr<grpc_frontend::GrpcServer> frontend_;
   timing::Alarm pollAlarm_;
   timing::Alarm drainAlarm_;
   Micros drainUntil_ = 0;
--- a/src/server/settings.cpp
+++ b/src/server/settings.cpp
@@ -14,15 +14,16 @@
 RequestClass readClass(const Node& n, std::string& name) {
   RequestClass c;
   name = n.text("name");
-  c.aim = n.micros("aim_ms", 1000, 1, kHour);
-  c.aimPerKiloToken = n.micros("aim_ms_per_1000_tokens", 0, 0, kHour);
+  c.ttftObjective = n.micros("aim_ms", 1000, 1, kHour);
+  c.ttftObjectivePerKiloToken = n.micros("aim_ms_per_1000_tokens", 0, 0, kHour);
   c.deadline = n.micros("deadline_ms", 30'000, 1, kHour);
-  c.tokenAim = n.micros("token_aim_ms", 50, 0.001, kHour);
-  c.worth = n.number("worth", 1, 0, 1e9);
-  c.lateShare = n.number("late_share", 0, 0, 1);
-  c.effect = static_cast<Effect>(n.choice("effect", {"safe", "keyed", "unsafe"}, 0));
-  c.scope = static_cast<RepeatScope>(n.choice("repeat_scope", {"everywhere", "zone", "cell"}, 0));
-  c.repeatWindow = n.micros("repeat_window_ms", 0, 0, kHour);
+  c.timePerOutputTokenObjective = n.micros("token_aim_ms", 50, 0.001, kHour);
+  c.priorityWeight = n.number("worth", 1, 0, 1e9);
+  c.lateValueShare = n.number("late_share", 0, 0, 1);
+  c.idempotency = static_cast<Idempotency>(n.choice("effect", {"safe", "keyed", "unsafe"}, 0));
+  c.deduplicationScope =
+      static_cast<DeduplicationScope>(n.choice("repeat_scope", {"everywhere", "zone", "cell"}, 0));
+  c.deduplicationWindow = n.micros("repeat_window_ms", 0, 0, kHour);
   n.done();
   return c;
 }
@@ -84,7 +85,7 @@
   if (s.classes.empty()) root.failAt("classes", "at least one class of requests is needed");
   unique(out.classNames, root, "classes");
   for (const Node& n : root.array("kinds")) {
-    ServerKind kind;
+    EndpointKind kind;
     out.names.kinds.push_back(n.text("name"));
     kind.role = static_cast<Role>(n.choice("role", {"reader", "writer", "both"}, 2));
     kind.memoryTokens = n.number("memory_tokens", 0, 0, 1e12);
@@ -105,13 +106,13 @@
 
   s.routers = static_cast<std::size_t>(root.integer("routers", 1, 1, 100'000));
   s.maxAttempts = static_cast<int>(root.integer("attempts", 4, 1, 100));
-  s.writersRead = root.flag("writers_read", false);
+  s.decodeEndpointsPrefill = root.flag("writers_read", false);
   out.routing.openRequests = static_cast<std::size_t>(root.integer("open_requests", 20'000, 1, 10'000'000));
   out.stopWithin = root.micros("stop_within_ms", 10'000, 0, kHour);
 
   const Node release = root.object("release");
-  s.releaseWithin = release.micros("within_ms", 500, 1, kHour);
-  out.routing.held.releaseWithin = s.releaseWithin;
+  s.kvReleaseTimeout = release.micros("within_ms", 500, 1, kHour);
+  out.routing.held.kvReleaseTimeout = s.kvReleaseTimeout;
   out.routing.held.tries = static_cast<int>(release.integer("tries", 40, 1, 1000));
   out.routing.held.pause = release.micros("pause_ms", 100, 1, kHour);
   release.done();
@@ -122,10 +123,10 @@
   retry.done();
 
   const Node cold = root.object("cold_engines");
-  s.coldFrom = cold.number("from", 1, 0, 1);
-  s.warmWithin = cold.micros("warm_within_ms", 0, 0, kHour);
-  s.fallMultiple = cold.number("fall_multiple", 0, 0, 1e6);
-  s.fallAfter = cold.micros("fall_after_ms", 0, 0, kHour);
+  s.warmUpMinCapacity = cold.number("from", 1, 0, 1);
+  s.warmUpDuration = cold.micros("warm_within_ms", 0, 0, kHour);
+  s.overloadMultiple = cold.number("fall_multiple", 0, 0, 1e6);
+  s.overloadWindow = cold.micros("fall_after_ms", 0, 0, kHour);
   cold.done();
 
   const Node streams = root.object("streams");
@@ -143,8 +144,8 @@
   out.engine.probePath = engines.text("probe_path", out.engine.probePath);
   out.engine.tokeniserPath = engines.text("tokeniser_path", out.engine.tokeniserPath);
   out.engine.sourceAddress = engines.text("source_address", "");
-  s.mayProbe = engines.flag("probe", true);
-  s.mayCancel = engines.flag("cancel", true);
+  s.canProbe = engines.flag("probe", true);
+  s.canCancel = engines.flag("cancel", true);
   out.engine.connectTimeout = engines.micros("connect_timeout_ms", 250, 1, kHour);
   s.connectTimeout = out.engine.connectTimeout;
   out.engine.controlTimeout = engines.micros("control_timeout_ms", 400, 1, kHour);
@@ -190,10 +191,10 @@
       static_cast<std::size_t>(counting.integer("waiting_prompts", 1024, 1, 1'000'000));
   c.pool.queue.budgets[0].cost =
       static_cast<std::size_t>(counting.number("waiting_mb", 64, 0.001, 1e5) * 1e6);
-  c.store.countOctets = static_cast<std::size_t>(counting.number("count_cache_mb", 32, 0.1, 1e5) * 1e6);
-  c.store.sessionOctets = static_cast<std::size_t>(counting.number("session_ids_mb", 64, 0.1, 1e5) * 1e6);
+  c.store.countBytes = static_cast<std::size_t>(counting.number("count_cache_mb", 32, 0.1, 1e5) * 1e6);
+  c.store.sessionBytes = static_cast<std::size_t>(counting.number("session_ids_mb", 64, 0.1, 1e5) * 1e6);
   c.sessionIds = counting.flag("session_ids", false);
-  c.inlineOctets = static_cast<std::size_t>(counting.integer("inline_bytes", 2048, 0, 1 << 20));
+  c.inlineBytes = static_cast<std::size_t>(counting.integer("inline_bytes", 2048, 0, 1 << 20));
   c.within = counting.micros("within_ms", 200, 1, kHour);
   c.charactersPerToken = out.intake.charactersPerToken;
   out.counting.versions.askEvery = counting.micros("ask_every_ms", 5000, 10, kHour);
@@ -214,7 +215,7 @@
   root.done();
 
   try {  // what the decision module itself asks of its settings
-    static_cast<void>(Brain(s, 1));
+    static_cast<void>(RoutingPolicy(s, 1));
   } catch (const std::invalid_argument& e) { root.fail(e.what()); }
   return out;
 }
--- a/src/server/settings.h
+++ b/src/server/settings.h
@@ -7,8 +7,8 @@
 
 #include "config/json_file.h"
 #include "engine/options.h"
-#include "front/grpc_server.h"
-#include "membership/engine_list.h"
+#include "grpc_frontend/grpc_server.h"
+#include "membership/endpoint_list_file.h"
 #include "routing/router.h"
 #include "server/token_counts.h"
 
@@ -25,8 +25,8 @@
   membership::Names names;  // kinds and zones
   routing::Options routing;
   engine::Options engine;
-  front::GrpcOptions grpc;
-  front::IntakeOptions intake;
+  grpc_frontend::GrpcOptions grpc;
+  grpc_frontend::IntakeOptions intake;
   CountingSettings counting;
   std::string listPath;
   std::string stateFolder;  // empty: nothing survives a restart
--- a/src/server/token_counts.cpp
+++ b/src/server/token_counts.cpp
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-TokenCounts::TokenCounts(net::Loop& loop, const CountingSettings& settings, engine::HttpEngines& engines,
+TokenCounts::TokenCounts(net::Loop& loop, const CountingSettings& settings, engine::HttpEngineClient& engines,
                          log::Log& log, std::function<void()> changed)
     : loop_(loop),
       engines_(engines),
@@ -70,20 +70,20 @@
 
 TokenCounts::~TokenCounts() { *alive_ = false; }
 
-counting::Counter::Prompt TokenCounts::promptOf(const routing::Ask& ask) {
-  return {ask.prompt, ask.sharedOctets, ask.session, ask.specialTokens};
+counting::Counter::Prompt TokenCounts::promptOf(const routing::Request& request) {
+  return {request.prompt, request.sharedPrefixBytes, request.session, request.specialTokens};
 }
 
-std::uint64_t TokenCounts::count(routing::Ask ask, Done done) {
+std::uint64_t TokenCounts::count(routing::Request request, Done done) {
   if (!counter_) {
-    done(std::move(ask));
+    done(std::move(request));
     return 0;
   }
   const Micros since = loop_.now();
-  auto prompt = promptOf(ask);
+  auto prompt = promptOf(request);
   // A count may take a tenth of the time that there is.
-  prompt.within = std::max<Micros>(1, ask.remaining / 10);
-  const auto shared = std::make_shared<routing::Ask>(std::move(ask));
+  prompt.within = std::max<Micros>(1, request.remaining / 10);
+  const auto shared = std::make_shared<routing::Request>(std::move(request));
   return counter_
       ->count(std::move(prompt), book_.inUse(),
               [this, shared, since, done = std::move(done)](const counting::PromptCounts& counts) {
@@ -91,21 +91,22 @@
                   log_.info("tokens-estimated", {{"cause", counting::name(counts.estimate)},
                                                  {"octets", shared->prompt->size()},
                                                  {"tokens", counts.main}});
-                routing::Ask out = filled(std::move(*shared), counts);
+                routing::Request out = filled(std::move(*shared), counts);
                 out.remaining -= loop_.now() - since;
                 done(std::move(out));
               })
       .value;
 }
 
-routing::Ask TokenCounts::filled(routing::Ask ask, const counting::PromptCounts& counts) const {
-  ask.estimated = counts.exact.empty();
-  ask.promptTokens = counts.main;
-  ask.sharedTokens = ask.shared.empty() ? 0 : std::min(counts.mainShared, counts.main);
-  ask.counts.clear();
+routing::Request TokenCounts::filled(routing::Request request, const counting::PromptCounts& counts) const {
+  request.estimated = counts.exact.empty();
+  request.promptTokens = counts.main;
+  request.sharedPrefixTokens = request.sharedPrefixKey.empty() ? 0 : std::min(counts.mainShared, counts.main);
+  request.counts.clear();
   for (const auto& c : counts.exact)
-    ask.counts.push_back({c.number, c.prompt, ask.shared.empty() ? 0 : std::min(c.shared, c.prompt)});
-  return ask;
+    request.counts.push_back(
+        {c.number, c.prompt, request.sharedPrefixKey.empty() ? 0 : std::min(c.shared, c.prompt)});
+  return request;
 }
 
 void TokenCounts::cancel(std::uint64_t ticket) {
@@ -114,17 +115,17 @@
 
 // ---- versions ----
 
-void TokenCounts::onList(const membership::EngineMap& engines) {
+void TokenCounts::onList(const membership::EndpointMap& engines) {
   if (!counter_) return;
   const Micros now = loop_.now();
-  std::set<ServerId> present;
+  std::set<EndpointId> present;
   for (const auto& [name, e] : engines) {
     present.insert(e.id);
     std::optional<VersionName> told;
     if (!e.tokeniser.empty()) told = VersionName{e.tokeniser, e.tokeniserVersion};
     book_.listed(e.id, e.startedAt, told, now);
   }
-  for (const ServerId id : listed_)
+  for (const EndpointId id : listed_)
     if (!present.contains(id)) book_.gone(id);
   listed_.assign(present.begin(), present.end());
   edition_ = book_.edition();
@@ -133,7 +134,7 @@
 
 void TokenCounts::ask() {
   const Micros now = loop_.now();
-  for (const ServerId id : book_.toAsk(now)) {
+  for (const EndpointId id : book_.toAsk(now)) {
     if (engines_.tokeniserPath().empty()) {
       book_.cannotTell(id, now);
       continue;
@@ -173,19 +174,20 @@
   const bool grew = !std::includes(inUse_.begin(), inUse_.end(), now.begin(), now.end());
   inUse_ = std::move(now);
   if (!grew || router_ == nullptr) return;
-  std::vector<std::pair<RequestId, routing::Ask>> waiting;
-  router_->eachWaiting([&](RequestId id, const routing::Ask& ask) {
-    if (ask.prompt) waiting.emplace_back(id, ask);
+  std::vector<std::pair<RequestId, routing::Request>> waiting;
+  router_->forEachPending([&](RequestId id, const routing::Request& request) {
+    if (request.prompt) waiting.emplace_back(id, request);
   });
-  for (auto& [id, ask] : waiting)
-    counter_->count(promptOf(ask), tokenisers,
-                    [this, id = id, ask = ask](const counting::PromptCounts& counts) {
-                      if (!counts.exact.empty()) router_->recounted(id, filled(ask, counts).counts);
+  for (auto& [id, request] : waiting)
+    counter_->count(promptOf(request), tokenisers,
+                    [this, id = id, request = request](const counting::PromptCounts& counts) {
+                      if (!counts.exact.empty())
+                        router_->updateTokenCounts(id, filled(request, counts).counts);
                     });
   if (!waiting.empty()) log_.info("recount", {{"requests", waiting.size()}});
 }
 
-void TokenCounts::fill(ServerList& list) const {
+void TokenCounts::fill(EndpointUpdate& list) const {
   if (!counter_) return;
   for (auto& e : list.entries) {
     const auto basis = book_.basis(e.id);
@@ -194,13 +196,13 @@
   }
 }
 
-void TokenCounts::onPromptRead(ServerId server, const routing::Ask& ask, double tokens) {
-  if (!counter_ || !ask.prompt) return;
+void TokenCounts::onPromptRead(EndpointId server, const routing::Request& request, double tokens) {
+  if (!counter_ || !request.prompt) return;
   const std::uint64_t number = book_.basis(server).number;
   std::optional<double> exact;
-  for (const auto& c : ask.counts)
+  for (const auto& c : request.counts)
     if (c.tokeniser == number) exact = c.promptTokens;
-  if (book_.read(server, ask.promptTokens, exact, number, tokens))
+  if (book_.read(server, request.promptTokens, exact, number, tokens))
     log_.warn("tokeniser-doubted",
               {{"engine", server.value}, {"counted", exact.value_or(0)}, {"told", tokens}});
   // The router is in the middle of an event; what it is told of this comes in the next turn.
@@ -215,10 +217,10 @@
   for (const auto& f : files) {
     const auto job = std::make_shared<Loading>(f);
     const auto taken = counter_->workers().submit(
-        scheduler::Level::background, 1, job, [this, job](std::exception_ptr trouble) {
-          if (trouble) {
+        scheduler::Level::background, 1, job, [this, job](std::exception_ptr error) {
+          if (error) {
             log_.warn("tokeniser",
-                      {{"version", counting::text(job->file.version)}, {"trouble", reason(trouble)}});
+                      {{"version", counting::text(job->file.version)}, {"trouble", reason(error)}});
             return;
           }
           book_.load(job->file.version, job->tokeniser);
@@ -237,8 +239,8 @@
          ", on workers " + std::to_string(c.onWorkers) + ", estimated " +
          std::to_string(c.estimatedFull + c.estimatedLate + c.estimatedFailed) + " (queue full " +
          std::to_string(c.estimatedFull) + ", late " + std::to_string(c.estimatedLate) + ", failed " +
-         std::to_string(c.estimatedFailed) + "); octets encoded " + std::to_string(c.octetsEncoded) + " of " +
-         std::to_string(c.octets) + "; engines by estimate " + std::to_string(book_.estimated());
+         std::to_string(c.estimatedFailed) + "); octets encoded " + std::to_string(c.bytesEncoded) + " of " +
+         std::to_string(c.bytes) + "; engines by estimate " + std::to_string(book_.estimated());
 }
 
 }  // namespace garnethook::server
--- a/src/server/token_counts.h
+++ b/src/server/token_counts.h
@@ -10,10 +10,10 @@
 
 #include "counting/counter.h"
 #include "counting/version_book.h"
-#include "engine/http_engines.h"
-#include "front/prompt_counting.h"
+#include "engine/http_engine_client.h"
+#include "grpc_frontend/prompt_counting.h"
 #include "log/log.h"
-#include "membership/engine_list.h"
+#include "membership/endpoint_list_file.h"
 #include "net/loop.h"
 #include "routing/router.h"
 
@@ -31,23 +31,23 @@
   counting::CounterOptions counter;
 };
 
-class TokenCounts final : public front::PromptCounting {
+class TokenCounts final : public grpc_frontend::PromptCounting {
  public:
   // Loads the files; throws tokeniser::FileError. `changed` is called when what engines() tells may have
   // changed.
-  TokenCounts(net::Loop& loop, const CountingSettings& settings, engine::HttpEngines& engines, log::Log& log,
-              std::function<void()> changed);
+  TokenCounts(net::Loop& loop, const CountingSettings& settings, engine::HttpEngineClient& engines,
+              log::Log& log, std::function<void()> changed);
   ~TokenCounts() override;
   // Before the first call of any other.
   void setRouter(routing::Router& router) { router_ = &router; }
 
-  std::uint64_t count(routing::Ask ask, Done done) override;
+  std::uint64_t count(routing::Request request, Done done) override;
   void cancel(std::uint64_t ticket) override;
 
-  void onList(const membership::EngineMap& engines);
+  void onList(const membership::EndpointMap& engines);
   // Puts each server's tokeniser and factor into the list for the module.
-  void fill(ServerList& list) const;
-  void onPromptRead(ServerId server, const routing::Ask& ask, double tokens);
+  void fill(EndpointUpdate& list) const;
+  void onPromptRead(EndpointId server, const routing::Request& request, double tokens);
   // Loads files again, in the background; each is taken whole or not at all.
   void reload(const std::vector<TokeniserFile>& files);
 
@@ -61,18 +61,18 @@
   void ask();
   void look();
   void recount();
-  routing::Ask filled(routing::Ask ask, const counting::PromptCounts& counts) const;
-  static counting::Counter::Prompt promptOf(const routing::Ask& ask);
+  routing::Request filled(routing::Request request, const counting::PromptCounts& counts) const;
+  static counting::Counter::Prompt promptOf(const routing::Request& request);
 
   net::Loop& loop_;
-  engine::HttpEngines& engines_;
+  engine::HttpEngineClient& engines_;
   log::Log& log_;
   std::function<void()> changed_;
   routing::Router* router_ = nullptr;
   counting::VersionBook book_;
   std::uint64_t edition_ = 0;
   std::vector<std::uint64_t> inUse_;
-  std::vector<ServerId> listed_;
+  std::vector<EndpointId> listed_;
   bool asks_ = true;
   timing::Alarm askAlarm_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/benchwire/wire.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "simulator_adapter/adapter.h"
 
 #include <algorithm>
 #include <array>
@@ -7,17 +7,17 @@
 #include <ostream>
 #include <utility>
 
-namespace garnethook::wire {
+namespace garnethook::simulator_adapter {
 namespace {
 
-using provision::Facts;
-using provision::indexOf;
-using provision::split;
-using provision::toNumber;
+using deployment_config::FieldReader;
+using deployment_config::indexOf;
+using deployment_config::split;
+using deployment_config::toNumber;
 
 // The name=value parts of one line, in any order.
-Facts factsOf(std::string_view line) {
-  Facts facts;
+FieldReader factsOf(std::string_view line) {
+  FieldReader facts;
   const auto parts = split(line, ' ');
   for (std::size_t at = 1; at < parts.size(); ++at) {
     const auto equals = parts[at].find('=');
@@ -29,11 +29,11 @@
 
 // One hosted instance, with the names that its lines use.
 struct Instance {
-  Provision provision;
+  DeploymentConfig deployment;
   std::unique_ptr<Decider> decider;
 };
 
-std::optional<LoadReport> parseReport(const Facts& fields, const Provision& provision) {
+std::optional<LoadReport> parseReport(const FieldReader& fields, const DeploymentConfig& deployment) {
   const auto text = fields.find("report");
   if (!text || text->empty() || *text == "-") return std::nullopt;
   LoadReport report;
@@ -42,20 +42,20 @@
     if (colon == std::string_view::npos) throw LineError("report", "no ':' in '" + std::string(part) + "'");
     const auto name = part.substr(0, colon);
     const double value = toNumber("report", part.substr(colon + 1));
-    provision::addReportValue(report, provision.report, name, value);
+    deployment_config::addReportValue(report, deployment.report, name, value);
   }
   return report;
 }
 
-RequestArrived parseArrival(const Facts& fields, const Provision& provision) {
+RequestArrived parseArrival(const FieldReader& fields, const DeploymentConfig& deployment) {
   RequestArrived event;
   event.id = {fields.whole("txn")};
-  event.requestClass = indexOf(provision.classNames, fields.text("band"));
+  event.requestClass = indexOf(deployment.classNames, fields.text("band"));
   event.remaining = fields.time("remainingMs");
   event.session = {fields.whole("session", 0)};
-  event.sharedBeginning = {fields.whole("template", 0)};
+  event.sharedPrefix = {fields.whole("template", 0)};
   event.promptTokens = fields.amount("nPrompt", 0);
-  event.sharedTokens = fields.amount("prefixLen", 0);
+  event.sharedPrefixTokens = fields.amount("prefixLen", 0);
   event.maxOutput = fields.amount("outputCap", 0);
   event.expectedOutput = std::max<Micros>(0, fields.time("expectedMs", 0));
   return event;
@@ -63,13 +63,13 @@
 
 Outcome toOutcome(std::string_view word) {
   constexpr std::array<std::pair<std::string_view, Outcome>, 9> kWords{{
-      {"OK", Outcome::served},
-      {"handover", Outcome::readDone},
+      {"OK", Outcome::completed},
+      {"handover", Outcome::prefillDone},
       {"INTERNAL", Outcome::error},
-      {"RESOURCE_EXHAUSTED", Outcome::full},
+      {"RESOURCE_EXHAUSTED", Outcome::rejected},
       {"DEADLINE_EXCEEDED", Outcome::timedOut},
       {"UNAVAILABLE", Outcome::connectFailed},
-      {"ABORTED", Outcome::reset},
+      {"ABORTED", Outcome::connectionReset},
       {"CANCELLED", Outcome::cancelled},
       {"TOO_LATE", Outcome::notSent},
   }};
@@ -77,41 +77,41 @@
   return at == kWords.end() ? Outcome::error : at->second;  // an unknown ending proves nothing
 }
 
-AttemptEnded parseEnd(const Facts& fields, const Provision& provision) {
+AttemptEnded parseEnd(const FieldReader& fields, const DeploymentConfig& deployment) {
   AttemptEnded event;
   event.id = {fields.whole("txn")};
   event.attempt = fields.smallInt("trial");
-  event.server = {fields.whole("engine")};
+  event.endpoint = {fields.whole("engine")};
   event.outcome = toOutcome(fields.text("ending"));
-  event.last = fields.flag("last");
+  event.requestEnded = fields.flag("last");
   const double info = fields.number("info", 0);
-  if (event.outcome == Outcome::full) event.stateMissing = info == 1;
-  if (event.outcome == Outcome::served || event.outcome == Outcome::readDone) event.foundTokens = info;
-  event.report = parseReport(fields, provision);
+  if (event.outcome == Outcome::rejected) event.kvStateMissing = info == 1;
+  if (event.outcome == Outcome::completed || event.outcome == Outcome::prefillDone) event.cachedTokens = info;
+  event.report = parseReport(fields, deployment);
   return event;
 }
 
-ServerEntry parseEntry(std::string_view line, const Provision& provision) {
-  const Facts fields = factsOf(line);
-  ServerEntry entry;
+EndpointEntry parseEntry(std::string_view line, const DeploymentConfig& deployment) {
+  const FieldReader fields = factsOf(line);
+  EndpointEntry entry;
   entry.id = {fields.whole("engine")};
-  entry.zone = indexOf(provision.zoneNames, fields.text("hall", ""));
-  entry.kind = indexOf(provision.kindNames, fields.text("shape", ""));
+  entry.zone = indexOf(deployment.zoneNames, fields.text("hall", ""));
+  entry.kind = indexOf(deployment.kindNames, fields.text("shape", ""));
   entry.cell = fields.whole("pod", 0);
   const auto state = fields.text("readiness");
-  entry.state = state == "Running"   ? ServerState::running
-                : state == "Deleted" ? ServerState::gone
-                                     : ServerState::draining;  // also for words not known yet
+  entry.state = state == "Running"   ? EndpointState::running
+                : state == "Deleted" ? EndpointState::removed
+                                     : EndpointState::draining;  // also for words not known yet
   entry.startedAt = fields.time("cameUpMs", 0);
   entry.weight = fields.number("rating", 1);
   return entry;
 }
 
-ServerList::Kind toListKind(std::string_view word) {
-  if (word == "diff") return ServerList::Kind::changes;
-  if (word == "snapshot") return ServerList::Kind::complete;
-  if (word == "disk") return ServerList::Kind::remembered;
-  if (word == "error") return ServerList::Kind::failed;
+EndpointUpdate::Kind toListKind(std::string_view word) {
+  if (word == "diff") return EndpointUpdate::Kind::delta;
+  if (word == "snapshot") return EndpointUpdate::Kind::snapshot;
+  if (word == "disk") return EndpointUpdate::Kind::staleCopy;
+  if (word == "error") return EndpointUpdate::Kind::failure;
   throw LineError("mode", "unknown kind of list");
 }
 
@@ -138,13 +138,13 @@
   void operator()(const Send& action) const {
     request("ISSUE", action.id);
     if (action.timeout != 0) field("capMs", milliseconds(std::max<Micros>(1, action.timeout)));
-    field("engine", std::to_string(action.server.value));
+    field("engine", std::to_string(action.endpoint.value));
   }
   void operator()(const Cancel& action) const {
     request("CALL_OFF", action.id);
     field("trial", std::to_string(action.attempt));
   }
-  void operator()(const Refuse& action) const {
+  void operator()(const Reject& action) const {
     request("SAY_NO", action.id);
     if (action.retryAfter > 0) field("holdOffMs", milliseconds(action.retryAfter));
   }
@@ -157,7 +157,7 @@
   }
   void operator()(const Probe& action) const {
     head("PROBE");
-    field("engine", std::to_string(action.server.value));
+    field("engine", std::to_string(action.endpoint.value));
   }
   void operator()(const Subscribe&) const {
     head("SUBSCRIBE");
@@ -218,8 +218,8 @@
 
   static std::string_view verbOf(std::string_view line) { return line.substr(0, line.find(' ')); }
 
-  void complain(std::size_t number, std::string_view trouble) const {
-    errors_ << "line " << number << ": " << trouble << '\n';
+  void complain(std::size_t number, std::string_view error) const {
+    errors_ << "line " << number << ": " << error << '\n';
   }
 
   template <class Work>
@@ -236,43 +236,43 @@
   void serveEvent(const std::vector<std::string>& lines, std::size_t start, std::size_t end) {
     const std::string& line = lines[start];
     const auto verb = verbOf(line);
-    if (verb == "PROVISION") return provision(line);
+    if (verb == "PROVISION") return deployment(line);
     if (verb == "DOWN") {
       instances_.erase(factsOf(line).whole("i"));
       return;
     }
     if (std::find(kEventVerbs.begin(), kEventVerbs.end(), verb) == kEventVerbs.end()) return;
-    const Facts fields = factsOf(line);
+    const FieldReader fields = factsOf(line);
     const auto number = fields.whole("i");
     const auto at = instances_.find(number);
     if (at == instances_.end()) throw LineError("i", "no such instance");
-    const Provision& known = at->second.provision;
+    const DeploymentConfig& known = at->second.deployment;
     if (verb == "REGISTRY") return deliver(number, parseList(fields, lines, start, end, known));
     if (verb == "QUERY") return deliver(number, parseArrival(fields, known));
     if (verb == "ANSWER") return deliver(number, parseEnd(fields, known));
     if (verb == "FIRED") return deliver(number, TimerFired{{fields.whole("cookie")}});
-    if (verb == "WITHDRAWN") return deliver(number, RequestGone{{fields.whole("txn")}});
+    if (verb == "WITHDRAWN") return deliver(number, RequestCancelled{{fields.whole("txn")}});
     if (verb == "HEAD_RECEIVED")
       return deliver(number, StreamStarted{{fields.whole("txn")}, fields.smallInt("trial")});
     deliver(number,
             ProbeEnded{{fields.whole("engine")}, fields.text("ending") == "OK", parseReport(fields, known)});
   }
 
-  ServerList parseList(const Facts& fields, const std::vector<std::string>& lines, std::size_t start,
-                       std::size_t end, const Provision& known) {
-    ServerList list{toListKind(fields.text("mode")), {}};
+  EndpointUpdate parseList(const FieldReader& fields, const std::vector<std::string>& lines,
+                           std::size_t start, std::size_t end, const DeploymentConfig& known) {
+    EndpointUpdate list{toListKind(fields.text("mode")), {}};
     if (fields.whole("rows", 0) != end - start - 1) throw LineError("rows", "differs from the ITEM lines");
     for (std::size_t at = start + 1; at < end; ++at) list.entries.push_back(parseEntry(lines[at], known));
     return list;
   }
 
-  void provision(std::string_view line) {
+  void deployment(std::string_view line) {
     const auto number = factsOf(line).whole("i");
-    Provision provision = parseProvision(line);
+    DeploymentConfig deployment = parseProvision(line);
     instances_.erase(number);
     panicking(number, [&] {
-      auto decider = factory_(provision.settings, provision.seed);
-      instances_.emplace(number, Instance{std::move(provision), std::move(decider)});
+      auto decider = factory_(deployment.settings, deployment.seed);
+      instances_.emplace(number, Instance{std::move(deployment), std::move(decider)});
     });
   }
 
@@ -324,14 +324,14 @@
   }
 
  private:
-  Brain brain_;
+  RoutingPolicy brain_;
 };
 
 }  // namespace
 
-Provision parseProvision(std::string_view line) {
-  const Facts facts = factsOf(line);
-  return {provision::readProvision(facts), facts.whole("nonce64", 0)};
+DeploymentConfig parseProvision(std::string_view line) {
+  const FieldReader facts = factsOf(line);
+  return {deployment_config::readDeploymentConfig(facts), facts.whole("nonce64", 0)};
 }
 
 std::unique_ptr<Decider> makeBrain(const Settings& settings, std::uint64_t seed) {
@@ -342,4 +342,4 @@
   return Server(in, out, errors, factory).run();
 }
 
-}  // namespace garnethook::wire
+}  // namespace garnethook::simulator_adapter
--- a/src/benchwire/wire.h
+++ b/src/simulator_adapter/adapter.h
@@ -9,20 +9,20 @@
 #include <string_view>
 #include <vector>
 
-#include "brain.h"
-#include "provision/provision.h"
+#include "deployment_config/deployment_config.h"
+#include "policy/routing_policy.h"
 
-namespace garnethook::wire {
+namespace garnethook::simulator_adapter {
 
 // A line that can't be understood; names the field at fault.
-using LineError = provision::FactError;
+using LineError = deployment_config::FieldError;
 
 // An instance's start: its settings and the seed of its random numbers.
-struct Provision : provision::Provision {
+struct DeploymentConfig : deployment_config::DeploymentConfig {
   std::uint64_t seed = 0;
 };
 
-Provision parseProvision(std::string_view line);
+DeploymentConfig parseProvision(std::string_view line);
 
 class Decider {
  public:
@@ -39,4 +39,4 @@
 int serve(std::istream& in, std::ostream& out, std::ostream& errors,
           const DeciderFactory& factory = makeBrain);
 
-}  // namespace garnethook::wire
+}  // namespace garnethook::simulator_adapter
--- a/src/tokeniser/added_tokens.cpp
+++ b/src/tokeniser/added_tokens.cpp
@@ -39,7 +39,7 @@
   return std::nullopt;
 }
 
-std::string_view AddedTokens::octets(TokenId id) const {
+std::string_view AddedTokens::bytes(TokenId id) const {
   const auto at = byId_.find(id);
   return at == byId_.end() ? std::string_view() : std::string_view(at->second);
 }
--- a/src/tokeniser/byte_level.cpp
+++ b/src/tokeniser/byte_level.cpp
@@ -13,7 +13,7 @@
 ByteLevel::ByteLevel(std::unique_ptr<ByteLevelParts> parts)
     : parts_(std::move(parts)), encoder_(parts_->vocabulary, std::move(parts_->merger)) {
   for (TokenId id = 0; id < parts_->vocabulary.ids(); ++id)
-    longest_ = std::max(longest_, parts_->vocabulary.octets(id).size());
+    longest_ = std::max(longest_, parts_->vocabulary.bytes(id).size());
 }
 
 // Added tokens are found in the text as it came, and each stretch between them is composed by itself. They
@@ -103,7 +103,7 @@
 void ByteLevel::piece(std::string_view piece, Workspace& workspace, std::vector<TokenId>& ids) const {
   if (piece.size() <= longest_) {
     const TokenId id = parts_->vocabulary.find(piece);
-    // A token that merging its own octets gives is the encoding of them in any case.
+    // A token that merging its own bytes gives is the encoding of them in any case.
     if (id != kNoToken && (parts_->wholePieces || encoder_.reachable(id))) {
       ids.push_back(id);
       return;
@@ -112,9 +112,9 @@
   encoder_.encode(piece, ids, workspace.pieces);
 }
 
-std::string ByteLevel::octets(TokenId id) const {
-  const auto added = parts_->added.octets(id);
-  return std::string(added.empty() ? parts_->vocabulary.octets(id) : added);
+std::string ByteLevel::bytes(TokenId id) const {
+  const auto added = parts_->added.bytes(id);
+  return std::string(added.empty() ? parts_->vocabulary.bytes(id) : added);
 }
 
 std::size_t ByteLevel::memory() const {
@@ -129,7 +129,7 @@
 }
 
 std::optional<std::string> composed(std::string_view text) {
-  // Characters below U+0300 are composed already and stay so beside each other; their first octets are below
+  // Characters below U+0300 are composed already and stay so beside each other; their first bytes are below
   // 0xcc.
   if (std::all_of(text.begin(), text.end(), [](char c) { return static_cast<std::uint8_t>(c) < 0xcc; }))
     return std::nullopt;
--- a/src/tokeniser/byte_level.h
+++ b/src/tokeniser/byte_level.h
@@ -33,7 +33,7 @@
                Workspace& workspace, std::vector<TokenId>* ids) const override;
   std::span<const TokenId> before() const override { return parts_->before; }
   std::span<const TokenId> behind() const override { return parts_->behind; }
-  std::string octets(TokenId id) const override;
+  std::string bytes(TokenId id) const override;
   std::size_t memory() const override;
   std::string describe() const override;
   const PieceEncoder& pieces() const { return encoder_; }
@@ -46,7 +46,7 @@
 
   std::unique_ptr<ByteLevelParts> parts_;
   PieceEncoder encoder_;
-  std::size_t longest_ = 0;  // octets of the vocabulary's longest token
+  std::size_t longest_ = 0;  // bytes of the vocabulary's longest token
 };
 
 // The text in Unicode's composed form (NFC, Unicode 15 section 3.11); none where it is already.
--- a/src/tokeniser/huggingface_file.cpp
+++ b/src/tokeniser/huggingface_file.cpp
@@ -12,37 +12,37 @@
 
 using nlohmann::json;
 
-// The alphabet that stands for octets in the file (GPT-2's bytes_to_unicode).
+// The alphabet that stands for bytes in the file (GPT-2's bytes_to_unicode).
 class Alphabet {
  public:
   Alphabet() {
     char32_t next = 256;
-    for (unsigned octet = 0; octet < 256; ++octet) {
-      const bool itself = (octet >= 33 && octet <= 126) || (octet >= 161 && octet <= 172) || octet >= 174;
-      const char32_t c = itself ? octet : next++;
-      octets_[c] = static_cast<std::uint8_t>(octet);
+    for (unsigned byte = 0; byte < 256; ++byte) {
+      const bool itself = (byte >= 33 && byte <= 126) || (byte >= 161 && byte <= 172) || byte >= 174;
+      const char32_t c = itself ? byte : next++;
+      bytes_[c] = static_cast<std::uint8_t>(byte);
       known_[c] = true;
     }
   }
   // False where a character is not of the alphabet.
-  bool read(std::string_view text, std::string& octets) const {
-    octets.clear();
+  bool read(std::string_view text, std::string& bytes) const {
+    bytes.clear();
     for (std::size_t at = 0; at < text.size();) {
       const char32_t c = take(text, at);
       if (c >= known_.size() || !known_[c]) return false;
-      octets.push_back(static_cast<char>(octets_[c]));
+      bytes.push_back(static_cast<char>(bytes_[c]));
     }
     return true;
   }
 
  private:
-  std::array<std::uint8_t, 324> octets_{};
+  std::array<std::uint8_t, 324> bytes_{};
   std::array<bool, 324> known_{};
 };
 
 class Reader {
  public:
-  Reader(const std::string& name, std::string_view octets) : name_(name) { parse(octets); }
+  Reader(const std::string& name, std::string_view bytes) : name_(name) { parse(bytes); }
 
   std::shared_ptr<const Tokeniser> run() {
     if (!root_.is_object()) fail("", "is no object");
@@ -68,7 +68,7 @@
 
   // Vocabulary and merges are taken as they come and never stand in the document: it would take ten times the
   // file.
-  void parse(std::string_view octets) {
+  void parse(std::string_view bytes) {
     std::vector<std::string> keys;
     std::string left;
     const auto inside = [&](std::size_t depth, const char* key) {
@@ -117,7 +117,7 @@
       }
     };
     try {
-      root_ = json::parse(octets, callback);
+      root_ = json::parse(bytes, callback);
     } catch (const json::exception& e) { fail("", std::string("no JSON: ") + e.what()); }
   }
 
@@ -128,23 +128,23 @@
     if (!id.is_number_unsigned() || id.get<std::uint64_t>() >= Vocabulary::kMostTokens)
       fail(field, "is no token id");
     const auto number = id.get<TokenId>();
-    std::string octets;
-    if (!alphabet_.read(text, octets)) return;  // can't come of octets; an added token maybe
+    std::string bytes;
+    if (!alphabet_.read(text, bytes)) return;  // can't come of bytes; an added token maybe
     try {
-      parts_->vocabulary.add(number, octets);
+      parts_->vocabulary.add(number, bytes);
     } catch (const std::invalid_argument& e) { fail(field, e.what()); }
   }
 
   void merge(std::string_view left, std::string_view right) {
     if (merges_.size() >= 8'000'000) fail("model.merges", "has more than 8000000 entries");
-    std::string octets;
+    std::string bytes;
     Place place{static_cast<std::uint32_t>(mergeText_.size()), 0, 0};
-    if (!alphabet_.read(left, octets) || octets.empty()) fail(mergeName(), "the left part is no token");
-    mergeText_ += octets;
-    place.left = static_cast<std::uint32_t>(octets.size());
-    if (!alphabet_.read(right, octets) || octets.empty()) fail(mergeName(), "the right part is no token");
-    mergeText_ += octets;
-    place.right = static_cast<std::uint32_t>(octets.size());
+    if (!alphabet_.read(left, bytes) || bytes.empty()) fail(mergeName(), "the left part is no token");
+    mergeText_ += bytes;
+    place.left = static_cast<std::uint32_t>(bytes.size());
+    if (!alphabet_.read(right, bytes) || bytes.empty()) fail(mergeName(), "the right part is no token");
+    mergeText_ += bytes;
+    place.right = static_cast<std::uint32_t>(bytes.size());
     if (mergeText_.size() > 0x7fffffff) fail("model.merges", "has too many octets");
     merges_.push_back(place);
   }
@@ -393,9 +393,9 @@
 
 }  // namespace
 
-std::shared_ptr<const Tokeniser> readHuggingFace(const std::string& name, std::string_view octets) {
-  if (!wellFormed(octets)) throw FileError(name + ": is no UTF-8");
-  return Reader(name, octets).run();
+std::shared_ptr<const Tokeniser> readHuggingFace(const std::string& name, std::string_view bytes) {
+  if (!wellFormed(bytes)) throw FileError(name + ": is no UTF-8");
+  return Reader(name, bytes).run();
 }
 
 }  // namespace garnethook::tokeniser
