--- a/src/tokeniser/merges.cpp
+++ b/src/tokeniser/merges.cpp
@@ -31,18 +31,18 @@
   }
 }
 
-PlainMerger::PlainMerger(const Vocabulary& vocabulary) : vocabulary_(vocabulary) { findOctets(); }
+PlainMerger::PlainMerger(const Vocabulary& vocabulary) : vocabulary_(vocabulary) { findBytes(); }
 
 PlainMerger::PlainMerger(const Vocabulary& vocabulary, PairTable merges)
     : vocabulary_(vocabulary), merges_(std::move(merges)) {
-  findOctets();
+  findBytes();
 }
 
-void PlainMerger::findOctets() {
+void PlainMerger::findBytes() {
   for (unsigned value = 0; value < 256; ++value) {
-    const char octet = static_cast<char>(value);
-    octets_.push_back(vocabulary_.find({&octet, 1}));
-    if (octets_.back() == kNoToken)
+    const char byte = static_cast<char>(value);
+    bytes_.push_back(vocabulary_.find({&byte, 1}));
+    if (bytes_.back() == kNoToken)
       throw std::invalid_argument("no token for the octet " + std::to_string(value) +
                                   ": not a byte-level vocabulary");
   }
@@ -55,7 +55,7 @@
   return token == kNoToken ? Merge{} : Merge{token, token};
 }
 
-// Parts are a list in arrays by the place of their first octet. The heap may hold pairs that are gone; they
+// Parts are a list in arrays by the place of their first byte. The heap may hold pairs that are gone; they
 // are known by their rank, which is no longer the place's.
 template <typename Merged>
 void PlainMerger::run(std::string_view piece, std::vector<TokenId>& ids, Merged merged) const {
@@ -79,7 +79,7 @@
     return m;
   };
   for (std::uint32_t i = 0; i < n; ++i)
-    parts[i] = {octets_[static_cast<std::uint8_t>(piece[i])], i + 1, i == 0 ? kNone : i - 1, kNone};
+    parts[i] = {bytes_[static_cast<std::uint8_t>(piece[i])], i + 1, i == 0 ? kNone : i - 1, kNone};
   for (std::uint32_t i = 0; i + 1 < n; ++i)
     if (look(i).token != kNoToken) heap.push_back(std::uint64_t{parts[i].rank} << 32 | i);
   std::priority_queue<std::uint64_t, std::vector<std::uint64_t>, std::greater<>> queue(std::greater<>(),
@@ -112,7 +112,7 @@
 std::optional<PlainMerger::Last> PlainMerger::last(TokenId token) const {
   Last out;
   std::vector<TokenId> ids;
-  run(vocabulary_.octets(token), ids, [&](TokenId left, TokenId right, std::uint32_t rank) {
+  run(vocabulary_.bytes(token), ids, [&](TokenId left, TokenId right, std::uint32_t rank) {
     out = {left, right, rank};
   });
   if (ids.size() != 1 || ids[0] != token || out.left == kNoToken) return std::nullopt;
--- a/src/tokeniser/merges.h
+++ b/src/tokeniser/merges.h
@@ -51,15 +51,15 @@
 
 class PlainMerger {
  public:
-  // By ranks: two tokens merge where their octets together are a token, and its id is the rank.
-  // The vocabulary must outlive the merger. Throws std::invalid_argument: no token for an octet.
+  // By ranks: two tokens merge where their bytes together are a token, and its id is the rank.
+  // The vocabulary must outlive the merger. Throws std::invalid_argument: no token for an byte.
   explicit PlainMerger(const Vocabulary& vocabulary);
   // By a list of merges.
   PlainMerger(const Vocabulary& vocabulary, PairTable merges);
 
-  TokenId octet(std::uint8_t value) const { return octets_[value]; }
-  // Appends the ids of the piece. Memory: 24 octets and more for each of the piece's. Piece: at most 2^31
-  // octets.
+  TokenId byte(std::uint8_t value) const { return bytes_[value]; }
+  // Appends the ids of the piece. Memory: 24 bytes and more for each of the piece's. Piece: at most 2^31
+  // bytes.
   void encode(std::string_view piece, std::vector<TokenId>& ids) const;
 
   struct Last {
@@ -67,20 +67,20 @@
     TokenId right = kNoToken;
     std::uint32_t rank = 0;
   };
-  // The merge that completes this token when its own octets are merged; none where they end otherwise.
+  // The merge that completes this token when its own bytes are merged; none where they end otherwise.
   std::optional<Last> last(TokenId token) const;
-  // What a list of merges takes, octets.
+  // What a list of merges takes, bytes.
   std::size_t memory() const { return merges_ ? merges_->memory() : 0; }
 
  private:
   template <typename Merged>
   void run(std::string_view piece, std::vector<TokenId>& ids, Merged merged) const;
   Merge find(TokenId left, TokenId right, std::string_view together) const;
-  void findOctets();
+  void findBytes();
 
   const Vocabulary& vocabulary_;
   std::optional<PairTable> merges_;
-  std::vector<TokenId> octets_;
+  std::vector<TokenId> bytes_;
 };
 
 }  // namespace garnethook::tokeniser
--- a/src/tokeniser/piece_encoder.cpp
+++ b/src/tokeniser/piece_encoder.cpp
@@ -22,13 +22,13 @@
   };
   std::vector<Found> found;
   for (TokenId id = 0; id < vocabulary_.ids(); ++id) {
-    if (vocabulary_.octets(id).size() < 2) continue;
+    if (vocabulary_.bytes(id).size() < 2) continue;
     if (const auto last = merger.last(id)) found.push_back({*last, id});
   }
   std::sort(found.begin(), found.end(),
             [](const Found& a, const Found& b) { return a.last.rank < b.last.rank; });
   for (unsigned value = 0; value < 256; ++value) {
-    const TokenId id = merger.octet(static_cast<std::uint8_t>(value));
+    const TokenId id = merger.byte(static_cast<std::uint8_t>(value));
     number_[id] = value;
     tokens_.push_back({id, 1, value, value, kNone});
   }
@@ -38,8 +38,7 @@
     const std::uint32_t left = number_[f.last.left];
     const std::uint32_t right = number_[f.last.right];
     number_[f.id] = number;
-    tokens_.push_back(
-        {f.id, static_cast<std::uint32_t>(vocabulary_.octets(f.id).size()), left, right, kNone});
+    tokens_.push_back({f.id, static_cast<std::uint32_t>(vocabulary_.bytes(f.id).size()), left, right, kNone});
     if (left == kNone || right == kNone)
       inOrder = false;
     else
@@ -52,9 +51,9 @@
 void PieceEncoder::plant() {
   std::vector<std::uint32_t> sorted(tokens_.size());
   for (std::uint32_t i = 0; i < sorted.size(); ++i) sorted[i] = i;
-  const auto octets = [&](std::uint32_t number) { return vocabulary_.octets(tokens_[number].id); };
+  const auto bytes = [&](std::uint32_t number) { return vocabulary_.bytes(tokens_[number].id); };
   std::sort(sorted.begin(), sorted.end(),
-            [&](std::uint32_t a, std::uint32_t b) { return octets(a) < octets(b); });
+            [&](std::uint32_t a, std::uint32_t b) { return bytes(a) < bytes(b); });
   struct Span {
     std::uint32_t from, to;  // of `sorted`
     std::uint32_t depth;
@@ -65,7 +64,7 @@
   two_.assign(65'536, 0);
   for (std::uint32_t node = 0; node < nodes_.size(); ++node) {
     Span span = spans[node];
-    if (span.from < span.to && octets(sorted[span.from]).size() == span.depth) {
+    if (span.from < span.to && bytes(sorted[span.from]).size() == span.depth) {
       const std::uint32_t token = sorted[span.from++];
       nodes_[node].token = token;
       tokens_[token].shorter = span.shorter;
@@ -73,9 +72,9 @@
     }
     nodes_[node].first = static_cast<std::uint32_t>(nodes_.size());
     for (std::uint32_t i = span.from; i < span.to;) {
-      const char label = octets(sorted[i])[span.depth];
+      const char label = bytes(sorted[i])[span.depth];
       std::uint32_t end = i;
-      while (end < span.to && octets(sorted[end])[span.depth] == label) ++end;
+      while (end < span.to && bytes(sorted[end])[span.depth] == label) ++end;
       if (span.depth == 1)
         two_[std::size_t{nodes_[node].label} << 8 | static_cast<std::uint8_t>(label)] =
             static_cast<std::uint32_t>(nodes_.size());
@@ -89,10 +88,10 @@
 }
 
 std::uint32_t PieceEncoder::longest(std::string_view text) const {
-  const auto octet = [&](std::size_t i) { return static_cast<std::uint8_t>(text[i]); };
-  std::uint32_t best = octet(0);  // the number of an octet is its value
+  const auto byte = [&](std::size_t i) { return static_cast<std::uint8_t>(text[i]); };
+  std::uint32_t best = byte(0);  // the number of an byte is its value
   if (text.size() < 2) return best;
-  std::uint32_t node = two_[std::size_t{octet(0)} << 8 | octet(1)];
+  std::uint32_t node = two_[std::size_t{byte(0)} << 8 | byte(1)];
   if (node == 0) return best;
   for (std::size_t i = 2;; ++i) {
     const Node& here = nodes_[node];
@@ -102,16 +101,16 @@
     const Node* const to = from + here.children;
     const Node* at = from;
     if (here.children <= 8)
-      while (at != to && at->label != octet(i)) ++at;
+      while (at != to && at->label != byte(i)) ++at;
     else
-      at = std::lower_bound(from, to, octet(i),
+      at = std::lower_bound(from, to, byte(i),
                             [](const Node& n, std::uint8_t label) { return n.label < label; });
-    if (at == to || at->label != octet(i)) return best;
+    if (at == to || at->label != byte(i)) return best;
     node = static_cast<std::uint32_t>(at - nodes_.data());
   }
 }
 
-// Takes the two tokens apart, youngest merge first, and looks whether merging would have joined octets over
+// Takes the two tokens apart, youngest merge first, and looks whether merging would have joined bytes over
 // the border before: then these two never stand side by side.
 bool PieceEncoder::neighbours(std::uint32_t left, std::uint32_t right) const {
   std::uint32_t limit = kNone;
@@ -186,7 +185,7 @@
     std::string text;
     const std::size_t tokens = 2 + draw(5);
     while (text.size() < 200 && text.size() < tokens * 40) {
-      text += vocabulary_.octets(tokens_[draw(tokens_.size())].id);
+      text += vocabulary_.bytes(tokens_[draw(tokens_.size())].id);
       if (draw(tokens) == 0) break;
     }
     if (i % 8 == 0) {  // a run of one token
--- a/src/tokeniser/piece_encoder.h
+++ b/src/tokeniser/piece_encoder.h
@@ -1,8 +1,8 @@
-// Byte-pair encoding of a piece from left to right, in time linear in its length and with four octets of
+// Byte-pair encoding of a piece from left to right, in time linear in its length and with four bytes of
 // memory for each token: no list of neighbours, no heap.
 //
 // It rests on this: with merges in order (each token's parts are older than itself, each token is what
-// merging its own octets gives), a row of tokens is THE encoding of its octets exactly if each two neighbours
+// merging its own bytes gives), a row of tokens is THE encoding of its bytes exactly if each two neighbours
 // are the encoding of theirs. So the longest token that fits after the last one is taken, else a shorter one,
 // else the last one is taken back; a place from which no encoding goes on is marked and not tried again,
 // which bounds the work. (H. van Antwerpen and A. Neubeck, "So many tokens, so little time", 2024; M.
@@ -24,7 +24,7 @@
 
 class PieceEncoder {
  public:
-  // Scratch memory of one thread; grows with the longest piece: an octet of text takes up to 4 1/8 octets.
+  // Scratch memory of one thread; grows with the longest piece: an byte of text takes up to 4 1/8 bytes.
   struct Workspace {
     std::vector<std::uint32_t> row;
     std::vector<std::uint64_t> dead;
@@ -36,19 +36,19 @@
   // Appends the ids of the piece. Throws std::logic_error where the vocabulary proves to have merges out of
   // order after all; nothing is appended then.
   void encode(std::string_view piece, std::vector<TokenId>& ids, Workspace& workspace) const;
-  // The token is what merging its own octets gives.
+  // The token is what merging its own bytes gives.
   bool reachable(TokenId id) const { return id < number_.size() && number_[id] != kNone; }
   // Merges are in order: the fast way is taken.
   bool ordered() const { return plain_ == nullptr; }
-  std::size_t memory() const;  // octets
+  std::size_t memory() const;  // bytes
 
  private:
   static constexpr std::uint32_t kNone = 0xffffffff;
-  // By its number, the place in the order of merges: octets come first.
+  // By its number, the place in the order of merges: bytes come first.
   struct Token {
     TokenId id = kNoToken;
     std::uint32_t length = 0;
-    std::uint32_t left = kNone;  // the two it is merged from; itself for an octet
+    std::uint32_t left = kNone;  // the two it is merged from; itself for an byte
     std::uint32_t right = kNone;
     std::uint32_t shorter = kNone;  // the longest token that begins it
   };
@@ -72,7 +72,7 @@
   std::vector<std::uint32_t> number_;  // by id
   PairTable pairs_;                    // of numbers; the merge each token arises by
   std::vector<Node> nodes_;            // 0 is the root
-  std::vector<std::uint32_t> two_;     // node by the first two octets; 0: none
+  std::vector<std::uint32_t> two_;     // node by the first two bytes; 0: none
   std::unique_ptr<const PlainMerger> plain_;
 };
 
--- a/src/tokeniser/ranks_file.cpp
+++ b/src/tokeniser/ranks_file.cpp
@@ -1,4 +1,4 @@
-// Ranks files (".tiktoken"): a line for each token, its octets in base 64 and its rank, which is its id.
+// Ranks files (".tiktoken"): a line for each token, its bytes in base 64 and its rank, which is its id.
 #include <algorithm>
 #include <charconv>
 
@@ -31,9 +31,9 @@
       return false;
     bits = bits << 6 | value;
     if (i % 4 == 3) {
-      const std::size_t octets = i + 1 == in.size() ? 3 - padding : 3;
-      if (octets < 3 && (bits & (octets == 1 ? 0xffffU : 0xffU)) != 0) return false;
-      for (std::size_t k = 0; k < octets; ++k) out.push_back(static_cast<char>(bits >> (16 - 8 * k) & 0xff));
+      const std::size_t bytes = i + 1 == in.size() ? 3 - padding : 3;
+      if (bytes < 3 && (bits & (bytes == 1 ? 0xffffU : 0xffU)) != 0) return false;
+      for (std::size_t k = 0; k < bytes; ++k) out.push_back(static_cast<char>(bits >> (16 - 8 * k) & 0xff));
       bits = 0;
     }
   }
@@ -42,17 +42,17 @@
 
 }  // namespace
 
-std::shared_ptr<const Tokeniser> readRanks(const std::string& name, std::string_view octets,
+std::shared_ptr<const Tokeniser> readRanks(const std::string& name, std::string_view bytes,
                                            const FileOptions& options) {
   auto parts = std::make_unique<ByteLevelParts>();
   parts->name = "ranks";
   parts->keepGaps = false;
   parts->wholePieces = true;
   std::string token;
-  for (std::size_t line = 1; !octets.empty(); ++line) {
-    const std::size_t end = std::min(octets.find('\n'), octets.size());
-    std::string_view text = octets.substr(0, end);
-    octets.remove_prefix(std::min(end + 1, octets.size()));
+  for (std::size_t line = 1; !bytes.empty(); ++line) {
+    const std::size_t end = std::min(bytes.find('\n'), bytes.size());
+    std::string_view text = bytes.substr(0, end);
+    bytes.remove_prefix(std::min(end + 1, bytes.size()));
     if (!text.empty() && text.back() == '\r') text.remove_suffix(1);
     if (text.empty()) continue;
     const auto fail = [&](const std::string& trouble) {
--- a/src/tokeniser/sentencepiece_process.cpp
+++ b/src/tokeniser/sentencepiece_process.cpp
@@ -140,7 +140,7 @@
   }
   std::span<const TokenId> before() const override { return before_; }
   std::span<const TokenId> behind() const override { return behind_; }
-  std::string octets(TokenId) const override { return {}; }
+  std::string bytes(TokenId) const override { return {}; }
   bool inParts() const override { return false; }
   std::size_t memory() const override { return sizeof *this; }  // the model is in the other process
   std::string describe() const override { return "SentencePiece, " + std::to_string(tokens_) + " tokens"; }
--- a/src/tokeniser/tokeniser.cpp
+++ b/src/tokeniser/tokeniser.cpp
@@ -22,7 +22,7 @@
 
 std::string decode(const Tokeniser& tokeniser, std::span<const TokenId> ids) {
   std::string text;
-  for (const TokenId id : ids) text += tokeniser.octets(id);
+  for (const TokenId id : ids) text += tokeniser.bytes(id);
   return text;
 }
 
@@ -32,13 +32,13 @@
   if (!in) throw FileError(path + ": can't be read");
   const std::streamoff size = in.tellg();
   if (size > kMost) throw FileError(path + ": has more than 256 MiB");
-  std::string octets(static_cast<std::size_t>(std::max<std::streamoff>(size, 0)), '\0');
+  std::string bytes(static_cast<std::size_t>(std::max<std::streamoff>(size, 0)), '\0');
   in.seekg(0);
-  if (!in.read(octets.data(), static_cast<std::streamsize>(octets.size())))
+  if (!in.read(bytes.data(), static_cast<std::streamsize>(bytes.size())))
     throw FileError(path + ": can't be read");
   switch (options.format) {
-    case Format::ranks: return readRanks(path, octets, options);
-    case Format::huggingFace: return readHuggingFace(path, octets);
+    case Format::ranks: return readRanks(path, bytes, options);
+    case Format::huggingFace: return readHuggingFace(path, bytes);
     default: return startSentencePiece(path, options);
   }
 }
--- a/src/tokeniser/tokeniser.h
+++ b/src/tokeniser/tokeniser.h
@@ -23,7 +23,7 @@
 
 // A place in a text up to which its tokens are known.
 struct Mark {
-  std::size_t at = 0;      // octets
+  std::size_t at = 0;      // bytes
   std::size_t tokens = 0;  // of [0, at)
   friend bool operator==(const Mark&, const Mark&) = default;
 };
@@ -45,7 +45,7 @@
 
   // Encodes text[from.at, limit), `from` being 0 or a mark that came of this, and returns how far it got.
   // limit == text.size(): all of it. Else: as far as the tokens are the same for EVERY text that begins with
-  // text[0, limit), which may be no further than `from`; no octet behind `limit` is looked at.
+  // text[0, limit), which may be no further than `from`; no byte behind `limit` is looked at.
   // Appends the ids to `ids` where given. The text is well-formed and normalised.
   // Throws std::runtime_error where memory for the match is used up.
   virtual Mark advance(std::string_view text, Mark from, std::size_t limit, const TextOptions& options,
@@ -55,10 +55,10 @@
   virtual std::span<const TokenId> before() const { return {}; }
   virtual std::span<const TokenId> behind() const { return {}; }
   // What the token stands for; empty for an unknown id.
-  virtual std::string octets(TokenId id) const = 0;
+  virtual std::string bytes(TokenId id) const = 0;
   // True: texts can be encoded in parts. False: advance() gets on only with the whole text.
   virtual bool inParts() const { return true; }
-  virtual std::size_t memory() const = 0;  // octets, about
+  virtual std::size_t memory() const = 0;  // bytes, about
   virtual std::string describe() const = 0;
 };
 
@@ -82,10 +82,10 @@
 // Reads a published file. Throws FileError naming file and field for what is wrong or not supported.
 // At most 256 MiB are read.
 std::shared_ptr<const Tokeniser> loadFile(const std::string& path, const FileOptions& options);
-// The same of the file's octets; `name` stands in errors.
-std::shared_ptr<const Tokeniser> readRanks(const std::string& name, std::string_view octets,
+// The same of the file's bytes; `name` stands in errors.
+std::shared_ptr<const Tokeniser> readRanks(const std::string& name, std::string_view bytes,
                                            const FileOptions& options);
-std::shared_ptr<const Tokeniser> readHuggingFace(const std::string& name, std::string_view octets);
+std::shared_ptr<const Tokeniser> readHuggingFace(const std::string& name, std::string_view bytes);
 // Of a file's path, since another process reads it: garnethook-sentencepiece, beside this program.
 std::shared_ptr<const Tokeniser> startSentencePiece(const std::string& path, const FileOptions& options);
 
--- a/src/tokeniser/utf8.cpp
+++ b/src/tokeniser/utf8.cpp
@@ -13,7 +13,7 @@
   bool good = false;
 };
 
-// Table 3-7: the second octet's range depends on the first.
+// Table 3-7: the second byte's range depends on the first.
 Step step(const std::uint8_t* at, const std::uint8_t* end) {
   const std::uint8_t first = *at;
   if (first < 0x80) return {1, true};
@@ -42,7 +42,7 @@
   return {more + 1, true};
 }
 
-// Past the ASCII octets from `at` on, eight at a time.
+// Past the ASCII bytes from `at` on, eight at a time.
 const std::uint8_t* pastAscii(const std::uint8_t* at, const std::uint8_t* end) {
   while (end - at >= 8) {
     std::uint64_t word = 0;
@@ -90,7 +90,7 @@
   return at;
 }
 
-std::size_t octetsOf(std::string_view text, std::size_t characters) {
+std::size_t bytesOf(std::string_view text, std::size_t characters) {
   std::size_t seen = 0;
   for (std::size_t i = 0; i < text.size(); ++i) {
     if (continues(static_cast<std::uint8_t>(text[i]))) continue;
@@ -101,7 +101,7 @@
 }
 
 void append(std::string& out, char32_t c) {
-  const auto put = [&](std::uint32_t octet) { out.push_back(static_cast<char>(octet)); };
+  const auto put = [&](std::uint32_t byte) { out.push_back(static_cast<char>(byte)); };
   if (c < 0x80) {
     put(c);
   } else if (c < 0x800) {
@@ -120,13 +120,13 @@
 }
 
 char32_t take(std::string_view text, std::size_t& at) {
-  const auto octet = [&](std::size_t i) {
+  const auto byte = [&](std::size_t i) {
     return static_cast<std::uint32_t>(static_cast<std::uint8_t>(text[i]));
   };
-  const std::uint32_t first = octet(at);
+  const std::uint32_t first = byte(at);
   const std::size_t length = first < 0x80 ? 1 : first < 0xe0 ? 2 : first < 0xf0 ? 3 : 4;
   char32_t c = length == 1 ? first : first & (0x7fU >> length);
-  for (std::size_t i = 1; i < length; ++i) c = c << 6 | (octet(at + i) & 0x3f);
+  for (std::size_t i = 1; i < length; ++i) c = c << 6 | (byte(at + i) & 0x3f);
   at += length;
   return c;
 }
--- a/src/tokeniser/utf8.h
+++ b/src/tokeniser/utf8.h
@@ -19,8 +19,8 @@
 // The largest place <= at that begins a character, in well-formed text.
 std::size_t characterStart(std::string_view text, std::size_t at);
 
-// Octets of the first `characters` characters of well-formed text; all, where there are fewer.
-std::size_t octetsOf(std::string_view text, std::size_t characters);
+// Bytes of the first `characters` characters of well-formed text; all, where there are fewer.
+std::size_t bytesOf(std::string_view text, std::size_t characters);
 
 // Appends the character. `c` <= 0x10ffff.
 void append(std::string& out, char32_t c);
--- a/src/tokeniser/vocabulary.cpp
+++ b/src/tokeniser/vocabulary.cpp
@@ -7,24 +7,24 @@
 
 namespace garnethook::tokeniser {
 
-void Vocabulary::add(TokenId id, std::string_view octets) {
+void Vocabulary::add(TokenId id, std::string_view bytes) {
   if (id >= kMostTokens) throw std::invalid_argument("id " + std::to_string(id) + " is too large");
-  if (octets.empty()) throw std::invalid_argument("token " + std::to_string(id) + " is empty");
-  if (octets.size() > kLongest)
+  if (bytes.empty()) throw std::invalid_argument("token " + std::to_string(id) + " is empty");
+  if (bytes.size() > kLongest)
     throw std::invalid_argument("token " + std::to_string(id) + " has more than " + std::to_string(kLongest) +
                                 " octets");
-  if (text_.size() + octets.size() > 0x7fffffff)
+  if (text_.size() + bytes.size() > 0x7fffffff)
     throw std::invalid_argument("the tokens have too many octets");
   if (id >= at_.size()) at_.resize(id + 1);
   if (at_[id].length > 0) throw std::invalid_argument("id " + std::to_string(id) + " is told twice");
-  at_[id] = {static_cast<std::uint32_t>(text_.size()), static_cast<std::uint32_t>(octets.size())};
-  text_ += octets;
+  at_[id] = {static_cast<std::uint32_t>(text_.size()), static_cast<std::uint32_t>(bytes.size())};
+  text_ += bytes;
   ++count_;
 }
 
 // The seed is drawn anew: which texts meet in the index can't be chosen from outside.
-std::uint64_t Vocabulary::hash(std::string_view octets) const {
-  return XXH3_64bits_withSeed(octets.data(), octets.size(), seed_);
+std::uint64_t Vocabulary::hash(std::string_view bytes) const {
+  return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed_);
 }
 
 void Vocabulary::seal() {
@@ -34,24 +34,24 @@
   const std::size_t mask = slots_.size() - 1;
   for (TokenId id = 0; id < at_.size(); ++id) {
     if (at_[id].length == 0) continue;
-    const std::uint64_t h = hash(octets(id));
+    const std::uint64_t h = hash(bytes(id));
     const auto check = static_cast<std::uint32_t>(h >> 32);
     std::size_t i = h & mask;
     for (; slots_[i].id != kNoToken; i = (i + 1) & mask)
-      if (slots_[i].check == check && octets(slots_[i].id) == octets(id))
+      if (slots_[i].check == check && bytes(slots_[i].id) == bytes(id))
         throw std::invalid_argument("tokens " + std::to_string(slots_[i].id) + " and " + std::to_string(id) +
                                     " have the same octets");
     slots_[i] = {id, check};
   }
 }
 
-TokenId Vocabulary::find(std::string_view octets) const {
+TokenId Vocabulary::find(std::string_view bytes) const {
   if (slots_.empty()) return kNoToken;
   const std::size_t mask = slots_.size() - 1;
-  const std::uint64_t h = hash(octets);
+  const std::uint64_t h = hash(bytes);
   const auto check = static_cast<std::uint32_t>(h >> 32);
   for (std::size_t i = h & mask; slots_[i].id != kNoToken; i = (i + 1) & mask)
-    if (slots_[i].check == check && this->octets(slots_[i].id) == octets) return slots_[i].id;
+    if (slots_[i].check == check && this->bytes(slots_[i].id) == bytes) return slots_[i].id;
   return kNoToken;
 }
 
--- a/tests/answers_test.cpp
+++ b/tests/answers_test.cpp
@@ -15,18 +15,18 @@
   return s;
 }
 
-const Refuse* refusal(const std::vector<Action>& actions) {
+const Reject* rejection(const std::vector<Action>& actions) {
   for (const auto& action : actions)
-    if (const auto* refuse = std::get_if<Refuse>(&action)) return refuse;
+    if (const auto* refuse = std::get_if<Reject>(&action)) return refuse;
   return nullptr;
 }
 
 // Requests at one reader until one is refused; that refusal.
-Refuse untilRefused(Driver& d) {
+Reject untilRefused(Driver& d) {
   for (std::uint64_t id = 1; id < 200; ++id) {
-    auto ask = d.request(id);
-    ask.promptTokens = 5000;
-    if (const auto actions = d.give(ask); refusal(actions) != nullptr) return *refusal(actions);
+    auto request = d.request(id);
+    request.promptTokens = 5000;
+    if (const auto actions = d.give(request); rejection(actions) != nullptr) return *rejection(actions);
   }
   ADD_FAILURE() << "never refused";
   return {};
@@ -35,22 +35,22 @@
 TEST(RetryAfter, IsToldOnlyWhereItIsPassedOn) {
   Driver silent(settings());
   Driver telling_(telling());
-  for (auto* d : {&silent, &telling_}) d->list({server(1, kReader), server(11, kWriter)});
+  for (auto* d : {&silent, &telling_}) d->list({endpoint(1, kReader), endpoint(11, kWriter)});
   EXPECT_EQ(untilRefused(silent).retryAfter, 0);
   EXPECT_GT(untilRefused(telling_).retryAfter, 0);
 }
 
 TEST(RetryAfter, NeverPassesWhatClientsObserve) {
   Driver d(telling());
-  d.list({server(1, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
   untilRefused(d);
   for (std::uint64_t id = 500; id < 520; ++id) {
-    auto ask = d.request(id);
-    ask.promptTokens = 80'000;  // seconds too late
-    const auto actions = d.give(ask);
-    ASSERT_NE(refusal(actions), nullptr);
-    EXPECT_LE(refusal(actions)->retryAfter, 500 * kMs);
-    EXPECT_GE(refusal(actions)->retryAfter, 250 * kMs);
+    auto request = d.request(id);
+    request.promptTokens = 80'000;  // seconds too late
+    const auto actions = d.give(request);
+    ASSERT_NE(rejection(actions), nullptr);
+    EXPECT_LE(rejection(actions)->retryAfter, 500 * kMs);
+    EXPECT_GE(rejection(actions)->retryAfter, 250 * kMs);
   }
 }
 
@@ -58,20 +58,20 @@
   auto s = telling();
   s.maxRetryAfter = 60 * kSec;
   Driver d(s);
-  d.list({server(1, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
   const auto shortWait = untilRefused(d).retryAfter;
-  auto ask = d.request(500);
-  ask.promptTokens = 80'000;
-  const auto actions = d.give(ask);
-  ASSERT_NE(refusal(actions), nullptr);
-  EXPECT_GT(refusal(actions)->retryAfter, 4 * shortWait);
+  auto request = d.request(500);
+  request.promptTokens = 80'000;
+  const auto actions = d.give(request);
+  ASSERT_NE(rejection(actions), nullptr);
+  EXPECT_GT(rejection(actions)->retryAfter, 4 * shortWait);
 }
 
 TEST(RetryAfter, SpreadsClientsThatAreRefusedTogether) {
   std::set<Micros> told;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     Driver d(telling(), seed);
-    d.list({server(1, kReader), server(11, kWriter)});
+    d.list({endpoint(1, kReader), endpoint(11, kWriter)});
     told.insert(untilRefused(d).retryAfter / kMs);
   }
   EXPECT_GT(told.size(), 10u);
@@ -81,58 +81,58 @@
   Driver d(telling());
   d.list({});
   const auto actions = d.give(d.request(1));
-  ASSERT_NE(refusal(actions), nullptr);
-  EXPECT_GT(refusal(actions)->retryAfter, 0);
+  ASSERT_NE(rejection(actions), nullptr);
+  EXPECT_GT(rejection(actions)->retryAfter, 0);
 }
 
 TEST(AtOnce, NoServerThatReads) {
   Driver d(settings());
-  d.list({server(11, kWriter)});
-  EXPECT_NE(refusal(d.give(d.request(1))), nullptr);
+  d.list({endpoint(11, kWriter)});
+  EXPECT_NE(rejection(d.give(d.request(1))), nullptr);
 }
 
 // Reader 1 is full for a moment: it may yet serve, so that is waited for.
 TEST(AtOnce, NotWhereAFullReaderMayYetServe) {
   Driver d(settings());
-  d.list({server(1, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
   d.give(d.request(1));
-  const auto actions = d.end(1, Outcome::full);
-  EXPECT_EQ(refusal(actions), nullptr);
+  const auto actions = d.end(1, Outcome::rejected);
+  EXPECT_EQ(rejection(actions), nullptr);
   d.pass(400 * kMs);
-  EXPECT_EQ(d.count<Refuse>(1), 0);
+  EXPECT_EQ(d.count<Reject>(1), 0);
   EXPECT_EQ(d.count<Send>(1), 2);
 }
 
 // The same, but the prompt's read alone would take past the aim.
 TEST(AtOnce, AFullReaderThatIsTooSlowIsNotWaitedFor) {
   Driver d(settings());
-  d.list({server(1, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
   d.give(d.request(1));
-  d.end(1, Outcome::full);
-  auto ask = d.request(2);
-  ask.promptTokens = 100'000;
-  EXPECT_NE(refusal(d.give(ask)), nullptr);
+  d.end(1, Outcome::rejected);
+  auto request = d.request(2);
+  request.promptTokens = 100'000;
+  EXPECT_NE(rejection(d.give(request)), nullptr);
 }
 
 // The last writer leaves while a prompt is read: its state waits for nobody.
 TEST(AtOnce, AStateThatNobodyCanTake) {
   Driver d(settings());
-  d.list({server(1, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
   d.give(d.request(1));
-  d.list({server(1, kReader)});
-  const auto actions = d.end(1, Outcome::readDone);
-  EXPECT_NE(refusal(actions), nullptr);
+  d.list({endpoint(1, kReader)});
+  const auto actions = d.end(1, Outcome::prefillDone);
+  EXPECT_NE(rejection(actions), nullptr);
   EXPECT_EQ(d.count<Release>(1), 1);
 }
 
 TEST(AtOnce, AStateWaitsForAFullWriterWhileThatMayBeInTime) {
   Driver d(settings());
-  d.list({server(1, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
   d.give(d.request(1));
-  d.end(1, Outcome::readDone);
-  EXPECT_EQ(refusal(d.end(1, Outcome::full)), nullptr);
+  d.end(1, Outcome::prefillDone);
+  EXPECT_EQ(rejection(d.end(1, Outcome::rejected)), nullptr);
   d.pass(200 * kMs);
-  EXPECT_EQ(d.count<Refuse>(1), 0);
+  EXPECT_EQ(d.count<Reject>(1), 0);
   EXPECT_EQ(d.count<Send>(1), 3);
 }
 
@@ -140,24 +140,24 @@
 // for.
 TEST(AtOnce, AStateThatComesTooLate) {
   Driver d(settings());
-  d.list({server(1, kReader), server(11, kWriter)});
-  auto ask = d.request(1);
-  ask.remaining = 700 * kMs;
-  d.give(ask);
+  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
+  auto request = d.request(1);
+  request.remaining = 700 * kMs;
+  d.give(request);
   d.pass(20 * kMs);
-  d.end(1, Outcome::readDone);
+  d.end(1, Outcome::prefillDone);
   d.pass(650 * kMs);
-  EXPECT_NE(refusal(d.end(1, Outcome::full)), nullptr);
+  EXPECT_NE(rejection(d.end(1, Outcome::rejected)), nullptr);
 }
 
 TEST(AtOnce, AfterTheLastAttempt) {
   auto s = settings();
   s.maxAttempts = 2;
   Driver d(s);
-  d.list({server(1, kReader), server(2, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(11, kWriter)});
   d.give(d.request(1));
-  EXPECT_EQ(refusal(d.end(1, Outcome::connectFailed)), nullptr);
-  EXPECT_NE(refusal(d.end(1, Outcome::connectFailed)), nullptr);
+  EXPECT_EQ(rejection(d.end(1, Outcome::connectFailed)), nullptr);
+  EXPECT_NE(rejection(d.end(1, Outcome::connectFailed)), nullptr);
 }
 
 }  // namespace
--- a/tests/cold_ramp_test.cpp
+++ b/tests/cold_ramp_test.cpp
@@ -47,17 +47,17 @@
       // One in ten sees five times as much as the others.
       shares_.push_back(i % 10 == 3 ? 5.0 : 1.0);
     }
-    window_ = s.fallAfter;
-    multiple_ = s.fallMultiple * s.coldFrom;
-    warmWithin_ = s.warmWithin;
-    coldFrom_ = s.coldFrom;
+    window_ = s.overloadWindow;
+    multiple_ = s.overloadMultiple * s.warmUpMinCapacity;
+    warmWithin_ = s.warmUpDuration;
+    coldFrom_ = s.warmUpMinCapacity;
     seen_.resize(shape.routers);
   }
 
   Seen play() {
-    std::vector<ServerEntry> list;
-    for (std::uint64_t i = 1; i <= kReaders; ++i) list.push_back(server(i, kReader));
-    for (std::uint64_t i = 11; i <= 16; ++i) list.push_back(server(i, kWriter));
+    std::vector<EndpointEntry> list;
+    for (std::uint64_t i = 1; i <= kReaders; ++i) list.push_back(endpoint(i, kReader));
+    for (std::uint64_t i = 11; i <= 16; ++i) list.push_back(endpoint(i, kWriter));
     for (auto& r : routers_) r->list(list);
     const Micros coldAt = kSec + 10 * kSec;
     const Micros end = coldAt + warmWithin_;
@@ -104,7 +104,7 @@
     if (out == out_.end() || out->second.second != at) return;  // cancelled meanwhile
     const bool read = out->second.first <= kReaders;
     out_.erase(out);
-    d.end(id, read ? Outcome::readDone : Outcome::served);
+    d.end(id, read ? Outcome::prefillDone : Outcome::completed);
     follow(router);
   }
   // What the router did since the last look.
@@ -113,7 +113,7 @@
     for (std::size_t& i = seen_[router]; i < d.log.size(); ++i) {
       const auto& [at, action] = d.log[i];
       if (const auto* send = std::get_if<Send>(&action)) {
-        const std::uint64_t to = send->server.value;
+        const std::uint64_t to = send->endpoint.value;
         Micros done = at + 100 * kMs;
         if (to <= kReaders) {
           sends_[to].push_back(at);
--- a/tests/counting_test.cpp
+++ b/tests/counting_test.cpp
@@ -6,9 +6,9 @@
 #include <random>
 
 #include "counting/counter.h"
+#include "fake_engine/made_vocabulary.h"
+#include "fake_engine/own_tokeniser.h"
 #include "net/loop.h"
-#include "standin/made_vocabulary.h"
-#include "standin/own_tokeniser.h"
 #include "tokeniser/utf8.h"
 
 namespace garnethook::counting {
@@ -20,7 +20,7 @@
 const string& ranks(std::uint64_t seed) {
   static std::map<std::uint64_t, string> made;
   auto& text = made[seed];
-  if (text.empty()) text = standin::madeRanks(seed);
+  if (text.empty()) text = fake_engine::madeRanks(seed);
   return text;
 }
 
@@ -35,12 +35,12 @@
 class Texts {
  public:
   explicit Texts(std::uint64_t seed) : random_(seed) {}
-  string draw(std::size_t octets) {
+  string draw(std::size_t bytes) {
     static const std::vector<string> parts{
         " the",   " hello", "a",  "aaaa", " ", "   ", "\n",  " \n",   "12345",   "é", "e\u0301",
         "日本語", "😀",      "==", "'s",   "'", "l",   " st", " prou", "<|end|>", "<|"};
     string out;
-    while (out.size() < octets) out += parts[random_() % parts.size()];
+    while (out.size() < bytes) out += parts[random_() % parts.size()];
     return out;
   }
   std::size_t below(std::size_t n) { return random_() % n; }
@@ -66,8 +66,8 @@
 // with what is remembered equal the stand-in's own way.
 TEST(PromptCount, RememberedBeginningsNeverChangeACount) {
   const auto t = loaded();
-  const standin::OwnTokeniser own("made", "1", ranks(1), tokeniser::knownPattern("cl100k_base"));
-  CountStore store({.countOctets = 256u << 10, .sessionOctets = 1u << 20});
+  const fake_engine::OwnTokeniser own("made", "1", ranks(1), tokeniser::knownPattern("cl100k_base"));
+  CountStore store({.countBytes = 256u << 10, .sessionBytes = 1u << 20});
   Texts texts(7);
   std::vector<string> pool;
   for (int i = 0; i < 12; ++i) pool.push_back(texts.draw(16'000));
@@ -75,7 +75,7 @@
   pool.push_back(string(9000, ' '));
   pool.push_back(string(9000, '\n'));
   std::size_t encoded = 0;
-  std::size_t octets = 0;
+  std::size_t bytes = 0;
   for (int i = 0; i < 250; ++i) {
     const string& base = pool[texts.below(pool.size())];
     std::size_t cut = tokeniser::characterStart(base, texts.below(base.size()));
@@ -91,10 +91,10 @@
       ASSERT_EQ(std::vector<std::uint32_t>(c.blocks->ids().begin(), c.blocks->ids().end()), expected);
     }
     encoded += c.encoded;
-    octets += text.size();
+    bytes += text.size();
     ASSERT_LE(store.memory(), (256u << 10) + (1u << 20) + 4096);
   }
-  EXPECT_LT(encoded, octets * 9 / 10) << "nothing was remembered";
+  EXPECT_LT(encoded, bytes * 9 / 10) << "nothing was remembered";
 }
 
 TEST(PromptCount, TheSharedCountIsTheBeginningsAlone) {
@@ -109,10 +109,10 @@
       CountStore cold({});
       const auto a = counted(warm, t, text, begin.size());
       const auto b = counted(cold, t, text, begin.size());
-      ASSERT_EQ(a.sharedTokens, b.sharedTokens);
-      ASSERT_EQ(a.sharedTokens, first.value_or(a.sharedTokens)) << "differs by what follows";
-      first = a.sharedTokens;
-      ASSERT_LE(a.sharedTokens, plainly(*t, begin));
+      ASSERT_EQ(a.sharedPrefixTokens, b.sharedPrefixTokens);
+      ASSERT_EQ(a.sharedPrefixTokens, first.value_or(a.sharedPrefixTokens)) << "differs by what follows";
+      first = a.sharedPrefixTokens;
+      ASSERT_LE(a.sharedPrefixTokens, plainly(*t, begin));
       ASSERT_EQ(a.tokens, plainly(*t, text));
     }
   }
@@ -242,7 +242,7 @@
     open_.wait();
     return {text.size(), 1};
   }
-  string octets(tokeniser::TokenId) const override { return {}; }
+  string bytes(tokeniser::TokenId) const override { return {}; }
   bool inParts() const override { return false; }
   std::size_t memory() const override { return 0; }
   string describe() const override { return "hanging"; }
--- a/tests/counts_test.cpp
+++ b/tests/counts_test.cpp
@@ -6,7 +6,7 @@
 namespace garnethook::test {
 namespace {
 
-ServerEntry counting(ServerEntry s, std::uint64_t tokeniser, double factor = 1) {
+EndpointEntry counting(EndpointEntry s, std::uint64_t tokeniser, double factor = 1) {
   s.tokeniser = tokeniser;
   s.promptFactor = factor;
   return s;
@@ -15,9 +15,9 @@
 // Reads have shown what they cost: 60 us a token.
 void warm(Driver& d) {
   for (std::uint64_t id = 100; id < 140; ++id) {
-    auto ask = d.request(id);
-    ask.promptTokens = 500 + 200 * static_cast<double>(id % 40);
-    d.run(ask, static_cast<Micros>(ask.promptTokens * 60));
+    auto request = d.request(id);
+    request.promptTokens = 500 + 200 * static_cast<double>(id % 40);
+    d.run(request, static_cast<Micros>(request.promptTokens * 60));
     d.pass(100 * kMs);
   }
 }
@@ -25,14 +25,14 @@
 // Which of two idle readers gets a prompt.
 std::uint64_t chosen(const std::vector<PromptCount>& counts, double factor1, double factor2) {
   Driver d(settings());
-  d.list({server(1, kReader, 0), server(2, kReader, 0), server(11, kWriter, 0)});
+  d.list({endpoint(1, kReader, 0), endpoint(2, kReader, 0), endpoint(11, kWriter, 0)});
   warm(d);
-  d.list({counting(server(1, kReader, 0), 7, factor1), counting(server(2, kReader, 0), 8, factor2),
-          server(11, kWriter, 0)});
-  auto ask = d.request(1);
-  ask.promptTokens = 4000;
-  ask.counts = counts;
-  d.give(ask);
+  d.list({counting(endpoint(1, kReader, 0), 7, factor1), counting(endpoint(2, kReader, 0), 8, factor2),
+          endpoint(11, kWriter, 0)});
+  auto request = d.request(1);
+  request.promptTokens = 4000;
+  request.counts = counts;
+  d.give(request);
   return d.sentTo(1);
 }
 
@@ -52,14 +52,14 @@
 TEST(Counts, ARepeatedAttemptTakesTheNewCounts) {
   for (const bool swapped : {false, true}) {
     Driver d(settings());
-    const std::vector<ServerEntry> before{server(1, kReader, 0), server(2, kReader, 0), server(3, kReader, 0),
-                                          server(11, kWriter, 0)};
+    const std::vector<EndpointEntry> before{endpoint(1, kReader, 0), endpoint(2, kReader, 0),
+                                            endpoint(3, kReader, 0), endpoint(11, kWriter, 0)};
     d.list(before);
     warm(d);
-    auto ask = d.request(1);
-    ask.promptTokens = 4000;
-    ask.counts = {{7, 4000, 0}};
-    d.give(ask);
+    auto request = d.request(1);
+    request.promptTokens = 4000;
+    request.counts = {{7, 4000, 0}};
+    d.give(request);
     const auto first = d.sentTo(1);
     ASSERT_NE(first, 0U);
     std::vector<std::uint64_t> others;
@@ -70,7 +70,8 @@
       others.push_back(s.id.value);
     }
     d.list(after);
-    d.give(PromptCounted{ask.id, {{8, swapped ? 3000.0 : 40'000.0, 0}, {9, swapped ? 40'000.0 : 3000.0, 0}}});
+    d.give(PromptCounted{request.id,
+                         {{8, swapped ? 3000.0 : 40'000.0, 0}, {9, swapped ? 40'000.0 : 3000.0, 0}}});
     d.end(1, Outcome::error);
     d.pass(100 * kMs);
     EXPECT_EQ(d.sentTo(1), others[swapped ? 0 : 1]);
--- a/tests/driver.h
+++ b/tests/driver.h
@@ -1,4 +1,4 @@
-// A small scripted world around one Brain: a clock, its timers, and a log of what it did.
+// A small scripted world around one RoutingPolicy: a clock, its timers, and a log of what it did.
 #pragma once
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "brain.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook::test {
 
@@ -19,31 +19,38 @@
 inline Settings settings() {
   Settings s;
   s.classes = {
-      {.aim = kSec, .aimPerKiloToken = 60 * kMs, .deadline = 5 * kSec, .tokenAim = 50 * kMs},
-      {.aim = kSec,
+      {.ttftObjective = kSec,
+       .ttftObjectivePerKiloToken = 60 * kMs,
        .deadline = 5 * kSec,
-       .tokenAim = 50 * kMs,
-       .effect = Effect::keyed,
-       .scope = RepeatScope::zone,
-       .repeatWindow = 2 * kSec},
-      {.aim = kSec, .deadline = 5 * kSec, .tokenAim = 50 * kMs, .effect = Effect::unsafe},
+       .timePerOutputTokenObjective = 50 * kMs},
+      {.ttftObjective = kSec,
+       .deadline = 5 * kSec,
+       .timePerOutputTokenObjective = 50 * kMs,
+       .idempotency = Idempotency::idempotentWithKey,
+       .deduplicationScope = DeduplicationScope::zone,
+       .deduplicationWindow = 2 * kSec},
+      {.ttftObjective = kSec,
+       .deadline = 5 * kSec,
+       .timePerOutputTokenObjective = 50 * kMs,
+       .idempotency = Idempotency::nonIdempotent},
   };
-  s.kinds = {{Role::reader, 200'000}, {Role::writer, 100'000}, {Role::both, 100'000}};
+  s.kinds = {{Role::prefill, 200'000}, {Role::decode, 100'000}, {Role::combined, 100'000}};
   s.zones = 2;
   s.routers = 2;
   s.maxAttempts = 4;
-  s.mayCancel = true;
-  s.releaseWithin = 500 * kMs;
+  s.canCancel = true;
+  s.kvReleaseTimeout = 500 * kMs;
   s.answerSlack = 8 * kMs;
   s.connectTimeout = 250 * kMs;
-  s.coldFrom = 0.3;
-  s.warmWithin = 14 * kSec;
-  s.fallMultiple = 2.5;
-  s.fallAfter = 2 * kSec;
+  s.warmUpMinCapacity = 0.3;
+  s.warmUpDuration = 14 * kSec;
+  s.overloadMultiple = 2.5;
+  s.overloadWindow = 2 * kSec;
   return s;
 }
 
-inline ServerEntry server(std::uint64_t id, KindIndex kind, std::uint64_t cell = 0, std::size_t zone = 0) {
+inline EndpointEntry endpoint(std::uint64_t id, KindIndex kind, std::uint64_t cell = 0,
+                              std::size_t zone = 0) {
   return {.id = {id}, .zone = zone, .kind = kind, .cell = cell};
 }
 
@@ -62,9 +69,9 @@
     return actions;
   }
 
-  std::vector<Action> list(std::vector<ServerEntry> entries,
-                           ServerList::Kind kind = ServerList::Kind::complete) {
-    return give(ServerList{kind, std::move(entries)});
+  std::vector<Action> list(std::vector<EndpointEntry> entries,
+                           EndpointUpdate::Kind kind = EndpointUpdate::Kind::snapshot) {
+    return give(EndpointUpdate{kind, std::move(entries)});
   }
 
   // Lets time pass, firing what comes due.
@@ -96,7 +103,7 @@
     });
     return at == log.rend() ? nullptr : &std::get<Send>(at->second);
   }
-  std::uint64_t sentTo(std::uint64_t id) const { return sent(id) == nullptr ? 0 : sent(id)->server.value; }
+  std::uint64_t sentTo(std::uint64_t id) const { return sent(id) == nullptr ? 0 : sent(id)->endpoint.value; }
 
   template <class Kind>
   int count(std::uint64_t id) const {
@@ -106,25 +113,25 @@
     }));
   }
 
-  std::vector<Action> end(std::uint64_t id, Outcome outcome, double found = 0, bool stateMissing = false) {
+  std::vector<Action> end(std::uint64_t id, Outcome outcome, double found = 0, bool kvStateMissing = false) {
     AttemptEnded event{
-        .id = {id}, .attempt = count<Send>(id) - 1, .server = {sentTo(id)}, .outcome = outcome};
-    event.foundTokens = found;
-    event.stateMissing = stateMissing;
-    event.last = outcome == Outcome::served;
+        .id = {id}, .attempt = count<Send>(id) - 1, .endpoint = {sentTo(id)}, .outcome = outcome};
+    event.cachedTokens = found;
+    event.kvStateMissing = kvStateMissing;
+    event.requestEnded = outcome == Outcome::completed;
     return give(event);
   }
 
   // A whole ordinary request, read in `readTime` and answered after 100 ms. Returns its reader.
-  std::uint64_t run(const RequestArrived& ask, Micros readTime = 60 * kMs, double found = 0) {
-    give(ask);
-    const auto reader = sentTo(ask.id.value);
+  std::uint64_t run(const RequestArrived& request, Micros readTime = 60 * kMs, double found = 0) {
+    give(request);
+    const auto reader = sentTo(request.id.value);
     pass(readTime);
-    end(ask.id.value, Outcome::readDone, found);
+    end(request.id.value, Outcome::prefillDone, found);
     pass(20 * kMs);
-    give(StreamStarted{ask.id, count<Send>(ask.id.value) - 1});
+    give(StreamStarted{request.id, count<Send>(request.id.value) - 1});
     pass(80 * kMs);
-    end(ask.id.value, Outcome::served);
+    end(request.id.value, Outcome::completed);
     return reader;
   }
 
@@ -132,7 +139,7 @@
   std::vector<std::pair<Micros, Action>> log;
 
  private:
-  Brain brain_;
+  RoutingPolicy brain_;
   std::multimap<Micros, TimerId> timers_;
 };
 
--- a/tests/fuzz/codecs.cpp
+++ b/tests/fuzz/codecs.cpp
@@ -1,4 +1,4 @@
-// Fuzz targets of all codecs in one program; the first octet chooses. libFuzzer: scripts/fuzz.sh. Without it
+// Fuzz targets of all codecs in one program; the first byte chooses. libFuzzer: scripts/fuzz.sh. Without it
 // (GARNETHOOK_FUZZ_STANDALONE) it runs seeded random inputs for a given number, as CI does.
 #include <cstdint>
 #include <cstdlib>
@@ -11,10 +11,10 @@
 #include "http1/event_stream.h"
 #include "http1/message.h"
 #include "http2/connection.h"
-#include "membership/engine_list.h"
-#include "platform/discovery/target_list.h"
+#include "membership/endpoint_list_file.h"
+#include "platform/discovery/endpoint_list.h"
 #include "platform/engine/relay_exchange.h"
-#include "platform/front/intake.h"
+#include "platform/http_frontend/request_decoder.h"
 
 namespace {
 
@@ -49,16 +49,16 @@
   limits.streams = 8;
   http2::Connection c(http2::Side::server, limits, events);
   events.connection = &c;
-  std::string octets = preface ? std::string("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0", 33) : "";
-  octets.append(in);
+  std::string bytes = preface ? std::string("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0", 33) : "";
+  bytes.append(in);
   std::int64_t now = 0;
-  for (std::size_t at = 0; at < octets.size() && !c.over(); at += 37) {
-    const auto piece = std::string_view(octets).substr(at, 37);
+  for (std::size_t at = 0; at < bytes.size() && !c.over(); at += 37) {
+    const auto piece = std::string_view(bytes).substr(at, 37);
     c.receive(now += 100, {reinterpret_cast<const std::uint8_t*>(piece.data()), piece.size()});
     if (at % 3 == 0) c.sent(c.output().size());
     require(c.openStreams() <= limits.streams);
   }
-  require(events.seen <= octets.size());
+  require(events.seen <= bytes.size());
 }
 
 void hpackTarget(std::string_view in) {
@@ -86,7 +86,7 @@
   std::string trace;
 };
 
-// Whole or octet by octet, a parser must say the same.
+// Whole or byte by byte, a parser must say the same.
 void http1Target(std::string_view in, http1::MessageParser::Kind kind) {
   Http1Events whole, pieces;
   http1::MessageParser a(kind, {}, whole), b(kind, {}, pieces);
@@ -120,19 +120,19 @@
 
 void jsonTarget(std::string_view in) {
   try {
-    std::vector<std::string> troubles;
-    const auto list = membership::readList(config::JsonFile::parse("f", in), {}, troubles);
-    require(membership::readList(config::JsonFile::parse("g", membership::writeList(list)), {}, troubles) ==
+    std::vector<std::string> errors;
+    const auto list = membership::readList(config::JsonFile::parse("f", in), {}, errors);
+    require(membership::readList(config::JsonFile::parse("g", membership::writeList(list)), {}, errors) ==
             list);
   } catch (const config::Error& e) { require(std::string_view(e.what()).substr(0, 2) == "f:"); }
-  std::string trouble;
-  engine::parseReadAnswer(in, trouble);
-  engine::parseChunk(in, trouble);
+  std::string error;
+  engine::parseReadAnswer(in, error);
+  engine::parseChunk(in, error);
   engine::parseLoad(in);
   engine::failedAnswer(500, in);
 }
 
-struct Relayed final : routing::EngineEvents {
+struct Relayed final : routing::EngineClientEvents {
   void onTokens(routing::AttemptId, std::string_view text, std::uint32_t,
                 std::span<const std::uint32_t>) override {
     require(ends == 0);
@@ -142,8 +142,8 @@
     ++ends;
     trace += "|" + std::to_string(static_cast<int>(r.outcome));
   }
-  void onProbeEnded(ServerId, bool, const std::optional<LoadReport>&) override {}
-  void onReleaseEnded(ServerId, RequestId, bool) override {}
+  void onProbeEnded(EndpointId, bool, const std::optional<LoadReport>&) override {}
+  void onReleaseEnded(EndpointId, RequestId, bool) override {}
   std::string trace;
   int ends = 0;
 };
@@ -156,9 +156,9 @@
   engine::Exchange& exchange;
 };
 
-// An engine's answer, whole or octet by octet: the same events reach the client, and one end at most.
-void relayTarget(std::string_view in, routing::Job job) {
-  const provision::ReportMeanings meanings{"share_of_memory", "thousands_of_prompt_tokens"};
+// An engine's answer, whole or byte by byte: the same events reach the client, and one end at most.
+void relayTarget(std::string_view in, routing::Phase job) {
+  const deployment_config::ReportMeanings meanings{"share_of_memory", "thousands_of_prompt_tokens"};
   std::string traces[2];
   for (const bool pieces : {false, true}) {
     Relayed heard;
@@ -170,7 +170,7 @@
       for (std::size_t i = 0; i < in.size() && good; ++i) good = parser.receive(in.substr(i, 1));
     else
       good = parser.receive(in);
-    relay.onFailed(Outcome::reset, "", false);
+    relay.onFailed(Outcome::connectionReset, "", false);
     require(heard.ends == 1);
     traces[pieces ? 1 : 0] = heard.trace;
   }
@@ -180,9 +180,9 @@
 // A client's request, and discovery's lists.
 void platformTarget(std::string_view in) {
   try {
-    platform::TargetList list;
-    list.apply(platform::parseTargets(in));
-    for (const auto& [name, e] : list.engines()) require(name == e.name && e.state != ServerState::gone);
+    platform::EndpointList list;
+    list.apply(platform::parseEndpointList(in));
+    for (const auto& [name, e] : list.engines()) require(name == e.name && e.state != EndpointState::removed);
   } catch (const std::runtime_error&) {}
   platform::parseReport(in, {"share_of_memory", ""});
   require(platform::cachedTokens(in) >= 0);
@@ -190,12 +190,13 @@
     void onHead(const http1::Head& h) override { head = h; }
     void onBody(std::string_view o) override { body += o; }
     void onEnd() override {
-      provision::Provision p;
+      deployment_config::DeploymentConfig p;
       p.classNames = {"chat"};
       const auto out = platform::readRequest(head, std::exchange(body, {}), p);
-      if (const auto* ask = std::get_if<routing::Ask>(&out))
-        require(!ask->workId.empty() && ask->remaining > 0 && ask->promptTokens >= 0 &&
-                ask->sharedTokens <= ask->promptTokens && ask->body && ask->requestClass == 0);
+      if (const auto* request = std::get_if<routing::Request>(&out))
+        require(!request->traceId.empty() && request->remaining > 0 && request->promptTokens >= 0 &&
+                request->sharedPrefixTokens <= request->promptTokens && request->body &&
+                request->requestClass == 0);
     }
     http1::Head head;
     std::string body;
@@ -217,8 +218,8 @@
     case 4: http1Target(in, http1::MessageParser::Kind::request); break;
     case 5: eventTarget(in); break;
     case 6: grpcTarget(in); break;
-    case 7: relayTarget(in, routing::Job::write); break;
-    case 8: relayTarget(in, routing::Job::read); break;
+    case 7: relayTarget(in, routing::Phase::decode); break;
+    case 8: relayTarget(in, routing::Phase::prefill); break;
     case 9: platformTarget(in); break;
     default: jsonTarget(in); break;
   }
--- a/tests/fuzz/tokenisers.cpp
+++ b/tests/fuzz/tokenisers.cpp
@@ -1,5 +1,5 @@
 // Fuzz targets of the tokeniser: ranks files, tokenizer.json, merging beside its definition, seams and round
-// trips. The first octet chooses. libFuzzer: scripts/fuzz.sh; without it, a seeded run that damages valid
+// trips. The first byte chooses. libFuzzer: scripts/fuzz.sh; without it, a seeded run that damages valid
 // files.
 // `--seeds FOLDER` writes those files as a corpus to begin with.
 #include <openssl/evp.h>
@@ -23,19 +23,19 @@
   if (!holds) std::abort();
 }
 
-std::string base64(std::string_view octets) {
-  std::string out((octets.size() + 2) / 3 * 4 + 1, '\0');  // the library ends it with a zero
+std::string base64(std::string_view bytes) {
+  std::string out((bytes.size() + 2) / 3 * 4 + 1, '\0');  // the library ends it with a zero
   out.resize(static_cast<std::size_t>(EVP_EncodeBlock(reinterpret_cast<unsigned char*>(out.data()),
-                                                      reinterpret_cast<const unsigned char*>(octets.data()),
-                                                      static_cast<int>(octets.size()))));
+                                                      reinterpret_cast<const unsigned char*>(bytes.data()),
+                                                      static_cast<int>(bytes.size()))));
   return out;
 }
 
 std::string ranks(const std::vector<std::string>& more) {
   std::string out;
   std::size_t n = 0;
-  for (unsigned octet = 0; octet < 256; ++octet)
-    out += base64(std::string(1, static_cast<char>(octet))) + " " + std::to_string(n++) + "\n";
+  for (unsigned byte = 0; byte < 256; ++byte)
+    out += base64(std::string(1, static_cast<char>(byte))) + " " + std::to_string(n++) + "\n";
   for (const auto& t : more) out += base64(t) + " " + std::to_string(n++) + "\n";
   return out;
 }
@@ -43,12 +43,12 @@
 std::string huggingFace() {
   std::string vocab;
   char32_t next = 256;
-  for (unsigned octet = 0; octet < 256; ++octet) {
-    const bool itself = (octet >= 33 && octet <= 126) || (octet >= 161 && octet <= 172) || octet >= 174;
+  for (unsigned byte = 0; byte < 256; ++byte) {
+    const bool itself = (byte >= 33 && byte <= 126) || (byte >= 161 && byte <= 172) || byte >= 174;
     std::string letter;
-    append(letter, itself ? octet : next++);
+    append(letter, itself ? byte : next++);
     vocab += (vocab.empty() ? "\"" : ",\"") + std::string(letter == "\"" || letter == "\\" ? "\\" : "") +
-             letter + "\":" + std::to_string(octet);
+             letter + "\":" + std::to_string(byte);
   }
   return R"({"version":"1.0","added_tokens":[{"id":300,"content":"<x>","special":false}],"normalizer":{"type":"NFC"},)"
          R"("pre_tokenizer":{"type":"Sequence","pretokenizers":[{"type":"Split","pattern":{"Regex":"\\p{L}+|\\s+(?!\\S)|\\s+"},"behavior":"Isolated","invert":false},{"type":"ByteLevel","use_regex":false}]},)"
@@ -96,8 +96,8 @@
   const auto add = [&](std::string_view token) {
     if (known.insert(std::string(token)).second) vocabulary.add(next++, token);
   };
-  for (unsigned octet = 0; octet < 256; ++octet) {
-    const char c = static_cast<char>(octet);
+  for (unsigned byte = 0; byte < 256; ++byte) {
+    const char c = static_cast<char>(byte);
     add({&c, 1});
   }
   const std::size_t tokens = in.empty() ? 0 : static_cast<std::uint8_t>(in[0]) % 24;
@@ -119,7 +119,7 @@
   fast.encode(text, b, workspace);
   require(a == b);
   std::string back;
-  for (const TokenId id : b) back += vocabulary.octets(id);
+  for (const TokenId id : b) back += vocabulary.bytes(id);
   require(back == text);
 }
 
--- a/tests/grpc_message_test.cpp
+++ b/tests/grpc_message_test.cpp
@@ -6,16 +6,16 @@
 namespace {
 
 TEST(GrpcMessage, ComesBackFromAnyPieces) {
-  std::string octets;
-  frame("hello", octets);
-  frame("", octets);
-  frame(std::string(1000, 'x'), octets);
-  for (const std::size_t piece : {std::size_t{1}, std::size_t{3}, octets.size()}) {
+  std::string bytes;
+  frame("hello", bytes);
+  frame("", bytes);
+  frame(std::string(1000, 'x'), bytes);
+  for (const std::size_t piece : {std::size_t{1}, std::size_t{3}, bytes.size()}) {
     MessageReader reader(2000);
     std::vector<std::string> got;
-    for (std::size_t at = 0; at < octets.size(); at += piece)
+    for (std::size_t at = 0; at < bytes.size(); at += piece)
       ASSERT_EQ(
-          reader.receive(std::string_view(octets).substr(at, piece), [&](auto m) { got.emplace_back(m); })
+          reader.receive(std::string_view(bytes).substr(at, piece), [&](auto m) { got.emplace_back(m); })
               .code,
           Code::ok);
     EXPECT_EQ(got, (std::vector<std::string>{"hello", "", std::string(1000, 'x')}));
@@ -24,9 +24,9 @@
 }
 
 TEST(GrpcMessage, RefusesTooLargeCompressedAndUnknown) {
-  const auto code = [](std::string octets) { return MessageReader(100).receive(octets, [](auto) {}).code; };
+  const auto code = [](std::string bytes) { return MessageReader(100).receive(bytes, [](auto) {}).code; };
   EXPECT_EQ(code(std::string("\0\0\0\0\x65", 5)),
-            Code::resourceExhausted);  // before a single octet of it came
+            Code::resourceExhausted);  // before a single byte of it came
   EXPECT_EQ(code(std::string("\1\0\0\0\1x", 6)), Code::unimplemented);
   EXPECT_EQ(code(std::string("\2\0\0\0\1x", 6)), Code::internal);
 }
--- a/tests/hpack_test.cpp
+++ b/tests/hpack_test.cpp
@@ -48,7 +48,7 @@
   EXPECT_EQ(out.front(), (Header{":status", "307"}));
 }
 
-TEST(Hpack, EveryOctetSurvivesHuffman) {
+TEST(Hpack, EveryByteSurvivesHuffman) {
   std::string all;
   for (int i = 0; i < 256; ++i) all.push_back(static_cast<char>(i));
   std::string packed;
--- a/tests/http1_test.cpp
+++ b/tests/http1_test.cpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages and server-sent events, whole and octet by octet.
+// HTTP/1.1 messages and server-sent events, whole and byte by byte.
 #include <gtest/gtest.h>
 
 #include "http1/event_stream.h"
@@ -9,7 +9,7 @@
 
 struct Log final : MessageEvents {
   void onHead(const Head& h) override { heads.push_back(h); }
-  void onBody(std::string_view octets) override { body.append(octets); }
+  void onBody(std::string_view bytes) override { body.append(bytes); }
   void onEnd() override { ++ends; }
   std::vector<Head> heads;
   std::string body;
--- a/tests/http2_connection_test.cpp
+++ b/tests/http2_connection_test.cpp
@@ -29,7 +29,7 @@
   std::vector<std::pair<StreamId, ErrorCode>> resets, goAways;
 };
 
-std::span<const std::uint8_t> octets(std::string_view s) {
+std::span<const std::uint8_t> bytes(std::string_view s) {
   return {reinterpret_cast<const std::uint8_t*>(s.data()), s.size()};
 }
 
@@ -40,7 +40,7 @@
     clientLog.connection = &client;
     pump();
   }
-  // Octets both ways until nothing is left, in pieces of `piece`.
+  // Bytes both ways until nothing is left, in pieces of `piece`.
   void pump(std::size_t piece = 7) {
     for (bool moved = true; moved;) {
       moved = false;
@@ -48,7 +48,7 @@
         const std::string out(from->output().substr(0, piece));
         if (out.empty()) continue;
         from->sent(out.size());
-        to->receive(0, octets(out));
+        to->receive(0, bytes(out));
         moved = true;
       }
     }
@@ -122,9 +122,9 @@
   Log clientLog;
   Connection client(Side::client, {}, clientLog);  // does not know the bound yet
   for (int i = 0; i < 3; ++i) client.open(kRequest, false);
-  EXPECT_TRUE(server.receive(0, octets(client.output())));
+  EXPECT_TRUE(server.receive(0, bytes(client.output())));
   EXPECT_EQ(log.headersOf.size(), 2u);
-  client.receive(0, octets(server.output()));
+  client.receive(0, bytes(server.output()));
   ASSERT_EQ(clientLog.resets.size(), 1u);
   EXPECT_EQ(clientLog.resets[0], (std::pair<StreamId, ErrorCode>{5, ErrorCode::refusedStream}));
 }
@@ -149,8 +149,8 @@
 
 struct Hostile {
   explicit Hostile(Limits limits = {}) : server(Side::server, limits, log) { log.connection = &server; }
-  // Whether the connection stands after these octets.
-  bool take(const std::string& s, std::int64_t now = 0) { return server.receive(now, octets(s)); }
+  // Whether the connection stands after these bytes.
+  bool take(const std::string& s, std::int64_t now = 0) { return server.receive(now, bytes(s)); }
   ErrorCode after(const std::string& s) {
     take(kHello + s);
     return server.error();
--- a/tests/state_test.cpp
+++ b/tests/kv_reservation_tracker_test.cpp
@@ -1,4 +1,6 @@
 // Modules free of I/O: the timer wheel, held states, stream guard, final rules, the engine list.
+#include "routing/kv_reservation_tracker.h"
+
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -8,9 +10,8 @@
 #include <random>
 
 #include "config/json_file.h"
-#include "membership/engine_list.h"
-#include "routing/final_rules.h"
-#include "routing/held_states.h"
+#include "membership/endpoint_list_file.h"
+#include "routing/execution_history.h"
 #include "routing/stream_guard.h"
 #include "timing/timer_wheel.h"
 
@@ -73,8 +74,8 @@
   EXPECT_FALSE(wheel.cancel(victim));
 }
 
-TEST(HeldStates, AReleaseIsTriedAgainUntilItHoldsOrIsGivenUp) {
-  routing::HeldStates held({.releaseWithin = 500'000, .tries = 3, .pause = 100});
+TEST(KvReservationTracker, AReleaseIsTriedAgainUntilItHoldsOrIsGivenUp) {
+  routing::KvReservationTracker held({.kvReleaseTimeout = 500'000, .tries = 3, .pause = 100});
   held.readSent({1}, {7}, 0);
   held.readSent({1}, {8}, 0);
   held.readSent({2}, {7}, 0);
@@ -97,8 +98,8 @@
 }
 
 // A reader that resets every connection for seconds: releases were given up before it could be told again.
-TEST(HeldStates, TriesOutlastAnOutageOfSecondsAndStayCloseEnough) {
-  routing::HeldStates held({});
+TEST(KvReservationTracker, TriesOutlastAnOutageOfSecondsAndStayCloseEnough) {
+  routing::KvReservationTracker held({});
   held.readSent({1}, {7}, 0);
   const auto call = held.release({1}, 0)[0];
   Micros now = 0;
@@ -112,8 +113,8 @@
   EXPECT_EQ(held.abandoned(), 0u);
 }
 
-TEST(HeldStates, WhatWasFetchedLostOrNeverReadIsNotReleased) {
-  routing::HeldStates held({});
+TEST(KvReservationTracker, WhatWasFetchedLostOrNeverReadIsNotReleased) {
+  routing::KvReservationTracker held({});
   for (const std::uint64_t reader : {1, 2, 3}) held.readSent({1}, {reader}, 0);
   held.consumed({1}, {1});
   held.nothingLeft({1}, {2});
@@ -122,9 +123,9 @@
 }
 
 // The answer to an earlier release comes after the reader was sent another read: what that leaves stays held.
-TEST(HeldStates, ALateAnswerToAReleaseSettlesNoLaterRead) {
+TEST(KvReservationTracker, ALateAnswerToAReleaseSettlesNoLaterRead) {
   for (const bool ok : {true, false}) {
-    routing::HeldStates held({});
+    routing::KvReservationTracker held({});
     held.readSent({1}, {7}, 0);
     ASSERT_EQ(held.release({1}, 100).size(), 1u);
     held.readSent({1}, {7}, 200);
@@ -137,13 +138,13 @@
 
 // A write may be on a connection that is dead: what is held is let go of unless an engine has the write, and
 // stays held in case it has. A release that is still tried when the state is fetched has nothing left to do.
-TEST(HeldStates, WhatIsInDoubtIsReleasedAndStaysHeldWhereReleasesSpareWhatIsAwaited) {
-  routing::HeldStates plain({});
+TEST(KvReservationTracker, WhatIsInDoubtIsReleasedAndStaysHeldWhereReleasesSpareWhatIsAwaited) {
+  routing::KvReservationTracker plain({});
   plain.readSent({1}, {7}, 0);
   EXPECT_TRUE(plain.releaseInDoubt({1}, 500).empty());
   EXPECT_EQ(plain.held(), 1u);
 
-  routing::HeldStates held({.tries = 3, .pause = 100, .sparesAwaited = true});
+  routing::KvReservationTracker held({.tries = 3, .pause = 100, .sparesAwaited = true});
   held.readSent({1}, {7}, 0);
   held.readSent({2}, {7}, 0);
   const auto calls = held.releaseInDoubt({1}, 500);
@@ -161,14 +162,14 @@
 }
 
 // A read may be on a connection that is dead: what earlier ones left is let go of, and the read goes on.
-TEST(HeldStates, WhatEarlierReadsLeftIsReleasedWhileAnotherIsOut) {
+TEST(KvReservationTracker, WhatEarlierReadsLeftIsReleasedWhileAnotherIsOut) {
   for (const bool spares : {false, true}) {
-    routing::HeldStates held({.pause = 100, .sparesAwaited = spares});
+    routing::KvReservationTracker held({.pause = 100, .sparesAwaited = spares});
     held.readSent({1}, {7}, 0);
     held.readSent({1}, {8}, 400);
     auto calls = held.releaseOthers({1}, {8}, 500);
     ASSERT_EQ(calls.size(), 1u);
-    EXPECT_EQ(calls[0].server, ServerId{7});
+    EXPECT_EQ(calls[0].endpoint, EndpointId{7});
     EXPECT_EQ(held.held(), 1u);
     EXPECT_EQ(held.dueBy({1}), 500'500);
     held.ended(calls[0], false, 600);
@@ -185,8 +186,8 @@
 }
 
 // Rule 5's time runs on while connections fail to come up, and starts anew once an attempt reached an engine.
-TEST(HeldStates, TheTimeOfWhatIsHeldRunsFromTheLastAttemptThatReachedAnEngine) {
-  routing::HeldStates held({.releaseWithin = 500});
+TEST(KvReservationTracker, TheTimeOfWhatIsHeldRunsFromTheLastAttemptThatReachedAnEngine) {
+  routing::KvReservationTracker held({.kvReleaseTimeout = 500});
   EXPECT_FALSE(held.dueBy({1}));
   held.readSent({1}, {7}, 100);
   held.outcome({1}, 1000);  // the read ended
@@ -217,14 +218,14 @@
 
 TEST(FinalRules, OnlyWhatDidNotRunIsRefused) {
   RequestClass safe, keyed, unsafe;
-  keyed.effect = Effect::keyed;
-  unsafe.effect = Effect::unsafe;
-  EXPECT_TRUE(routing::mayRefuse(safe, {true}));
-  EXPECT_TRUE(routing::mayRefuse(keyed, {true}));
-  keyed.scope = RepeatScope::zone;
-  EXPECT_FALSE(routing::mayRefuse(keyed, {true}));
-  EXPECT_FALSE(routing::mayRefuse(unsafe, {true}));
-  EXPECT_TRUE(routing::mayRefuse(unsafe, {false}));
+  keyed.idempotency = Idempotency::idempotentWithKey;
+  unsafe.idempotency = Idempotency::nonIdempotent;
+  EXPECT_TRUE(routing::mayReject(safe, {true}));
+  EXPECT_TRUE(routing::mayReject(keyed, {true}));
+  keyed.deduplicationScope = DeduplicationScope::zone;
+  EXPECT_FALSE(routing::mayReject(keyed, {true}));
+  EXPECT_FALSE(routing::mayReject(unsafe, {true}));
+  EXPECT_TRUE(routing::mayReject(unsafe, {false}));
 }
 
 class ListTest : public testing::Test {
@@ -241,7 +242,7 @@
 };
 
 TEST_F(ListTest, FaultyFilesLeaveTheLastListStanding) {
-  membership::ListFile list(path_, copy_);
+  membership::EndpointListFile list(path_, copy_);
   EXPECT_FALSE(list.look().changed);
   write(kTwo);
   EXPECT_TRUE(list.look().changed);
@@ -249,28 +250,28 @@
     write(bad);
     const auto change = list.look();
     EXPECT_FALSE(change.changed) << bad;
-    EXPECT_EQ(change.troubles.size(), 1u) << bad;
+    EXPECT_EQ(change.errors.size(), 1u) << bad;
     EXPECT_EQ(list.engines().size(), 2u);
-    EXPECT_TRUE(list.look().troubles.empty()) << "told once";
+    EXPECT_TRUE(list.look().errors.empty()) << "told once";
   }
   std::filesystem::remove(path_);
-  EXPECT_EQ(list.look().troubles.size(), 1u);
+  EXPECT_EQ(list.look().errors.size(), 1u);
   EXPECT_EQ(list.engines().size(), 2u);
   write(R"({"engines":[]})");
   EXPECT_TRUE(list.look().changed);
 }
 
 TEST_F(ListTest, ABadEntryKeepsItsOldSelfAndIsNamedWithItsLine) {
-  membership::ListFile list(path_, copy_);
+  membership::EndpointListFile list(path_, copy_);
   write(kTwo);
   list.look();
   write(
       "{\"engines\":[\n{\"name\":\"a\",\"address\":\"nowhere\",\"kind\":\"k\"},\n{\"name\":\"c\",\"address\":"
       "\"127.0.0.1:3\",\"kind\":\"k\"}]}");
   const auto change = list.look();
-  ASSERT_EQ(change.troubles.size(), 1u);
-  EXPECT_NE(change.troubles[0].find("engines.json:2: engines[0].address: HOST:PORT"), std::string::npos)
-      << change.troubles[0];
+  ASSERT_EQ(change.errors.size(), 1u);
+  EXPECT_NE(change.errors[0].find("engines.json:2: engines[0].address: HOST:PORT"), std::string::npos)
+      << change.errors[0];
   EXPECT_EQ(list.engines().size(), 2u);
   EXPECT_EQ(list.engines().at("a").port, 1);
 }
@@ -278,39 +279,39 @@
 // The copy was given up at the first failure: after a restart an older list held.
 TEST_F(ListTest, ACopyThatCouldNotBeWrittenIsOwedUntilItIs) {
   const std::string folder = folder_ + "/not-there-yet";
-  membership::ListFile list(path_, folder + "/last.json");
+  membership::EndpointListFile list(path_, folder + "/last.json");
   write(kTwo);
-  EXPECT_EQ(list.look().troubles.size(), 1u);
-  EXPECT_TRUE(list.look().troubles.empty()) << "told once";
+  EXPECT_EQ(list.look().errors.size(), 1u);
+  EXPECT_TRUE(list.look().errors.empty()) << "told once";
   std::filesystem::create_directories(folder);
-  EXPECT_TRUE(list.look().troubles.empty());
-  membership::ListFile again(path_ + ".none", folder + "/last.json");
-  std::vector<std::string> troubles;
-  ASSERT_TRUE(again.recall(troubles));
+  EXPECT_TRUE(list.look().errors.empty());
+  membership::EndpointListFile again(path_ + ".none", folder + "/last.json");
+  std::vector<std::string> errors;
+  ASSERT_TRUE(again.recall(errors));
   EXPECT_EQ(again.engines().size(), 2u);
 }
 
 TEST_F(ListTest, TheLastGoodListSurvivesARestart) {
   {
-    membership::ListFile list(path_, copy_);
+    membership::EndpointListFile list(path_, copy_);
     write(kTwo);
     list.look();
   }
   std::filesystem::remove(path_);
-  membership::ListFile again(path_, copy_);
-  std::vector<std::string> troubles;
+  membership::EndpointListFile again(path_, copy_);
+  std::vector<std::string> errors;
   EXPECT_FALSE(again.look().changed);
-  ASSERT_TRUE(again.recall(troubles));
-  EXPECT_EQ(again.engines().at("b").state, ServerState::draining);
+  ASSERT_TRUE(again.recall(errors));
+  EXPECT_EQ(again.engines().at("b").state, EndpointState::draining);
   EXPECT_EQ(again.engines().at("b").startedAt, 5000);
   std::ofstream(copy_) << "{\"engines\": [ {";  // a copy that a crash cut short (never by replaceFile itself)
-  membership::ListFile broken(path_, copy_);
-  EXPECT_FALSE(broken.recall(troubles));
-  EXPECT_EQ(troubles.size(), 1u);
+  membership::EndpointListFile broken(path_, copy_);
+  EXPECT_FALSE(broken.recall(errors));
+  EXPECT_EQ(errors.size(), 1u);
 }
 
 TEST(Config, ErrorsNameFileLineAndKey) {
-  const auto trouble = [](std::string_view text, auto use) -> std::string {
+  const auto error = [](std::string_view text, auto use) -> std::string {
     try {
       const config::Node root(config::JsonFile::parse("f.json", text));
       use(root);
@@ -319,24 +320,24 @@
     return "";
   };
   const auto none = [](const config::Node&) {};
-  EXPECT_EQ(trouble("{\n// c\n\"a\": {\n/* x\n */ \"b\": [1,\n \"two\"] } }",
-                    [](const config::Node& n) { n.object("a").texts("b"); }),
+  EXPECT_EQ(error("{\n// c\n\"a\": {\n/* x\n */ \"b\": [1,\n \"two\"] } }",
+                  [](const config::Node& n) { n.object("a").texts("b"); }),
             "f.json:5: a.b[0]: a text is wanted");
-  EXPECT_EQ(trouble("{\n\"aim\": 3,\n\"amm\": 4}", [](const config::Node& n) { n.number("aim", 1, 0, 5); }),
+  EXPECT_EQ(error("{\n\"aim\": 3,\n\"amm\": 4}", [](const config::Node& n) { n.number("aim", 1, 0, 5); }),
             "f.json:3: amm: is not a setting");
-  EXPECT_EQ(trouble("{\n\n\"n\": 7}", [](const config::Node& n) { n.integer("n", 1, 0, 5); }),
+  EXPECT_EQ(error("{\n\n\"n\": 7}", [](const config::Node& n) { n.integer("n", 1, 0, 5); }),
             "f.json:3: n: 7 is not between 0 and 5");
-  EXPECT_EQ(trouble("{\"e\":\n \"x\"}",
-                    [](const config::Node& n) {
-                      n.choice("e", {"a", "b"}, 0);
-                    }),
+  EXPECT_EQ(error("{\"e\":\n \"x\"}",
+                  [](const config::Node& n) {
+                    n.choice("e", {"a", "b"}, 0);
+                  }),
             "f.json:1: e: \"x\" is none of: a, b");
-  EXPECT_EQ(trouble("{}", [](const config::Node& n) { n.text("name"); }), "f.json:1: name: is missing");
-  EXPECT_TRUE(trouble("{\n\"a\": }", none).starts_with("f.json:2: syntax error"));
+  EXPECT_EQ(error("{}", [](const config::Node& n) { n.text("name"); }), "f.json:1: name: is missing");
+  EXPECT_TRUE(error("{\n\"a\": }", none).starts_with("f.json:2: syntax error"));
   const std::string deep = "{\"a\":" + std::string(200'000, '[') + std::string(200'000, ']') + "}";
-  EXPECT_EQ(trouble(deep, none), "f.json:1: (file): nested too deep");
+  EXPECT_EQ(error(deep, none), "f.json:1: (file): nested too deep");
   // Found by fuzzing: the library throws another exception for it, which ended the router.
-  EXPECT_TRUE(trouble("{\"a\": 7e999}", none).starts_with("f.json:1: (file): "));
+  EXPECT_TRUE(error("{\"a\": 7e999}", none).starts_with("f.json:1: (file): "));
 }
 
 }  // namespace
--- a/tests/little_seen_test.cpp
+++ b/tests/little_seen_test.cpp
@@ -15,53 +15,53 @@
 }
 
 RequestArrived begun(const Driver& d, std::uint64_t id, std::uint64_t beginning, double tokens) {
-  auto ask = d.request(id);
-  ask.sharedBeginning = {beginning};
-  ask.sharedTokens = tokens;
-  ask.promptTokens = tokens + 100;
-  return ask;
+  auto request = d.request(id);
+  request.sharedPrefix = {beginning};
+  request.sharedPrefixTokens = tokens;
+  request.promptTokens = tokens + 100;
+  return request;
 }
 
 // The read of a request ends with a report of what waits at its reader; then it is answered.
 void readAndAnswered(Driver& d, std::uint64_t id, double queuedKiloTokens, double found = 0) {
-  AttemptEnded done{.id = {id}, .attempt = 0, .server = {d.sentTo(id)}, .outcome = Outcome::readDone};
-  done.foundTokens = found;
+  AttemptEnded done{.id = {id}, .attempt = 0, .endpoint = {d.sentTo(id)}, .outcome = Outcome::prefillDone};
+  done.cachedTokens = found;
   done.report = LoadReport{.memoryShare = 0.3, .queuedKiloTokens = queuedKiloTokens};
   d.give(done);
   d.give(StreamStarted{{id}, 1});
-  d.end(id, Outcome::served);
+  d.end(id, Outcome::completed);
 }
 
 // Each beginning is new to this router, but its home has it: the other routers sent it there.
 TEST(LittleSeen, AHomeIsExpectedToKeepWhatSuchReadsFound) {
   Driver d(many());
-  d.list({server(1, kReader), server(2, kReader), server(3, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(3, kReader), endpoint(11, kWriter)});
   for (std::uint64_t id = 1; id <= 20; ++id) {
     d.run(begun(d, id, 500 + id, 3000), 40 * kMs, 3000);
     d.pass(400 * kMs);
   }
-  const auto ask = begun(d, 100, 900, 11'000);  // cold at 60 us a token: past the hope of 0.7 x 1.67 s
-  d.give(ask);
-  EXPECT_EQ(d.count<Refuse>(100), 0);
+  const auto request = begun(d, 100, 900, 11'000);  // cold at 60 us a token: past the hope of 0.7 x 1.67 s
+  d.give(request);
+  EXPECT_EQ(d.count<Reject>(100), 0);
   EXPECT_EQ(d.count<Send>(100), 1);
 }
 
 TEST(LittleSeen, AHomeThatFoundNothingIsPricedAsEmpty) {
   Driver d(many());
-  d.list({server(1, kReader), server(2, kReader), server(3, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(3, kReader), endpoint(11, kWriter)});
   for (std::uint64_t id = 1; id <= 20; ++id) {
     d.run(begun(d, id, 500 + id, 3000), 230 * kMs, 0);
     d.pass(400 * kMs);
   }
   d.give(begun(d, 100, 900, 25'000));
-  EXPECT_EQ(d.count<Refuse>(100), 1);
+  EXPECT_EQ(d.count<Reject>(100), 1);
 }
 
 // Readers tell of long queues, and yet each read there comes back at once: what waits is kept, or read side
 // by side.
 TEST(LittleSeen, ReportedQueuesThatNoReadMetRefuseNothing) {
   Driver d(many());
-  d.list({server(1, kReader), server(2, kReader), server(3, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(3, kReader), endpoint(11, kWriter)});
   for (std::uint64_t id = 1; id <= 60; ++id) {
     d.give(begun(d, id, 500 + id, 3000));
     if (d.count<Send>(id) == 0) continue;
@@ -69,15 +69,15 @@
     readAndAnswered(d, id, 20, 3000);
     d.pass(300 * kMs);
   }
-  int refused = 0;
-  for (std::uint64_t id = 30; id <= 60; ++id) refused += d.count<Refuse>(id);
-  EXPECT_EQ(refused, 0);
+  int rejected = 0;
+  for (std::uint64_t id = 30; id <= 60; ++id) rejected += d.count<Reject>(id);
+  EXPECT_EQ(rejected, 0);
 }
 
 // Where reads do wait as long as was told, they are held back.
 TEST(LittleSeen, ReportedQueuesThatReadsMetAreBelieved) {
   Driver d(many());
-  d.list({server(1, kReader), server(2, kReader), server(3, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(3, kReader), endpoint(11, kWriter)});
   for (std::uint64_t id = 1; id <= 30; ++id) {
     d.give(begun(d, id, 500 + id, 3000));
     if (d.count<Send>(id) == 0) continue;
@@ -88,18 +88,18 @@
   d.pass(700 * kMs);
   if (d.count<Send>(100) == 1) readAndAnswered(d, 100, 60, 3000);
   d.give(begun(d, 101, 901, 3000));
-  EXPECT_EQ(d.count<Refuse>(101), 1);
+  EXPECT_EQ(d.count<Reject>(101), 1);
 }
 
 // Reader A was idle when it was met last; what was met since is jammed.
 TEST(LittleSeen, AReaderNotMetOfLateIsTakenForTheMeanNotForIdle) {
   Driver d(many());
-  d.list({server(1, kReader), server(2, kReader), server(11, kWriter)});
-  const auto meet = [&](RequestArrived ask, double queued) {
-    d.give(ask);
-    const auto reader = d.sentTo(ask.id.value);
+  d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(11, kWriter)});
+  const auto meet = [&](RequestArrived request, double queued) {
+    d.give(request);
+    const auto reader = d.sentTo(request.id.value);
     d.pass(20 * kMs);
-    readAndAnswered(d, ask.id.value, queued);
+    readAndAnswered(d, request.id.value, queued);
     return reader;
   };
   const auto idle = meet(d.request(1), 0);
@@ -112,13 +112,13 @@
   ASSERT_NE(meet(again, 60), idle);
   d.pass(300 * kMs);
   d.give(d.request(101));
-  EXPECT_EQ(d.count<Refuse>(101), 1);
+  EXPECT_EQ(d.count<Reject>(101), 1);
 }
 
 // First tokens of whole requests bring no report; what they waited beyond their own work still tells.
 TEST(LittleSeen, LateAnswersOfMixedServersHoldWholeRequestsBack) {
   Driver d(many());
-  d.list({server(21, kMixed), server(22, kMixed), server(23, kMixed), server(24, kMixed)});
+  d.list({endpoint(21, kMixed), endpoint(22, kMixed), endpoint(23, kMixed), endpoint(24, kMixed)});
   for (std::uint64_t id = 1; id <= 3; ++id) {
     d.give(d.request(id));
     ASSERT_GE(d.sentTo(id), 21u);
@@ -126,7 +126,7 @@
   d.pass(1500 * kMs);
   for (std::uint64_t id = 1; id <= 3; ++id) {
     d.give(StreamStarted{{id}, 0});
-    d.end(id, Outcome::served);
+    d.end(id, Outcome::completed);
   }
   d.pass(300 * kMs);
   d.give(d.request(50));
@@ -137,13 +137,16 @@
 // good.
 TEST(LittleSeen, AnOldReportOfOneFullWriterDoesNotFillTheFleet) {
   Driver d(many());
-  d.list({server(1, kReader), server(11, kWriter), server(12, kWriter), server(13, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(11, kWriter), endpoint(12, kWriter), endpoint(13, kWriter)});
   d.give(d.request(1));
   d.pass(60 * kMs);
-  AttemptEnded done{.id = {1}, .attempt = 0, .server = {d.sentTo(1)}, .outcome = Outcome::readDone};
+  AttemptEnded done{.id = {1}, .attempt = 0, .endpoint = {d.sentTo(1)}, .outcome = Outcome::prefillDone};
   d.give(done);
-  AttemptEnded served{
-      .id = {1}, .attempt = 1, .server = {d.sentTo(1)}, .outcome = Outcome::served, .last = true};
+  AttemptEnded served{.id = {1},
+                      .attempt = 1,
+                      .endpoint = {d.sentTo(1)},
+                      .outcome = Outcome::completed,
+                      .requestEnded = true};
   served.report = LoadReport{.memoryShare = 0.97};
   d.give(StreamStarted{{1}, 1});
   d.give(served);
@@ -156,8 +159,8 @@
 // than a cold read elsewhere is passed by all the same.
 TEST(LittleSeen, AHotBeginningHasSeveralHomes) {
   Driver d(many());
-  std::vector<ServerEntry> fleet{server(11, kWriter)};
-  for (std::uint64_t id = 1; id <= 4; ++id) fleet.push_back(server(id, kReader));
+  std::vector<EndpointEntry> fleet{endpoint(11, kWriter)};
+  for (std::uint64_t id = 1; id <= 4; ++id) fleet.push_back(endpoint(id, kReader));
   d.list(fleet);
   for (std::uint64_t id = 20; id < 30; ++id) d.run(begun(d, id, id, 300), 20 * kMs, 300);
   const auto first = d.run(begun(d, 1, 7, 3000), 30 * kMs, 3000);
--- a/tests/path/counts_test.cpp
+++ b/tests/path/counts_test.cpp
@@ -1,7 +1,7 @@
 // Exact counts on the whole path: gRPC text in, the module's event out, engines of several versions, floods.
 #include <random>
 
-#include "standin/made_vocabulary.h"
+#include "fake_engine/made_vocabulary.h"
 #include "world.h"
 
 namespace garnethook::test {
@@ -17,10 +17,10 @@
          std::to_string(first) + R"( } ] })";
 }
 
-const standin::OwnTokeniser& own(int seed) {
-  static std::map<int, std::shared_ptr<const standin::OwnTokeniser>> made;
+const fake_engine::OwnTokeniser& own(int seed) {
+  static std::map<int, std::shared_ptr<const fake_engine::OwnTokeniser>> made;
   auto& t = made[seed];
-  if (!t) t = standin::madeTokeniser(static_cast<std::uint64_t>(seed));
+  if (!t) t = fake_engine::madeTokeniser(static_cast<std::uint64_t>(seed));
   return *t;
 }
 
@@ -30,7 +30,7 @@
   Files() {
     std::string pattern = (std::filesystem::temp_directory_path() / "garnethook-counts-XXXXXX").string();
     folder = ::mkdtemp(pattern.data());
-    for (const int seed : {1, 2}) write(seed, standin::madeRanks(static_cast<std::uint64_t>(seed)));
+    for (const int seed : {1, 2}) write(seed, fake_engine::madeRanks(static_cast<std::uint64_t>(seed)));
   }
   ~Files() { std::filesystem::remove_all(folder); }
   std::string path(int seed) const { return folder + "/made-" + std::to_string(seed) + ".tiktoken"; }
@@ -51,12 +51,12 @@
   std::string folder;
 };
 
-std::string draw(std::mt19937_64& random, std::size_t octets) {
+std::string draw(std::mt19937_64& random, std::size_t bytes) {
   static const std::vector<std::string> parts{
       " the",   " hello", "a",  "aaaa", " ", "   ", "\n",  " \n",   "12345",   "é", "e\u0301",
       "日本語", "😀",      "==", "'s",   "'", "l",   " st", " prou", "<|end|>", "<|"};
   std::string out = "x";
-  while (out.size() < octets) out += parts[random() % parts.size()];
+  while (out.size() < bytes) out += parts[random() % parts.size()];
   return out;
 }
 
@@ -65,11 +65,11 @@
   explicit Told(World& w) {
     w.router->onDecisionMade = [this](Micros, const Event& e, const std::vector<Action>&) {
       if (const auto* a = std::get_if<RequestArrived>(&e)) arrived.push_back(*a);
-      if (const auto* c = std::get_if<PromptCounted>(&e)) recounted.push_back(*c);
+      if (const auto* c = std::get_if<PromptCounted>(&e)) updateTokenCounts.push_back(*c);
     };
   }
   std::vector<RequestArrived> arrived;
-  std::vector<PromptCounted> recounted;
+  std::vector<PromptCounted> updateTokenCounts;
 };
 
 bool known(World& w, std::size_t engines = 4) {
@@ -137,7 +137,7 @@
     Reply reply;
     w.channel->call("/garnethook.v1.Generation/Generate", r.SerializeAsString(), 5'000'000, reply);
     ASSERT_TRUE(w.until([&] { return reply.status.has_value(); }));
-    EXPECT_LE(told.arrived.back().sharedTokens, told.arrived.back().promptTokens);
+    EXPECT_LE(told.arrived.back().sharedPrefixTokens, told.arrived.back().promptTokens);
   }
 }
 
@@ -147,8 +147,8 @@
   Told told(w);
   ASSERT_TRUE(known(w));
   const auto& book = w.router->counts().versions();
-  const auto one = book.basis(membership::serverId("read-1")).number;
-  const auto two = book.basis(membership::serverId("read-2")).number;
+  const auto one = book.basis(membership::endpointId("read-1")).number;
+  const auto two = book.basis(membership::endpointId("read-2")).number;
   ASSERT_NE(one, two);
   std::mt19937_64 random(9);
   for (int i = 0; i < 10; ++i) {
@@ -168,7 +168,7 @@
   Told told(w);
   ASSERT_TRUE(known(w));
   const auto& book = w.router->counts().versions();
-  const auto one = book.basis(membership::serverId("read-1")).number;
+  const auto one = book.basis(membership::endpointId("read-1")).number;
   Reply before;
   const std::string prompt = "hello prou the st " + std::string(3000, 'a');
   w.ask(before, prompt);
@@ -176,14 +176,14 @@
   ASSERT_EQ(told.arrived.back().counts.size(), 1U);
   for (const char* name : {"read-1", "read-2", "write-1", "write-2"}) {
     auto* e = w.fleet.find(name);
-    e->setTokeniser(standin::madeTokeniser(2));
+    e->setTokeniser(fake_engine::madeTokeniser(2));
     e->stop();
     w.pass(5'000);
     e->start();
   }
   w.fleet.writeList(w.list(), 0);
   ASSERT_TRUE(w.until([&] {
-    const auto now = book.basis(membership::serverId("read-1")).number;
+    const auto now = book.basis(membership::endpointId("read-1")).number;
     return now != 0 && now != one && book.estimated() == 0 && book.inUse().size() == 1;
   }));
   Reply after;
@@ -202,7 +202,7 @@
   World w(fleetOf(1, 1), files.settings() + R"(, "attempts": 100)");
   Told told(w);
   ASSERT_TRUE(known(w));
-  const auto two = standin::madeTokeniser(2);
+  const auto two = fake_engine::madeTokeniser(2);
   for (const char* name : {"read-1", "read-2"}) w.fleet.find(name)->faults.silent = true;
   Reply reply;
   w.ask(reply, "hello prou " + std::string(2000, 'a'), 60'000'000);
@@ -213,10 +213,10 @@
   w.pass(5'000);
   e->start();
   w.fleet.writeList(w.list(), 0);
-  ASSERT_TRUE(w.until([&] { return !told.recounted.empty(); }, 40'000'000));
+  ASSERT_TRUE(w.until([&] { return !told.updateTokenCounts.empty(); }, 40'000'000));
   EXPECT_FALSE(reply.status);
-  EXPECT_EQ(told.recounted[0].id, told.arrived[0].id);
-  EXPECT_EQ(told.recounted[0].counts.size(), 2U);
+  EXPECT_EQ(told.updateTokenCounts[0].id, told.arrived[0].id);
+  EXPECT_EQ(told.updateTokenCounts[0].counts.size(), 2U);
   for (const char* name : {"read-1", "read-2"}) w.fleet.find(name)->faults.silent = false;
   ASSERT_TRUE(w.until([&] { return reply.status.has_value(); }, 60'000'000));
   EXPECT_EQ(reply.status->code, grpc::Code::ok) << reply.status->message;
@@ -241,7 +241,7 @@
   }
   EXPECT_EQ(book.estimated(), 4U);
   for (const char* name : {"read-1", "read-2"}) {
-    const auto basis = book.basis(membership::serverId(name));
+    const auto basis = book.basis(membership::endpointId(name));
     EXPECT_EQ(basis.number, 0U);
     EXPECT_NEAR(basis.factor, real / main, 0.1);
   }
@@ -253,8 +253,8 @@
   World w(
       R"({ "engines": [ { "name": "mixed", "kind": "mixed", "role": "both", "cell": "r", "token_ms": 1 } ] })",
       files.settings({1}));
-  auto wrong = std::make_shared<standin::OwnTokeniser>("made", "1", standin::madeRanks(2),
-                                                       tokeniser::knownPattern("cl100k_base"));
+  auto wrong = std::make_shared<fake_engine::OwnTokeniser>("made", "1", fake_engine::madeRanks(2),
+                                                           tokeniser::knownPattern("cl100k_base"));
   w.fleet.find("mixed")->setTokeniser(wrong);
   ASSERT_TRUE(known(w, 1));
   const auto& book = w.router->counts().versions();
@@ -266,7 +266,7 @@
     ASSERT_TRUE(w.until([&] { return reply.status.has_value(); }));
   }
   EXPECT_EQ(asked, 4);
-  EXPECT_EQ(book.basis(membership::serverId("mixed")).number, 0U);
+  EXPECT_EQ(book.basis(membership::endpointId("mixed")).number, 0U);
 }
 
 // The counters' queue is full: the rest is estimated and everything gets its one answer.
@@ -324,7 +324,7 @@
   Told told(w);
   ASSERT_TRUE(known(w));
   const auto& book = w.router->counts().versions();
-  const auto number = book.basis(membership::serverId("read-1")).number;
+  const auto number = book.basis(membership::endpointId("read-1")).number;
   const auto reload = [&] {
     w.router->reload(
         server::readSettings(config::Node(config::JsonFile::parse("router", w.settingsText)), w.list()));
@@ -332,14 +332,14 @@
   files.write(1, "QUJD 1\nnonsense\n");
   reload();
   w.pass(300'000);
-  EXPECT_EQ(book.basis(membership::serverId("read-1")).number, number);
+  EXPECT_EQ(book.basis(membership::endpointId("read-1")).number, number);
   Reply reply;
   w.ask(reply, "hello again");
   ASSERT_TRUE(w.until([&] { return reply.status.has_value(); }));
   EXPECT_EQ(told.arrived.back().promptTokens, static_cast<double>(own(1).encode("hello again").size()));
-  files.write(1, standin::madeRanks(1));
+  files.write(1, fake_engine::madeRanks(1));
   reload();
-  ASSERT_TRUE(w.until([&] { return book.basis(membership::serverId("read-1")).number > number; }));
+  ASSERT_TRUE(w.until([&] { return book.basis(membership::endpointId("read-1")).number > number; }));
 }
 
 }  // namespace
--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -1,12 +1,12 @@
 // Crossings at the front: a client's bytes, half-close, close or reset, and an end or timer of the router's,
 // within one turn of the loop and in both orders. The loop stands still between the two.
-#include "support/front_world.h"
+#include "support/frontend_world.h"
 
 namespace garnethook::test {
 namespace {
 
-using Options = platform::HttpFront::Options;
-using routing::Job;
+using Options = platform::HttpFrontend::Options;
+using routing::Phase;
 
 constexpr std::string_view kClose = "Connection: close";
 
@@ -24,7 +24,7 @@
                                                                            Written::pipelined)));
 
 TEST_P(DrainCrossing, WhatTheClientWroteBeforeTheDrainIsAnsweredAndTheEndAnnounced) {
-  FrontWorld w;
+  FrontendWorld w;
   auto c = w.acceptedClient(rested());
   const std::string first = clientRequest("a");
   const std::size_t cut = written() == Written::inHalves ? first.size() / 2 : first.size();
@@ -41,14 +41,14 @@
   EXPECT_EQ(c->streams(), requests) << c->got;
   EXPECT_EQ(c->count(kClose), 1u) << c->got;
   EXPECT_GT(c->got.find(kClose), c->got.rfind("HTTP/1.1 200"));  // in the last head
-  EXPECT_EQ(w.engines.count(Job::write), requests);
+  EXPECT_EQ(w.engines.count(Phase::decode), requests);
   EXPECT_TRUE(w.clean());
 }
 
 TEST_P(DrainCrossing, WhatTheClientWritesBehindTheEndStaysUnread) {
   Options options;
   options.lingerWithin = 200'000;
-  FrontWorld w(options);
+  FrontendWorld w(options);
   auto c = w.acceptedClient(rested());
   rested() ? w.front->drain() : w.front->close();
   const std::string first = clientRequest("a");
@@ -66,7 +66,7 @@
 }
 
 TEST(Crossing, AConnectionInTheSystemsQueueIsAnsweredWhenTheListenerCloses) {
-  FrontWorld w;
+  FrontendWorld w;
   auto c = w.client();
   c->send(clientRequest("queued"));
   w.front->drain();
@@ -81,7 +81,7 @@
 // The process may be killed before an answer to it; a refusal at once lets its client go elsewhere in time.
 TEST(Crossing, ARequestThatComesWholeAfterTheLastAcceptIsRefusedAtOnce) {
   for (const bool rested : {true, false}) {
-    FrontWorld w;
+    FrontendWorld w;
     auto c = w.acceptedClient(rested);
     const std::string text = clientRequest("late");
     c->send(text.substr(0, 50));
@@ -99,14 +99,14 @@
 
 TEST(Crossing, RequestsReadBehindARunningStreamAreAnsweredThoughTheRouterDrains) {
   for (const bool closed : {false, true}) {
-    FrontWorld w;
+    FrontendWorld w;
     w.engines.holdFirstWrite(true);
     auto c = w.acceptedClient(false);
     c->send(clientRequest("first") + clientRequest("second") + clientRequest("third"));
     ASSERT_TRUE(w.until([&] { return w.engines.held.has_value(); }));
     w.front->drain();
     if (closed) w.front->close();
-    w.engines.end(*w.engines.held, Outcome::served);
+    w.engines.end(*w.engines.held, Outcome::completed);
     ASSERT_TRUE(w.ended(*c)) << c->got;
     EXPECT_FALSE(c->wasReset);
     EXPECT_EQ(c->streams(), closed ? 1u : 3u) << c->got;
@@ -118,7 +118,7 @@
 
 TEST(Crossing, ManyConnectionsThatEndTogetherAreAllWaitedFor) {
   constexpr std::size_t kMany = 100;
-  FrontWorld w;
+  FrontendWorld w;
   std::vector<std::unique_ptr<BlockingClient>> clients;
   for (std::size_t i = 0; i < kMany; ++i) clients.push_back(w.acceptedClient(true));
   w.front->drain();
@@ -142,7 +142,7 @@
 }
 
 TEST(Crossing, ARequestThatIsThereWhenTheIdleTimeEndsIsServed) {
-  FrontWorld w(shortTimes());
+  FrontendWorld w(shortTimes());
   auto c = w.acceptedClient(true);
   c->send(clientRequest("a"));
   w.stall(150'000);  // the timer is due and the request unread
@@ -151,7 +151,7 @@
 }
 
 TEST(Crossing, ARequestBehindTheEndOfTheIdleTimeStaysUnread) {
-  FrontWorld w(shortTimes());
+  FrontendWorld w(shortTimes());
   auto c = w.acceptedClient(true);
   ASSERT_TRUE(w.until([&] { return w.front->counters().idled == 1; }, 1'000'000));
   c->send(clientRequest("a"));
@@ -162,7 +162,7 @@
 }
 
 TEST(Crossing, ARequestWhoseLastBytesAreThereWhenItsTimeEndsIsServed) {
-  FrontWorld w(shortTimes());
+  FrontendWorld w(shortTimes());
   auto c = w.acceptedClient(false);
   const std::string text = clientRequest("a");
   c->send(text.substr(0, 40));
@@ -174,7 +174,7 @@
 }
 
 TEST(Crossing, ARequestWhoseLastBytesComeBehindItsTimeIsAnsweredOnceAndNotSentOn) {
-  FrontWorld w(shortTimes());
+  FrontendWorld w(shortTimes());
   auto c = w.acceptedClient(false);
   const std::string text = clientRequest("a");
   c->send(text.substr(0, 40));
@@ -190,7 +190,7 @@
 TEST(Crossing, AConnectionWithAnUnreadRequestIsNotClosedForANewOne) {
   Options options;
   options.connections.connections = 4;
-  FrontWorld w(options);
+  FrontendWorld w(options);
   std::vector<std::unique_ptr<BlockingClient>> clients;
   for (int i = 0; i < 3; ++i) clients.push_back(w.acceptedClient(true));
   w.stall(2 * options.connections.idleCrowded);
@@ -198,7 +198,7 @@
   clients.push_back(w.client());  // the fourth and the fifth make it full
   clients.push_back(w.client());
   for (std::size_t i = 0; i < 3; ++i) EXPECT_TRUE(w.served(*clients[i], 1)) << i << clients[i]->got;
-  EXPECT_EQ(w.engines.count(Job::write), 3u);
+  EXPECT_EQ(w.engines.count(Phase::decode), 3u);
 }
 
 // ---- a client leaves ----
@@ -220,7 +220,7 @@
                                           testing::Bool()));
 
 TEST_P(LeavingCrossing, NoFurtherAttemptBeginsWhereTheFailureIsSeenBeforeTheClose) {
-  FrontWorld w;
+  FrontendWorld w;
   auto c = w.acceptedClient(false);
   w.engines.script = [&](const StubEngines::Attempt& a) {
     if (!behind().empty()) c->send(behind());
@@ -235,7 +235,7 @@
 }
 
 TEST_P(LeavingCrossing, NoFurtherAttemptBeginsWhereTheCloseIsSeenBeforeTheFailure) {
-  FrontWorld w;
+  FrontendWorld w;
   auto c = w.acceptedClient(false);
   std::optional<StubEngines::Attempt> out;
   w.engines.script = [&](const StubEngines::Attempt& a) { out = a; };
@@ -251,9 +251,9 @@
 }
 
 TEST_P(LeavingCrossing, NothingBeginsWhereTheTimeToTryAgainComesWithTheClose) {
-  FrontWorld w;
+  FrontendWorld w;
   auto c = w.acceptedClient(false);
-  w.engines.script = [&](const StubEngines::Attempt& a) { w.engines.end(a, Outcome::full); };
+  w.engines.script = [&](const StubEngines::Attempt& a) { w.engines.end(a, Outcome::rejected); };
   c->send(clientRequest("a") + behind());
   ASSERT_TRUE(w.until([&] { return !w.engines.begun.empty(); }, 1'000'000));
   const std::size_t begun = w.engines.begun.size();
@@ -266,7 +266,7 @@
 }
 
 TEST_P(LeavingCrossing, ARequestThatComesWithItsClientsCloseBeginsNothing) {
-  FrontWorld w;
+  FrontendWorld w;
   auto c = w.client();  // not accepted yet
   c->send(clientRequest("a") + behind());
   leave(*c, how());
@@ -280,7 +280,7 @@
 
 TEST(Crossing, TheTimeThatARequestWaitsBehindAnotherIsTakenOffItsDeadline) {
   constexpr Micros kWait = 300'000;
-  FrontWorld w;
+  FrontendWorld w;
   w.engines.holdFirstWrite(true);
   auto c = w.acceptedClient(false);
   c->send(clientRequest("first") + clientRequest("second", "chat", "", 1000) +
@@ -288,19 +288,19 @@
   ASSERT_TRUE(w.until([&] { return w.engines.held.has_value(); }));
   const std::size_t before = w.engines.begun.size();
   w.pass(kWait);
-  w.engines.end(*w.engines.held, Outcome::served);
+  w.engines.end(*w.engines.held, Outcome::completed);
   ASSERT_TRUE(w.until([&] { return (c->receive(), c->has("HTTP/1.1 429")); }, 2'000'000)) << c->got;
   EXPECT_EQ(c->streams(), 2u);  // the third one's time was over
   ASSERT_EQ(w.engines.begun.size(), before + 2);
   for (std::size_t i = before; i < w.engines.begun.size(); ++i) {
-    EXPECT_EQ(w.engines.begun[i].workId, "second");
+    EXPECT_EQ(w.engines.begun[i].traceId, "second");
     EXPECT_LE(w.engines.begun[i].timeout, 1'000'000 - kWait + 50'000);
   }
   EXPECT_TRUE(w.clean());
 }
 
 // The one connection that the front may have is taken, by a request that the first write holds.
-void fill(FrontWorld& w, std::unique_ptr<BlockingClient>& by) {
+void fill(FrontendWorld& w, std::unique_ptr<BlockingClient>& by) {
   w.engines.holdFirstWrite(true);
   by = w.acceptedClient(false);
   by->send(clientRequest("first"));
@@ -312,7 +312,7 @@
   constexpr Micros kWait = 300'000;
   Options options;
   options.connections.connections = 1;
-  FrontWorld w(options);
+  FrontendWorld w(options);
   std::unique_ptr<BlockingClient> first;
   ASSERT_NO_FATAL_FAILURE(fill(w, first));
   auto second = w.client();
@@ -320,12 +320,12 @@
   w.pass(kWait);
   ASSERT_EQ(w.front->counters().accepted, 1u);
   const std::size_t before = w.engines.begun.size();
-  w.engines.end(*w.engines.held, Outcome::served);
+  w.engines.end(*w.engines.held, Outcome::completed);
   first->close();
   ASSERT_TRUE(w.served(*second, 1)) << second->got;
   ASSERT_EQ(w.engines.begun.size(), before + 2);
   for (std::size_t i = before; i < w.engines.begun.size(); ++i) {
-    EXPECT_EQ(w.engines.begun[i].workId, "second");
+    EXPECT_EQ(w.engines.begun[i].traceId, "second");
     EXPECT_LE(w.engines.begun[i].timeout, 1'000'000 - kWait + 50'000);
   }
   EXPECT_TRUE(w.clean());
@@ -336,7 +336,7 @@
   Options options;
   options.connections.connections = 1;
   options.connections.retryPause = 1'000;
-  FrontWorld w(options);
+  FrontendWorld w(options);
   std::unique_ptr<BlockingClient> first;
   ASSERT_NO_FATAL_FAILURE(fill(w, first));
   auto second = w.client();
@@ -344,7 +344,7 @@
   w.pass(1'000'000);
   EXPECT_EQ(w.front->counters().accepted, 1u);
   EXPECT_GT(w.front->counters().overfull, 100u);  // it did look
-  w.engines.end(*w.engines.held, Outcome::served);
+  w.engines.end(*w.engines.held, Outcome::completed);
   first->close();
   EXPECT_TRUE(w.served(*second, 1)) << second->got;
   EXPECT_TRUE(w.clean());
@@ -355,7 +355,7 @@
 TEST(Crossing, WhatWasKeptOfAFloodIsAnsweredBeforeTheConnectionEnds) {
   Options options;
   options.aheadBytes = 16 * 1024;
-  FrontWorld w(options);
+  FrontendWorld w(options);
   w.engines.holdFirstWrite(false);
   auto c = w.acceptedClient(false);
   c->send(clientRequest("first"));
@@ -369,7 +369,7 @@
   w.engines.succeed(*w.engines.held);
   ASSERT_TRUE(w.ended(*c, 10'000'000));
   EXPECT_FALSE(c->wasReset);
-  EXPECT_EQ(c->streams(), w.engines.count(Job::write));
+  EXPECT_EQ(c->streams(), w.engines.count(Phase::decode));
   EXPECT_GT(c->streams(), 50u);
   EXPECT_LT(c->streams(), 201u);
   EXPECT_TRUE(w.clean());
@@ -382,18 +382,18 @@
   Options options;
   options.unreadBytes = 64u << 20;
   options.connections.requestWithin = 300'000;
-  FrontWorld w(options);
+  FrontendWorld w(options);
   const std::string event = "data: " + std::string(kAnswerBytes, 'x') + "\n\n";
   w.engines.script = [&](const StubEngines::Attempt& a) {
-    if (a.job == Job::read) return w.engines.succeed(a);
+    if (a.phase == Phase::prefill) return w.engines.succeed(a);
     w.engines.events->onTokens(a.id, event, 1, {});
-    w.engines.end(a, Outcome::served);
+    w.engines.end(a, Outcome::completed);
   };
   auto flooding = w.acceptedClient(false);
   for (int i = 0; i < kRequests; ++i) flooding->send(clientRequest("f" + std::to_string(i)));
   EXPECT_TRUE(w.until([&] { return w.front->connections() == 0; }, 10'000'000));
-  EXPECT_LT(w.engines.count(Job::write), static_cast<std::size_t>(kRequests));
-  EXPECT_GT(w.engines.count(Job::write), 10u);
+  EXPECT_LT(w.engines.count(Phase::decode), static_cast<std::size_t>(kRequests));
+  EXPECT_GT(w.engines.count(Phase::decode), 10u);
   auto other = w.acceptedClient(false);
   other->send(clientRequest("other"));
   EXPECT_TRUE(w.served(*other, 1));
@@ -411,7 +411,7 @@
   constexpr std::size_t kBody = 20'000;
   Options options;
   options.bodiesBytes = 2 * kBody + 10'000;
-  FrontWorld w(options);
+  FrontendWorld w(options);
   auto first = w.acceptedClient(false);
   auto second = w.acceptedClient(false);
   auto third = w.acceptedClient(false);
--- a/tests/path/drill_test.cpp
+++ b/tests/path/drill_test.cpp
@@ -4,11 +4,11 @@
 #include <filesystem>
 #include <fstream>
 
-#include "drill/audit.h"
-#include "drill/day_import.h"
-#include "drill/runner.h"
+#include "fault_scenario/audit.h"
+#include "fault_scenario/day_import.h"
+#include "fault_scenario/runner.h"
 
-namespace garnethook::drill {
+namespace garnethook::fault_scenario {
 namespace {
 
 using nlohmann::json;
@@ -23,16 +23,16 @@
     events_.push_back(std::move(fields));
     return *this;
   }
-  Story& sent(const std::string& effect = "safe") {
-    return add(0, "client.sent", {{"deadline", 5'000'000}, {"effect", effect}, {"router", "0"}});
+  Story& sent(const std::string& idempotency = "safe") {
+    return add(0, "client.sent", {{"deadline", 5'000'000}, {"effect", idempotency}, {"router", "0"}});
   }
-  Story& attempt(std::int64_t from, std::int64_t to, const std::string& engine, const std::string& job,
+  Story& attempt(std::int64_t from, std::int64_t to, const std::string& engine, const std::string& phase,
                  const char* how = "engine.done") {
-    add(from, "engine.request", {{"engine", engine}, {"job", job}});
-    return add(to, how, {{"engine", engine}, {"job", job}});
+    add(from, "engine.request", {{"engine", engine}, {"job", phase}});
+    return add(to, how, {{"engine", engine}, {"job", phase}});
   }
-  Story& final(std::int64_t ms, const std::string& code = "OK", bool refused = false) {
-    return add(ms, "client.final", {{"code", code}, {"refused", refused}, {"transcript", true}});
+  Story& final(std::int64_t ms, const std::string& code = "OK", bool rejected = false) {
+    return add(ms, "client.final", {{"code", code}, {"refused", rejected}, {"transcript", true}});
   }
   std::vector<std::string> violations() {
     std::stable_sort(events_.begin(), events_.end(),
@@ -56,11 +56,12 @@
 }
 
 TEST(Audit, SeesEachPlantedBreach) {
-  EXPECT_EQ(Story().sent().attempt(1, 20, "w", "whole").only(), "rule 1");           // no final answer
-  EXPECT_EQ(Story().sent().final(10).final(20).only(), "rule 1");                    // two
-  EXPECT_EQ(Story().sent().final(5100).only(), "rule 1");                            // late
-  EXPECT_EQ(Story().sent().final(10).add(20, "client.after", {}).only(), "rule 1");  // something after it
-  EXPECT_EQ(Story().sent().add(10, "client.lost", {}).only(), "rule 1");             // broke, router alive
+  EXPECT_EQ(Story().sent().attempt(1, 20, "w", "whole").only(), "rule 1");  // no final answer
+  EXPECT_EQ(Story().sent().final(10).final(20).only(), "rule 1");           // two
+  EXPECT_EQ(Story().sent().final(5100).only(), "rule 1");                   // late
+  EXPECT_EQ(Story().sent().final(10).add(20, "client.after", {}).only(),
+            "rule 1");                                                    // something after it
+  EXPECT_EQ(Story().sent().add(10, "client.lost", {}).only(), "rule 1");  // broke, router alive
   EXPECT_EQ(Story().sent().add(10, "client.final", {{"code", "OK"}, {"transcript", false}}).only(), "rule 1");
   EXPECT_EQ(Story().sent().attempt(1, 500, "w", "whole").attempt(300, 600, "v", "whole").final(700).only(),
             "rule 2");
@@ -175,4 +176,4 @@
 }
 
 }  // namespace
-}  // namespace garnethook::drill
+}  // namespace garnethook::fault_scenario
--- a/tests/path/endings_test.cpp
+++ b/tests/path/endings_test.cpp
@@ -3,13 +3,13 @@
 
 #include "path/platform_world.h"
 #include "platform/discovery/watch.h"
-#include "support/front_world.h"
+#include "support/frontend_world.h"
 
 namespace garnethook::test {
 namespace {
 
 using Request = ScriptedEngine::Request;
-using routing::Job;
+using routing::Phase;
 
 constexpr net::Micros kMillisecond = 1'000;
 constexpr net::Micros kSecond = 1'000'000;
@@ -21,7 +21,7 @@
 TEST(RequestEnding, ADeadlineAndTheFirstEventInOneTurnGiveOneAnswer) {
   constexpr int kExpiresInMs = 200;
   for (const bool eventFirst : {true, false}) {
-    FrontWorld w;
+    FrontendWorld w;
     w.engines.holdFirstWrite(false);
     auto c = w.acceptedClient(false);
     c->send(clientRequest("d", "chat", "", kExpiresInMs));
@@ -29,7 +29,7 @@
     const auto attempt = *w.engines.held;
     const auto answer = [&w, attempt] {
       w.engines.events->onTokens(attempt.id, kEvent, 1, {});
-      w.engines.end(attempt, Outcome::served);
+      w.engines.end(attempt, Outcome::completed);
     };
     w.stall((kExpiresInMs + 100) * kMillisecond);  // the deadline is due, and not seen
     if (eventFirst)
@@ -51,7 +51,7 @@
 TEST(StreamEnding, AnEventInTheTurnOfTheGuardsTimerKeepsTheStream) {
   constexpr net::Micros kSilence = 200 * kMillisecond;
   for (const bool eventFirst : {true, false}) {
-    FrontWorld w({}, kSilence);
+    FrontendWorld w({}, kSilence);
     w.engines.holdFirstWrite(true);
     auto c = w.acceptedClient(false);
     c->send(clientRequest("g"));
@@ -65,7 +65,7 @@
       w.loop.after(0, event);
     if (eventFirst) {
       ASSERT_TRUE(w.until([&] { return (c->receive(), c->count(kEvent) == 2); })) << c->got;
-      w.engines.end(attempt, Outcome::served);
+      w.engines.end(attempt, Outcome::completed);
       EXPECT_TRUE(w.served(*c, 1)) << c->got;
     } else {
       ASSERT_TRUE(w.ended(*c)) << c->got;
@@ -80,9 +80,9 @@
 // A connection that is to end waits for a client that goes on reading, longer than for one that does not.
 TEST(StreamEnding, AClientThatReadsSlowlyGetsTheWholeAnswerThoughItsConnectionEnds) {
   constexpr std::size_t kBytes = 400 * 1024;
-  platform::HttpFront::Options options;
+  platform::HttpFrontend::Options options;
   options.lingerWithin = 150 * kMillisecond;
-  FrontWorld w(options);
+  FrontendWorld w(options);
   w.engines.holdFirstWrite(true);
   auto c = w.acceptedClient(false);
   c->narrow();
@@ -90,7 +90,7 @@
   ASSERT_TRUE(w.until([&] { return w.engines.held.has_value(); }));
   const auto attempt = *w.engines.held;
   w.engines.events->onTokens(attempt.id, "data: " + std::string(kBytes, 'x') + "\n\n", 1, {});
-  w.engines.end(attempt, Outcome::served);
+  w.engines.end(attempt, Outcome::completed);
   for (int i = 0; i < 400 && c->streams() == 0 && !c->wasReset; ++i) {
     c->receiveSome(16 * 1024);
     w.pass(10 * kMillisecond);
@@ -101,10 +101,10 @@
 }
 
 TEST(ClientConnectionEnding, AClientThatGoesOnSendingBehindItsEndIsCutOff) {
-  platform::HttpFront::Options options;
+  platform::HttpFrontend::Options options;
   options.lingerBytes = 64 * 1024;
   options.lingerWithin = 5 * kSecond;
-  FrontWorld w(options);
+  FrontendWorld w(options);
   auto c = w.acceptedClient(false);
   c->send("nonsense\r\n\r\n");
   ASSERT_TRUE(w.until([&] { return (c->receive(), c->has("HTTP/1.1 400")); }));
@@ -190,7 +190,7 @@
 
 struct WatchEnding : testing::Test {
   platform::Watch::Events events() {
-    return {[this](const platform::TargetUpdate& update) { lists.push_back(update.version); },
+    return {[this](const platform::EndpointListUpdate& update) { lists.push_back(update.version); },
             [](const std::string&) {}, [] { return std::int64_t{0}; }, [] {}};
   }
   static std::string stream(const std::string& body) {
--- a/tests/path/engine_connection_endings_test.cpp
+++ b/tests/path/engine_connection_endings_test.cpp
@@ -13,8 +13,8 @@
 
 struct EngineConnectionEnding : testing::Test {
   // An exchange with the engine, as an attempt.
-  void run(engine::Pool& pool, std::uint64_t attempt = 1, ServerId server = {7}) {
-    pool.run({{attempt}, 0}, server, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
+  void run(engine::Pool& pool, std::uint64_t attempt = 1, EndpointId endpoint = {7}) {
+    pool.run({{attempt}, 0}, endpoint, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
   }
   LoopRunner w;
   ScriptedEngine e{w.loop};
@@ -122,7 +122,7 @@
     pool.run({{1}, 0}, {7}, std::make_unique<Listening>(open), engine::fixedRequest(kGet));
     ASSERT_TRUE(w.until([&] { return engine.seen.size() == 1; }, kSecond));
     if (change == Change::leaves) list.clear();
-    if (change == Change::drains) list["e"].state = ServerState::draining;
+    if (change == Change::drains) list["e"].state = EndpointState::draining;
     if (change == Change::restarts) list["e"].startedAt = 1;
     pool.update(list);
     engine.seen[0].stream->send(answer("whole"));
--- a/tests/path/hard_cases_test.cpp
+++ b/tests/path/hard_cases_test.cpp
@@ -17,7 +17,7 @@
   w.ask(r, "tell me of the north hall #m1");
   ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
   EXPECT_EQ(r.status->code, Code::ok);
-  const standin::Answer answer("tell me of the north hall #m1", 40);
+  const fake_engine::Answer answer("tell me of the north hall #m1", 40);
   EXPECT_EQ(r.text, answer.text());
   EXPECT_EQ(r.finish.usage().output_tokens(), answer.tokens());
   EXPECT_EQ(r.finish.usage().attempts(), 2u);
@@ -40,7 +40,7 @@
   r.set_max_output_tokens(5);
   w.channel->call("/garnethook.v1.Generation/GenerateOnce", r.SerializeAsString(), 3'000'000, whole);
   ASSERT_TRUE(w.until([&] { return whole.status.has_value(); }));
-  EXPECT_EQ(whole.response.text(), standin::Answer("x #m1", 5).text());
+  EXPECT_EQ(whole.response.text(), fake_engine::Answer("x #m1", 5).text());
   EXPECT_EQ(whole.response.finish().reason(), v1::Finish::LENGTH);
 }
 
@@ -154,8 +154,8 @@
   Reply r;
   w.ask(r);
   ASSERT_TRUE(w.until([&] { return w.fleet.held() == 1; }));
-  w.fleet.setListed("read-1", standin::Fleet::Listed::draining);
-  w.fleet.setListed("write-1", standin::Fleet::Listed::draining);
+  w.fleet.setListed("read-1", fake_engine::Fleet::Listed::draining);
+  w.fleet.setListed("write-1", fake_engine::Fleet::Listed::draining);
   w.fleet.writeList(w.list(), 0);
   w.pass(100'000);
   const auto before = w.count("engine.request", "write-1") + w.count("engine.request", "read-1");
@@ -198,12 +198,12 @@
 TEST(Engine, AnswersNestedTooDeepAreNoAnswers) {
   const std::string deep =
       "{\"kv_transfer_params\":" + std::string(500'000, '[') + std::string(500'000, ']') + "}";
-  std::string trouble;
-  EXPECT_FALSE(engine::parseReadAnswer(deep, trouble));
-  EXPECT_FALSE(engine::parseChunk(deep, trouble));
+  std::string error;
+  EXPECT_FALSE(engine::parseReadAnswer(deep, error));
+  EXPECT_FALSE(engine::parseChunk(deep, error));
   EXPECT_EQ(engine::failedAnswer(500, deep).outcome, Outcome::error);
   EXPECT_FALSE(engine::parseLoad("JSON " + deep));
-  EXPECT_TRUE(engine::parseReadAnswer(R"({"kv_transfer_params":{"a":"[[[[{{{{\"["}})", trouble));
+  EXPECT_TRUE(engine::parseReadAnswer(R"({"kv_transfer_params":{"a":"[[[[{{{{\"["}})", error));
 }
 
 TEST(Path, AnEmptyListRefusesAtOnceWithAHint) {
@@ -379,9 +379,9 @@
   Reply good;
   w.ask(good);
   struct Raw final : net::StreamEvents {
-    void onOctets(std::string_view o) override { octets.append(o); }
+    void onBytes(std::string_view o) override { bytes.append(o); }
     void onClosed(net::CloseCause) override { closed = true; }
-    std::string octets;
+    std::string bytes;
     bool closed = false;
   };
   const std::string hello = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + std::string("\0\0\0\4\0\0\0\0\0", 9);
@@ -392,7 +392,7 @@
     net::Stream stream(w.loop, w.router->address(), "", 1'000'000, raw);
     stream.send(bad);
     EXPECT_TRUE(w.until([&] { return raw.closed; }, 2'000'000));
-    EXPECT_NE(raw.octets.find('\x07'), std::string::npos);  // a GOAWAY
+    EXPECT_NE(raw.bytes.find('\x07'), std::string::npos);  // a GOAWAY
   }
   ASSERT_TRUE(w.until([&] { return good.finals > 0; }));
   EXPECT_EQ(good.status->code, Code::ok);
--- a/tests/path/platform_path_test.cpp
+++ b/tests/path/platform_path_test.cpp
@@ -426,8 +426,8 @@
       : loop_(loop), stream_(loop, to, "", 1'000'000, *this) {
     stream_.send(requestText(id));
   }
-  void onOctets(std::string_view octets) override {
-    text_ += octets;
+  void onBytes(std::string_view bytes) override {
+    text_ += bytes;
     constexpr std::string_view kTime = "data: {\"at\":";
     for (auto at = text_.find(kTime, read_); at != std::string::npos; at = text_.find(kTime, read_)) {
       const auto end = text_.find('}', at);
@@ -553,7 +553,7 @@
 }
 
 TEST_F(PlatformPath, AReloadMovesTheWatchAndKeepsWhatIsServed) {
-  std::vector<std::pair<std::string, std::shared_ptr<standin::HttpReply>>> others;
+  std::vector<std::pair<std::string, std::shared_ptr<fake_engine::HttpReply>>> others;
   auto other = w.makeDiscovery(others);
   w.firstList = R"({"revision":9,"complete":false,"members":[)" + w.member("w2", w.otherWriter, "m2") + "]}";
   w.node->reload(w.read(other->address().toString()));
--- a/tests/path/platform_world.h
+++ b/tests/path/platform_world.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "platform/node/node.h"
-#include "standin/http_server.h"
+#include "fake_engine/http_server.h"
+#include "platform/process/router_process.h"
 #include "support/loop_runner.h"
 #include "support/platform_peers.h"
 
@@ -27,11 +27,11 @@
   ~PlatformWorld() { stopLoop(); }
 
   static bool answerCalls(ScriptedEngine::Request& r) { return test::answerCalls(r); }
-  std::unique_ptr<standin::HttpServer> makeDiscovery(
-      std::vector<std::pair<std::string, std::shared_ptr<standin::HttpReply>>>& to) {
-    return std::make_unique<standin::HttpServer>(
+  std::unique_ptr<fake_engine::HttpServer> makeDiscovery(
+      std::vector<std::pair<std::string, std::shared_ptr<fake_engine::HttpReply>>>& to) {
+    return std::make_unique<fake_engine::HttpServer>(
         loop, Poco::Net::SocketAddress("127.0.0.1", 0),
-        [&to, this](standin::HttpRequest request, std::shared_ptr<standin::HttpReply> reply) {
+        [&to, this](fake_engine::HttpRequest request, std::shared_ptr<fake_engine::HttpReply> reply) {
           reply->begin(200, {});
           reply->piece(firstList + "\n");
           to.emplace_back(request.head.target, reply);
@@ -51,7 +51,8 @@
   void start() {
     firstList = R"({"revision":1,"complete":true,"members":[)" + member("r", reader, "m1") + "," +
                 member("w", writer, "m2") + "]}";
-    node = std::make_unique<platform::Node>(loop, read(discovery->address().toString()), log::Log::none());
+    node = std::make_unique<platform::RouterProcess>(loop, read(discovery->address().toString()),
+                                                     log::Log::none());
     EXPECT_TRUE(until([&] { return node->list().engines().size() == 2; }));
   }
   std::unique_ptr<RawClient> client() { return std::make_unique<RawClient>(loop, node->address()); }
@@ -70,9 +71,9 @@
   ScriptedEngine reader;
   ScriptedEngine writer;
   ScriptedEngine otherWriter;
-  std::vector<std::pair<std::string, std::shared_ptr<standin::HttpReply>>> watches;
-  std::unique_ptr<standin::HttpServer> discovery;
-  std::unique_ptr<platform::Node> node;
+  std::vector<std::pair<std::string, std::shared_ptr<fake_engine::HttpReply>>> watches;
+  std::unique_ptr<fake_engine::HttpServer> discovery;
+  std::unique_ptr<platform::RouterProcess> node;
 };
 
 }  // namespace garnethook::test
--- a/tests/path/pool_test.cpp
+++ b/tests/path/pool_test.cpp
@@ -3,14 +3,14 @@
 
 #include <gtest/gtest.h>
 
-#include "platform/engine/platform_engines.h"
+#include "platform/engine/platform_engine_client.h"
 #include "support/pool_peers.h"
 
 namespace garnethook::test {
 namespace {
 
-// Octets that came unasked and were not read yet must not become the next answer.
-TEST(Pool, AKeptConnectionOnWhichOctetsWaitIsNotUsed) {
+// Bytes that came unasked and were not read yet must not become the next answer.
+TEST(Pool, AKeptConnectionOnWhichBytesWaitIsNotUsed) {
   LoopRunner w;
   ScriptedEngine e(w.loop);
   engine::Pool pool(w.loop, {});
@@ -95,8 +95,8 @@
     pool.run({{1}, 0}, {7}, std::make_unique<Listening>(second), engine::fixedRequest(kGet), reuse);
     ASSERT_TRUE(w.until([&] { return e.seen.size() == 2; }, 1'000'000));
     EXPECT_EQ(pool.opened(), reuse == engine::Reuse::none ? 2u : 1u);
-    EXPECT_EQ(pool.reach({{1}, 0}),
-              reuse == engine::Reuse::none ? routing::Reach::connected : routing::Reach::written);
+    EXPECT_EQ(pool.deliveryState({{1}, 0}), reuse == engine::Reuse::none ? routing::DeliveryState::connected
+                                                                         : routing::DeliveryState::written);
     pool.abandon({{1}, 0});
   }
 }
@@ -132,17 +132,17 @@
   engine::Pool pool(w.loop, {});
   auto engine = only(Poco::Net::SocketAddress(e.address()));
   pool.update(engine);
-  membership::EngineMap changes{{"f", engine.at("e")}};
+  membership::EndpointMap changes{{"f", engine.at("e")}};
   changes["f"].name = "f";
   changes["f"].id = {8};
   pool.apply(changes);
-  EXPECT_EQ(pool.listed(), (std::vector<ServerId>{{7}, {8}}));
+  EXPECT_EQ(pool.listed(), (std::vector<EndpointId>{{7}, {8}}));
   Heard heard;
   pool.run({{1}, 0}, {7}, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
   ASSERT_TRUE(w.until([&] { return e.seen.size() == 1; }, 1'000'000));
-  engine["e"].state = ServerState::gone;
+  engine["e"].state = EndpointState::removed;
   pool.apply(engine);
-  EXPECT_EQ(pool.listed(), (std::vector<ServerId>{{8}}));
+  EXPECT_EQ(pool.listed(), (std::vector<EndpointId>{{8}}));
   EXPECT_FALSE(pool.running({7}));
   EXPECT_NE(pool.find({7}), nullptr);  // its exchange goes on
   e.seen[0].stream->send(answer("whole"));
@@ -195,7 +195,7 @@
     accepted[0].setLinger(true, 0);
     accepted[0].close();
     ASSERT_TRUE(w.until([&] { return heard.failed.has_value(); }, 1'000'000));
-    EXPECT_EQ(*heard.failed, whole ? Outcome::reset : Outcome::connectFailed);
+    EXPECT_EQ(*heard.failed, whole ? Outcome::connectionReset : Outcome::connectFailed);
   }
 }
 
@@ -210,17 +210,18 @@
   LoopRunner w;
   ScriptedEngine e(w.loop);
   AttemptEnds ends;
-  platform::PlatformEngines engines(w.loop, {}, {}, 0, "a");
+  platform::PlatformEngineClient engines(w.loop, {}, {}, 0, "a");
   engines.setEvents(ends);
-  membership::EngineMap map = only(Poco::Net::SocketAddress(e.address()));
+  membership::EndpointMap map = only(Poco::Net::SocketAddress(e.address()));
   engines.update(map);
-  routing::Ask ask;
-  ask.target = "/v1/chat/completions";
-  ask.body = std::make_shared<const std::string>("{}");
-  routing::Order order{.attempt = {{1}, 0}, .server = {7}, .ask = &ask, .workId = "x", .timeout = 1'000'000};
-  if (GetParam() == Meanwhile::tooLate) order.writeBy = w.loop.now() + 1'000;
+  routing::Request request;
+  request.target = "/v1/chat/completions";
+  request.body = std::make_shared<const std::string>("{}");
+  routing::AttemptSpec order{
+      .attempt = {{1}, 0}, .endpoint = {7}, .request = &request, .traceId = "x", .timeout = 1'000'000};
+  if (GetParam() == Meanwhile::tooLate) order.sendBy = w.loop.now() + 1'000;
   engines.begin(order);
-  if (GetParam() == Meanwhile::drains) map["e"].state = ServerState::draining;
+  if (GetParam() == Meanwhile::drains) map["e"].state = EndpointState::draining;
   if (GetParam() == Meanwhile::goes) map.clear();
   engines.update(map);
   w.stall(10'000);
@@ -235,40 +236,43 @@
 }
 
 // An engine whose address can't be used, or that is not listed, was never reached.
-TEST(PlatformEngines, AnAttemptAtAnAddressThatCantBeUsedNeverLeft) {
+TEST(PlatformEngineClient, AnAttemptAtAnAddressThatCantBeUsedNeverLeft) {
   for (const bool listed : {true, false}) {
     LoopRunner w;
     AttemptEnds ends;
-    platform::PlatformEngines engines(w.loop, {}, {}, 0, "a");
+    platform::PlatformEngineClient engines(w.loop, {}, {}, 0, "a");
     engines.setEvents(ends);
-    membership::EngineMap map = only(Poco::Net::SocketAddress("127.0.0.1", 1));
+    membership::EndpointMap map = only(Poco::Net::SocketAddress("127.0.0.1", 1));
     map["e"].host = "::nowhere::";
     if (listed) engines.update(map);
-    routing::Ask ask;
-    ask.target = "/v1/chat/completions";
-    ask.body = std::make_shared<const std::string>("{}");
-    engines.begin({.attempt = {{1}, 0}, .server = {7}, .ask = &ask, .workId = "x", .timeout = 1'000'000});
+    routing::Request request;
+    request.target = "/v1/chat/completions";
+    request.body = std::make_shared<const std::string>("{}");
+    engines.begin(
+        {.attempt = {{1}, 0}, .endpoint = {7}, .request = &request, .traceId = "x", .timeout = 1'000'000});
     ASSERT_TRUE(w.until([&] { return !ends.ends.empty(); }, 1'000'000));
     EXPECT_EQ(ends.ends[0].outcome, Outcome::connectFailed);
   }
 }
 
 // An attempt that found no room among the router's own connections tells nothing of its engine.
-TEST(PlatformEngines, AnAttemptThatFoundNoConnectionNeverLeft) {
+TEST(PlatformEngineClient, AnAttemptThatFoundNoConnectionNeverLeft) {
   LoopRunner w;
   ScriptedEngine e(w.loop);
   AttemptEnds ends;
-  platform::PlatformEngines engines(w.loop, {.connections = 1}, {}, 0, "a");
+  platform::PlatformEngineClient engines(w.loop, {.connections = 1}, {}, 0, "a");
   engines.setEvents(ends);
   engines.update(only(Poco::Net::SocketAddress(e.address())));
-  routing::Ask ask;
-  ask.target = "/v1/chat/completions";
-  ask.body = std::make_shared<const std::string>("{}");
-  engines.begin({.attempt = {{1}, 0}, .server = {7}, .ask = &ask, .workId = "x", .timeout = 1'000'000});
-  engines.begin({.attempt = {{2}, 0}, .server = {7}, .ask = &ask, .workId = "y", .timeout = 1'000'000});
+  routing::Request request;
+  request.target = "/v1/chat/completions";
+  request.body = std::make_shared<const std::string>("{}");
+  engines.begin(
+      {.attempt = {{1}, 0}, .endpoint = {7}, .request = &request, .traceId = "x", .timeout = 1'000'000});
+  engines.begin(
+      {.attempt = {{2}, 0}, .endpoint = {7}, .request = &request, .traceId = "y", .timeout = 1'000'000});
   ASSERT_TRUE(w.until([&] { return !ends.ends.empty(); }, 1'000'000));
-  EXPECT_EQ(ends.ends[0].outcome, Outcome::full);
-  EXPECT_FALSE(ends.ends[0].left);
+  EXPECT_EQ(ends.ends[0].outcome, Outcome::rejected);
+  EXPECT_FALSE(ends.ends[0].leftRouter);
   engines.cancel({{1}, 0});
 }
 
--- a/tests/path/stream_test.cpp
+++ b/tests/path/stream_test.cpp
@@ -14,7 +14,7 @@
 using net::Stream;
 
 struct Peer final : net::StreamEvents {
-  void onOctets(std::string_view octets) override { got += octets; }
+  void onBytes(std::string_view bytes) override { got += bytes; }
   void onDrained() override { ++drained; }
   void onClosed(CloseCause c) override { cause = c; }
   std::string got;
@@ -64,7 +64,7 @@
   there.stream->send(much);
   ASSERT_TRUE(until([&] { return here.got.size() == much.size(); }, 5'000'000));
   EXPECT_LT(busyShare(*this), 0.5);
-  here.stream->send(much);  // unread octets and a full socket on one side
+  here.stream->send(much);  // unread bytes and a full socket on one side
   there.stream->send(much);
   there.stream->pauseReading(true);
   here.stream->pauseReading(true);
--- a/tests/path/world.h
+++ b/tests/path/world.h
@@ -10,9 +10,9 @@
 #include <string>
 
 #include "client/channel.h"
-#include "drill/audit.h"
+#include "fake_engine/fleet.h"
+#include "fault_scenario/audit.h"
 #include "server/router_server.h"
-#include "standin/fleet.h"
 #include "support/loop_runner.h"
 
 namespace garnethook::test {
@@ -57,7 +57,8 @@
                  const std::string& enginesExtra = "")
       : folder_(makeFolder()),
         recorder([this] { return loop.now(); }),
-        fleet(loop, standin::readFleet(config::Node(config::JsonFile::parse("fleet", fleetText)), "engines"),
+        fleet(loop,
+              fake_engine::readFleet(config::Node(config::JsonFile::parse("fleet", fleetText)), "engines"),
               recorder) {
     settingsText = R"({ "classes": [ { "name": "chat", "aim_ms": 1000, "deadline_ms": 5000 },
                        { "name": "order", "aim_ms": 1000, "deadline_ms": 5000, "effect": "unsafe" } ],
@@ -105,7 +106,7 @@
       if (e["what"] == what) t = e["t"];
     return t;
   }
-  void eachEngine(const std::string& kind, const std::function<void(standin::Engine&)>& what) {
+  void eachEngine(const std::string& kind, const std::function<void(fake_engine::Engine&)>& what) {
     for (const auto& e : fleet.engines())
       if (e->options().kind == kind) what(*e);
   }
@@ -133,8 +134,8 @@
   int epoch_ = 0;
 
  public:
-  standin::Recorder recorder;
-  standin::Fleet fleet;
+  fake_engine::Recorder recorder;
+  fake_engine::Fleet fleet;
   std::unique_ptr<server::RouterServer> router;
   std::unique_ptr<client::Channel> channel;
 };
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -6,13 +6,13 @@
 
 #include "engine/reuse_policy.h"
 #include "platform/config/platform_config.h"
-#include "platform/discovery/target_list.h"
+#include "platform/discovery/endpoint_list.h"
 #include "platform/engine/protocol.h"
 #include "platform/engine/relay_exchange.h"
 #include "platform/engine/release_route.h"
-#include "platform/front/connection_policy.h"
-#include "platform/front/intake.h"
-#include "platform/node/budget.h"
+#include "platform/http_frontend/connection_policy.h"
+#include "platform/http_frontend/request_decoder.h"
+#include "platform/process/resource_budget.h"
 
 namespace garnethook::platform {
 namespace {
@@ -66,16 +66,16 @@
   EXPECT_EQ(c.seed, 0x8c1f30d27a5be964u);
   EXPECT_EQ(c.limits.descriptors, 512u);
   EXPECT_EQ(c.limits.memory, 64u << 20);
-  const auto& s = c.provision.settings;
+  const auto& s = c.deployment.settings;
   EXPECT_EQ(s.ownZone, 1u);
   ASSERT_EQ(s.classes.size(), 2u);
-  EXPECT_EQ(s.classes[0].aim, 800 * kMs);
-  EXPECT_EQ(s.classes[1].effect, Effect::unsafe);
-  EXPECT_EQ(s.classes[1].aimPerKiloToken, 40'000);
-  EXPECT_EQ(s.kinds[1].role, Role::writer);
+  EXPECT_EQ(s.classes[0].ttftObjective, 800 * kMs);
+  EXPECT_EQ(s.classes[1].idempotency, Idempotency::nonIdempotent);
+  EXPECT_EQ(s.classes[1].ttftObjectivePerKiloToken, 40'000);
+  EXPECT_EQ(s.kinds[1].role, Role::decode);
   EXPECT_EQ(s.maxAttempts, 6);
-  EXPECT_EQ(c.provision.connectionIdle, 15 * kSec);
-  EXPECT_NE(c.provision.report.x0.find("share_of_memory"), std::string::npos);
+  EXPECT_EQ(c.deployment.connectionIdle, 15 * kSec);
+  EXPECT_NE(c.deployment.report.x0.find("share_of_memory"), std::string::npos);
   ASSERT_EQ(c.known.size(), 1u);
   EXPECT_EQ(c.known.at("s-1").cell, "3");
   EXPECT_EQ(c.knownVersion, 41);
@@ -113,72 +113,72 @@
 }
 
 TEST(Targets, ChangesAreAppliedAndTold) {
-  TargetList targets;
-  targets.apply(parseTargets(list(5, true, entry("a", "ready") + "," + entry("b", "ready", 7))));
+  EndpointList targets;
+  targets.apply(parseEndpointList(list(5, true, entry("a", "ready") + "," + entry("b", "ready", 7))));
   EXPECT_EQ(targets.engines().size(), 2u);
   EXPECT_EQ(targets.engines().at("b").startedAt, 7000);
   EXPECT_DOUBLE_EQ(targets.engines().at("a").weight, 1.5);
   auto change =
-      targets.apply(parseTargets(list(6, false, entry("a", "draining") + "," + entry("b", "gone"))));
-  EXPECT_EQ(change.kind, ServerList::Kind::changes);
-  EXPECT_EQ(change.entries.at("b").state, ServerState::gone);
+      targets.apply(parseEndpointList(list(6, false, entry("a", "draining") + "," + entry("b", "gone"))));
+  EXPECT_EQ(change.kind, EndpointUpdate::Kind::delta);
+  EXPECT_EQ(change.entries.at("b").state, EndpointState::removed);
   EXPECT_EQ(targets.engines().size(), 1u);
-  EXPECT_EQ(targets.engines().at("a").state, ServerState::draining);
+  EXPECT_EQ(targets.engines().at("a").state, EndpointState::draining);
   EXPECT_EQ(targets.version(), 6);
 }
 
 TEST(Targets, OldChangesAreLeftAndACompleteListAlwaysHolds) {
-  TargetList targets;
-  targets.apply(parseTargets(list(5, true, entry("a", "ready"))));
-  EXPECT_FALSE(targets.apply(parseTargets(list(4, false, entry("a", "gone")))).any);
+  EndpointList targets;
+  targets.apply(parseEndpointList(list(5, true, entry("a", "ready"))));
+  EXPECT_FALSE(targets.apply(parseEndpointList(list(4, false, entry("a", "gone")))).any);
   EXPECT_EQ(targets.engines().size(), 1u);
-  EXPECT_TRUE(targets.apply(parseTargets(list(1, true, entry("c", "ready")))).any);
+  EXPECT_TRUE(targets.apply(parseEndpointList(list(1, true, entry("c", "ready")))).any);
   EXPECT_TRUE(targets.engines().contains("c"));
   EXPECT_FALSE(targets.engines().contains("a"));
 }
 
 // A discovery that lags behind the one before it, as after a reload, may still call an engine ready.
 TEST(Targets, AnOlderCompleteListBringsNoDrainedEngineBack) {
-  TargetList targets;
-  targets.apply(parseTargets(
+  EndpointList targets;
+  targets.apply(parseEndpointList(
       list(5, true, entry("a", "ready") + "," + entry("b", "ready") + "," + entry("c", "ready"))));
-  targets.apply(parseTargets(list(7, false, entry("a", "draining") + "," + entry("b", "gone"))));
-  targets.apply(parseTargets(
+  targets.apply(parseEndpointList(list(7, false, entry("a", "draining") + "," + entry("b", "gone"))));
+  targets.apply(parseEndpointList(
       list(6, true, entry("a", "ready") + "," + entry("b", "ready") + "," + entry("c", "ready"))));
-  EXPECT_EQ(targets.engines().at("a").state, ServerState::draining);
+  EXPECT_EQ(targets.engines().at("a").state, EndpointState::draining);
   EXPECT_FALSE(targets.engines().contains("b"));
-  EXPECT_EQ(targets.engines().at("c").state, ServerState::running);
+  EXPECT_EQ(targets.engines().at("c").state, EndpointState::running);
 }
 
 TEST(Targets, ARetiredEngineComesBackByANewerWordOrAnotherStart) {
-  TargetList targets;
-  targets.apply(parseTargets(list(5, true, entry("a", "ready", 1) + "," + entry("b", "ready", 1))));
-  targets.apply(parseTargets(list(7, false, entry("a", "draining", 1) + "," + entry("b", "gone", 1))));
-  targets.apply(parseTargets(list(6, true, entry("a", "ready", 1) + "," + entry("b", "ready", 2))));
-  EXPECT_EQ(targets.engines().at("a").state, ServerState::draining);
-  EXPECT_EQ(targets.engines().at("b").state, ServerState::running);
-  targets.apply(parseTargets(list(8, false, entry("a", "ready", 1))));
-  EXPECT_EQ(targets.engines().at("a").state, ServerState::running);
+  EndpointList targets;
+  targets.apply(parseEndpointList(list(5, true, entry("a", "ready", 1) + "," + entry("b", "ready", 1))));
+  targets.apply(parseEndpointList(list(7, false, entry("a", "draining", 1) + "," + entry("b", "gone", 1))));
+  targets.apply(parseEndpointList(list(6, true, entry("a", "ready", 1) + "," + entry("b", "ready", 2))));
+  EXPECT_EQ(targets.engines().at("a").state, EndpointState::draining);
+  EXPECT_EQ(targets.engines().at("b").state, EndpointState::running);
+  targets.apply(parseEndpointList(list(8, false, entry("a", "ready", 1))));
+  EXPECT_EQ(targets.engines().at("a").state, EndpointState::running);
 }
 
 TEST(Targets, AnEngineThatACompleteListLackedStaysGoneForOlderOnes) {
-  TargetList targets;
-  targets.apply(parseTargets(list(5, true, entry("a", "ready") + "," + entry("b", "ready"))));
-  targets.apply(parseTargets(list(9, true, entry("a", "ready"))));
-  targets.apply(parseTargets(list(8, true, entry("a", "ready") + "," + entry("b", "ready"))));
+  EndpointList targets;
+  targets.apply(parseEndpointList(list(5, true, entry("a", "ready") + "," + entry("b", "ready"))));
+  targets.apply(parseEndpointList(list(9, true, entry("a", "ready"))));
+  targets.apply(parseEndpointList(list(8, true, entry("a", "ready") + "," + entry("b", "ready"))));
   EXPECT_FALSE(targets.engines().contains("b"));
 }
 
 TEST(Targets, WhatCantBeUsedIsLeftOutOrRefused) {
-  const auto update = parseTargets(
+  const auto update = parseEndpointList(
       list(1, true, entry("a", "ready") + R"(,{"id":"b","phase":"ready"},3,)" + entry("c", "resting")));
   EXPECT_EQ(update.engines.size(), 2u);
-  EXPECT_EQ(update.troubles.size(), 2u);
-  EXPECT_EQ(update.engines[1].state, ServerState::draining);  // a word not known promises nothing
+  EXPECT_EQ(update.errors.size(), 2u);
+  EXPECT_EQ(update.engines[1].state, EndpointState::draining);  // a word not known promises nothing
   for (const char* bad :
        {"", "[]", "{", R"({"revision":1})", R"({"members":[]})", R"({"revision":"x","members":[]})"})
-    EXPECT_THROW(parseTargets(bad), std::runtime_error) << bad;
-  EXPECT_THROW(parseTargets(std::string(5000, '[')), std::runtime_error);
+    EXPECT_THROW(parseEndpointList(bad), std::runtime_error) << bad;
+  EXPECT_THROW(parseEndpointList(std::string(5000, '[')), std::runtime_error);
 }
 
 // ---- engines ----
@@ -191,22 +191,22 @@
 }
 
 TEST(Protocol, StatusAndFieldDecideWhatAnAnswerMeans) {
-  using routing::Job;
-  EXPECT_EQ(judge(head(202), Job::read), Verdict::readDone);
-  EXPECT_EQ(judge(head(200), Job::write), Verdict::stream);
-  EXPECT_EQ(judge(head(200), Job::read), Verdict::failed);
-  EXPECT_EQ(judge(head(202), Job::write), Verdict::failed);
-  EXPECT_EQ(judge(head(503, {{"x-never-ran", "1"}}), Job::write), Verdict::turnedAway);
-  EXPECT_EQ(judge(head(504, {{"x-never-ran", " 1 "}}), Job::read), Verdict::turnedAway);
-  EXPECT_EQ(judge(head(410, {{"x-never-ran", "1"}}), Job::write), Verdict::noState);
-  EXPECT_EQ(judge(head(503), Job::write), Verdict::failed);  // no proof
-  EXPECT_EQ(judge(head(410), Job::write), Verdict::failed);
-  EXPECT_EQ(judge(head(500), Job::read), Verdict::failed);
+  using routing::Phase;
+  EXPECT_EQ(judge(head(202), Phase::prefill), Verdict::readDone);
+  EXPECT_EQ(judge(head(200), Phase::decode), Verdict::stream);
+  EXPECT_EQ(judge(head(200), Phase::prefill), Verdict::failed);
+  EXPECT_EQ(judge(head(202), Phase::decode), Verdict::failed);
+  EXPECT_EQ(judge(head(503, {{"x-never-ran", "1"}}), Phase::decode), Verdict::rejected);
+  EXPECT_EQ(judge(head(504, {{"x-never-ran", " 1 "}}), Phase::prefill), Verdict::rejected);
+  EXPECT_EQ(judge(head(410, {{"x-never-ran", "1"}}), Phase::decode), Verdict::noState);
+  EXPECT_EQ(judge(head(503), Phase::decode), Verdict::failed);  // no proof
+  EXPECT_EQ(judge(head(410), Phase::decode), Verdict::failed);
+  EXPECT_EQ(judge(head(500), Phase::prefill), Verdict::failed);
 }
 
 TEST(Protocol, ReportsAreTakenWholeOrNotAtAll) {
-  const provision::ReportMeanings meanings{"share_of_memory_that_is_held",
-                                           "thousands_of_prompt_tokens_waiting"};
+  const deployment_config::ReportMeanings meanings{"share_of_memory_that_is_held",
+                                                   "thousands_of_prompt_tokens_waiting"};
   const auto report = parseReport(" TEXT latency_ms=41.378, x0=0.25, x1=3\r\n", meanings);
   ASSERT_TRUE(report);
   EXPECT_DOUBLE_EQ(*report->memoryShare, 0.25);
@@ -217,27 +217,27 @@
 }
 
 TEST(Protocol, TheClientsRequestIsPassedOnAsItCame) {
-  routing::Ask ask;
-  ask.target = "/v1/chat/completions?a=b";
-  ask.body = std::make_shared<const std::string>(R"({"stream":true})");
-  ask.fields = "idempotency-key: f1b8\r\n";
-  membership::EngineSpec engine;
+  routing::Request request;
+  request.target = "/v1/chat/completions?a=b";
+  request.body = std::make_shared<const std::string>(R"({"stream":true})");
+  request.fields = "idempotency-key: f1b8\r\n";
+  membership::EndpointSpec engine;
   engine.host = "127.0.0.9";
   engine.port = 90;
-  routing::Order order{.ask = &ask, .workId = "9b1f", .timeout = 1'234'567};
-  const EngineRequest request = engineRequest(engine, order, 5'000'000);
-  EXPECT_EQ(requestText(request, 5'000'000),
+  routing::AttemptSpec order{.request = &request, .traceId = "9b1f", .timeout = 1'234'567};
+  const EngineRequest sent = engineRequest(engine, order, 5'000'000);
+  EXPECT_EQ(requestText(sent, 5'000'000),
             "POST /v1/chat/completions?a=b HTTP/1.1\r\nHost: 127.0.0.9:90\r\nX-Trace-Id: 9b1f\r\n"
             "X-Expires-In-Ms: 1234\r\nidempotency-key: f1b8\r\nContent-Length: "
             "15\r\n\r\n{\"stream\":true}");
   // What is told is what is left when the request is written, however late its connection came up.
-  EXPECT_NE(requestText(request, 5'900'000).find("X-Expires-In-Ms: 334\r\n"), std::string::npos);
-  EXPECT_NE(requestText(request, 9'000'000).find("X-Expires-In-Ms: 1\r\n"), std::string::npos);
+  EXPECT_NE(requestText(sent, 5'900'000).find("X-Expires-In-Ms: 334\r\n"), std::string::npos);
+  EXPECT_NE(requestText(sent, 9'000'000).find("X-Expires-In-Ms: 1\r\n"), std::string::npos);
   EXPECT_EQ(callText(engine, "DELETE", releaseTarget("9b1f")),
             "DELETE /v1/holds/9b1f HTTP/1.1\r\nHost: 127.0.0.9:90\r\nContent-Length: 0\r\n\r\n");
 }
 
-struct Heard final : routing::EngineEvents {
+struct Heard final : routing::EngineClientEvents {
   void onTokens(routing::AttemptId, std::string_view text, std::uint32_t count,
                 std::span<const std::uint32_t>) override {
     events += text;
@@ -248,15 +248,15 @@
     ++ends;
     result = r;
   }
-  void onProbeEnded(ServerId, bool, const std::optional<LoadReport>&) override {}
-  void onReleaseEnded(ServerId, RequestId, bool) override {}
+  void onProbeEnded(EndpointId, bool, const std::optional<LoadReport>&) override {}
+  void onReleaseEnded(EndpointId, RequestId, bool) override {}
   std::string events;
   std::uint32_t pieces = 0;
   int calls = 0;
   int ends = 0;
   routing::AttemptResult result;
 };
-const provision::ReportMeanings kMeanings{"share_of_memory", "thousands_of_prompt_tokens"};
+const deployment_config::ReportMeanings kMeanings{"share_of_memory", "thousands_of_prompt_tokens"};
 constexpr std::string_view kEvents =
     "data: {\"a\":1}\n\ndata: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\": 4096}}}\n\ndata: "
     "[DONE]\n\n";
@@ -268,15 +268,15 @@
   const std::string text = std::string(kEvents) + ": Endpoint-Load-Metrics: TEXT x0=0.5\n\n";
   for (std::size_t piece = 1; piece <= text.size(); ++piece) {
     Heard heard;
-    RelayExchange relay(heard, {}, routing::Job::write, kMeanings);
+    RelayExchange relay(heard, {}, routing::Phase::decode, kMeanings);
     EXPECT_TRUE(relay.onHead(streamHead()));
     for (std::size_t at = 0; at < text.size(); at += piece)
       relay.onBody(std::string_view(text).substr(at, piece));
     relay.onEnd();
     EXPECT_EQ(heard.events, kEvents);
     EXPECT_EQ(heard.pieces, 3u);
-    EXPECT_EQ(heard.result.outcome, Outcome::served);
-    EXPECT_DOUBLE_EQ(heard.result.foundTokens, 4096);
+    EXPECT_EQ(heard.result.outcome, Outcome::completed);
+    EXPECT_DOUBLE_EQ(heard.result.cachedTokens, 4096);
     ASSERT_TRUE(heard.result.report);
     EXPECT_DOUBLE_EQ(*heard.result.report->memoryShare, 0.5);
     EXPECT_EQ(heard.ends, 1);
@@ -285,13 +285,13 @@
 
 TEST(Relay, AnUnfinishedEventIsNotPassedOn) {
   Heard heard;
-  RelayExchange relay(heard, {}, routing::Job::write, kMeanings);
+  RelayExchange relay(heard, {}, routing::Phase::decode, kMeanings);
   relay.onHead(head(200));
   relay.onBody("data: {\"a\":1}\n\ndata: {\"b\"");
   EXPECT_EQ(heard.events, "data: {\"a\":1}\n\n");
-  relay.onFailed(Outcome::reset, "gone", false);
+  relay.onFailed(Outcome::connectionReset, "gone", false);
   EXPECT_EQ(heard.ends, 1);
-  EXPECT_EQ(heard.result.outcome, Outcome::reset);
+  EXPECT_EQ(heard.result.outcome, Outcome::connectionReset);
 }
 
 // The last chunk would tell the client that a stream is whole which is not.
@@ -301,16 +301,16 @@
     std::string_view text;
     Outcome outcome;
   };
-  const std::vector<Case> cases{{streamHead(), "data: {}\n\n", Outcome::served},
-                                {streamHead(), "data: {}\n\n: a comment", Outcome::served},
-                                {head(200, {{"content-length", "10"}}), "data: {}\n\n", Outcome::served},
-                                {streamHead(), "data: {}\n\ndat", Outcome::reset},
-                                {streamHead(), "data: {}\n\ndata: {}", Outcome::reset},
-                                {streamHead(), "data: {}\n\ndata: {}\n", Outcome::reset},
-                                {head(200), "data: {}\n\n", Outcome::reset}};
+  const std::vector<Case> cases{{streamHead(), "data: {}\n\n", Outcome::completed},
+                                {streamHead(), "data: {}\n\n: a comment", Outcome::completed},
+                                {head(200, {{"content-length", "10"}}), "data: {}\n\n", Outcome::completed},
+                                {streamHead(), "data: {}\n\ndat", Outcome::connectionReset},
+                                {streamHead(), "data: {}\n\ndata: {}", Outcome::connectionReset},
+                                {streamHead(), "data: {}\n\ndata: {}\n", Outcome::connectionReset},
+                                {head(200), "data: {}\n\n", Outcome::connectionReset}};
   for (const Case& c : cases) {
     Heard heard;
-    RelayExchange relay(heard, {}, routing::Job::write, kMeanings);
+    RelayExchange relay(heard, {}, routing::Phase::decode, kMeanings);
     relay.onHead(c.head);
     relay.onBody(c.text);
     relay.onEnd();
@@ -320,9 +320,9 @@
 }
 
 TEST(Relay, EndingsOfReadsAndErrors) {
-  const auto end = [](int status, http1::Fields fields, routing::Job job, std::string_view body) {
+  const auto end = [](int status, http1::Fields fields, routing::Phase phase, std::string_view body) {
     Heard heard;
-    RelayExchange relay(heard, {}, job, kMeanings);
+    RelayExchange relay(heard, {}, phase, kMeanings);
     relay.onHead(head(status, std::move(fields)));
     if (!body.empty()) relay.onBody(body);
     relay.onEnd();
@@ -330,30 +330,30 @@
     EXPECT_EQ(heard.calls, 0);
     return heard.result;
   };
-  const auto read =
-      end(202, {{"endpoint-load-metrics", "TEXT x1=2"}}, routing::Job::read, R"({"cached_tokens":4096})");
-  EXPECT_EQ(read.outcome, Outcome::readDone);
-  EXPECT_DOUBLE_EQ(read.foundTokens, 4096);
+  const auto read = end(202, {{"endpoint-load-metrics", "TEXT x1=2"}}, routing::Phase::prefill,
+                        R"({"cached_tokens":4096})");
+  EXPECT_EQ(read.outcome, Outcome::prefillDone);
+  EXPECT_DOUBLE_EQ(read.cachedTokens, 4096);
   EXPECT_DOUBLE_EQ(*read.report->queuedKiloTokens, 2);
-  EXPECT_EQ(end(202, {}, routing::Job::read, "noise").outcome, Outcome::readDone);
-  const auto missing = end(410, {{"x-never-ran", "1"}}, routing::Job::write, "");
-  EXPECT_EQ(missing.outcome, Outcome::full);
-  EXPECT_TRUE(missing.stateMissing);
-  EXPECT_EQ(end(503, {{"x-never-ran", "1"}}, routing::Job::read, "").outcome, Outcome::full);
-  EXPECT_EQ(end(500, {}, routing::Job::write, "oh").outcome, Outcome::error);
-  EXPECT_EQ(end(200, {}, routing::Job::write, ": nothing but a comment\n\n").outcome, Outcome::error);
+  EXPECT_EQ(end(202, {}, routing::Phase::prefill, "noise").outcome, Outcome::prefillDone);
+  const auto missing = end(410, {{"x-never-ran", "1"}}, routing::Phase::decode, "");
+  EXPECT_EQ(missing.outcome, Outcome::rejected);
+  EXPECT_TRUE(missing.kvStateMissing);
+  EXPECT_EQ(end(503, {{"x-never-ran", "1"}}, routing::Phase::prefill, "").outcome, Outcome::rejected);
+  EXPECT_EQ(end(500, {}, routing::Phase::decode, "oh").outcome, Outcome::error);
+  EXPECT_EQ(end(200, {}, routing::Phase::decode, ": nothing but a comment\n\n").outcome, Outcome::error);
 }
 
 TEST(Relay, WhatGrowsWithoutEndIsGivenUp) {
   Heard heard;
-  RelayExchange relay(heard, {}, routing::Job::write, kMeanings);
+  RelayExchange relay(heard, {}, routing::Phase::decode, kMeanings);
   relay.onHead(head(200));
   bool going = true;
   for (int i = 0; i < 100 && going; ++i) going = relay.onBody(std::string(1024, 'x'));
   EXPECT_FALSE(going);
   EXPECT_EQ(heard.result.outcome, Outcome::error);
   Heard heard2;
-  RelayExchange read(heard2, {}, routing::Job::read, kMeanings);
+  RelayExchange read(heard2, {}, routing::Phase::prefill, kMeanings);
   read.onHead(head(202));
   going = true;
   for (int i = 0; i < 100 && going; ++i) going = read.onBody(std::string(1024, 'x'));
@@ -361,9 +361,9 @@
   EXPECT_EQ(heard2.ends, 1);
 }
 
-std::vector<std::uint64_t> numbers(const std::vector<ServerId>& route) {
+std::vector<std::uint64_t> numbers(const std::vector<EndpointId>& route) {
   std::vector<std::uint64_t> out;
-  for (const ServerId id : route) out.push_back(id.value);
+  for (const EndpointId id : route) out.push_back(id.value);
   return out;
 }
 
@@ -389,15 +389,15 @@
 // Seen in a cut between zones: a router asked the holder's cell in the other zone in each round, for three
 // seconds, while engines of its own zone would have answered.
 TEST(ReleaseWindow, OfALargeFleetABoundedPartAndTheHolderAreLookedAt) {
-  std::vector<ServerId> all;
+  std::vector<EndpointId> all;
   for (std::uint64_t id = 1; id <= 3200; ++id) all.push_back({id});
   EXPECT_EQ(releaseWindow({all.begin(), all.begin() + 100}, {7}, 5).size(), 100u);
   std::set<std::uint64_t> seen;
   for (std::uint64_t request = 0; request < 60; ++request) {
     const auto window = releaseWindow(all, {7}, request);
     EXPECT_LE(window.size(), kReleaseWindow + 1);
-    EXPECT_EQ(std::count(window.begin(), window.end(), ServerId{7}), 1);
-    for (const ServerId id : window) seen.insert(id.value);
+    EXPECT_EQ(std::count(window.begin(), window.end(), EndpointId{7}), 1);
+    for (const EndpointId id : window) seen.insert(id.value);
   }
   EXPECT_EQ(seen.size(), all.size());
   EXPECT_EQ(releaseWindow(all, {9999}, 3).size(), kReleaseWindow);  // a holder that is not listed
@@ -418,7 +418,7 @@
     // What was given up on is met again only after all others of its zone.
     auto later = all;
     for (auto& c : later)
-      if (std::find(route.begin(), route.end(), c.server.value) != route.end()) c.word = engine::Word::lost;
+      if (std::find(route.begin(), route.end(), c.endpoint.value) != route.end()) c.word = engine::Word::lost;
     for (const auto id : numbers(releaseRoute({5}, "own", later, request)))
       EXPECT_EQ(std::find(route.begin(), route.end(), id), route.end());
   }
@@ -441,7 +441,7 @@
 
 // ---- front ----
 
-provision::Provision provisionOf() { return read(std::string(kConfig)).provision; }
+deployment_config::DeploymentConfig provisionOf() { return read(std::string(kConfig)).deployment; }
 
 http1::Head request(http1::Fields more = {}) {
   http1::Head h;
@@ -460,14 +460,14 @@
 }
 int statusOf(const http1::Head& h, const std::string& body = R"({"model":"chat"})") {
   const auto out = readRequest(h, body, provisionOf());
-  return std::holds_alternative<Refusal>(out) ? std::get<Refusal>(out).status : 200;
+  return std::holds_alternative<Rejection>(out) ? std::get<Rejection>(out).status : 200;
 }
 
 // Engines know the repeat of a keyed request by a field of its client's.
 TEST(Intake, FurtherFieldsGoOnAndThoseOfTheConnectionDoNot) {
   const auto fieldsOf = [](http1::Fields more) {
     const auto out = readRequest(request(std::move(more)), "{}", provisionOf());
-    return std::get<routing::Ask>(out).fields;
+    return std::get<routing::Request>(out).fields;
   };
   const std::string key = "idempotency-key: f1b8db70\r\n";
   EXPECT_NE(fieldsOf({{"idempotency-key", "f1b8db70"}}).find(key), std::string::npos);
@@ -491,22 +491,22 @@
 
 TEST(Intake, AGoodRequestIsTaken) {
   const auto out = readRequest(request(), R"({"model":"chat"})", provisionOf());
-  ASSERT_TRUE(std::holds_alternative<routing::Ask>(out));
-  const auto& ask = std::get<routing::Ask>(out);
-  EXPECT_EQ(ask.workId, "9b1f03aa5c7e2d41");
-  EXPECT_EQ(ask.requestClass, 0u);
-  EXPECT_EQ(ask.remaining, 4'800'000);
-  EXPECT_EQ(ask.session, "7f3a");
-  EXPECT_EQ(ask.shared, "5c0f");
-  EXPECT_DOUBLE_EQ(ask.promptTokens, 5120);
-  EXPECT_DOUBLE_EQ(ask.sharedTokens, 2048);
-  EXPECT_EQ(ask.maxOutput, 800u);
-  EXPECT_EQ(*ask.body, R"({"model":"chat"})");
+  ASSERT_TRUE(std::holds_alternative<routing::Request>(out));
+  const auto& request = std::get<routing::Request>(out);
+  EXPECT_EQ(request.traceId, "9b1f03aa5c7e2d41");
+  EXPECT_EQ(request.requestClass, 0u);
+  EXPECT_EQ(request.remaining, 4'800'000);
+  EXPECT_EQ(request.session, "7f3a");
+  EXPECT_EQ(request.sharedPrefixKey, "5c0f");
+  EXPECT_DOUBLE_EQ(request.promptTokens, 5120);
+  EXPECT_DOUBLE_EQ(request.sharedPrefixTokens, 2048);
+  EXPECT_EQ(request.maxOutput, 800u);
+  EXPECT_EQ(*request.body, R"({"model":"chat"})");
 }
 
 TEST(Intake, WithoutCountsTheBodyIsMeasured) {
   const auto out = readRequest(request({{"x-props", "-"}}), R"({"model":"chat"})", provisionOf());
-  EXPECT_DOUBLE_EQ(std::get<routing::Ask>(out).promptTokens, 4);
+  EXPECT_DOUBLE_EQ(std::get<routing::Request>(out).promptTokens, 4);
 }
 
 TEST(Intake, WhatCantBeServedIsTurnedAway) {
@@ -558,7 +558,7 @@
   EXPECT_TRUE(policy.mayEvict(Standing::fresh, 50 * kMs));
 }
 
-TEST(Budget, SharesStayWithinTheLimits) {
+TEST(ResourceBudget, SharesStayWithinTheLimits) {
   for (const std::size_t descriptors : {32u, 64u, 256u, 512u, 1024u, 65536u}) {
     const auto b = share({.memory = 32u << 20, .descriptors = descriptors});
     EXPECT_LE(b.clients + b.lingering + b.attempts, descriptors);
--- a/tests/process/process_test.cpp
+++ b/tests/process/process_test.cpp
@@ -121,7 +121,7 @@
 struct Asker {
   std::string id;
   std::unique_ptr<RawClient> client;
-  std::size_t octetsBefore = 0;
+  std::size_t bytesBefore = 0;
   bool asked = false;
 
   void ask() {
@@ -129,14 +129,14 @@
     asked = true;
     client->ask(id);
   }
-  bool served() const { return client->got.size() > octetsBefore && client->got.ends_with(kLast); }
+  bool served() const { return client->got.size() > bytesBefore && client->got.ends_with(kLast); }
   // A refusal, whole: its text ends in a line feed alone.
   bool refused() const { return refusedWith("503"); }
   bool tooMany() const { return refusedWith("429"); }
   bool refusedWith(const std::string& status) const {
     const std::string& got = client->got;
     const bool whole = got.ends_with("\n") && !got.ends_with("\r\n");
-    return whole && got.find("HTTP/1.1 " + status, octetsBefore) != std::string::npos;
+    return whole && got.find("HTTP/1.1 " + status, bytesBefore) != std::string::npos;
   }
   bool answered() const { return served() || refused() || tooMany(); }
   bool settled() const { return !asked || client->closed || answered(); }
@@ -152,7 +152,7 @@
       asker.client->ask("first" + std::to_string(i));
       ASSERT_TRUE(w.until([&] { return asker.served(); }, 3 * kSecond)) << asker.client->got;
       asker.id = "again" + std::to_string(i);
-      asker.octetsBefore = asker.client->got.size();
+      asker.bytesBefore = asker.client->got.size();
     }
   }
   // Each request gets its whole answer, or its connection ends with nothing said and nothing sent on.
@@ -166,7 +166,7 @@
         EXPECT_EQ(answers, 1u) << asker.client->got;
         continue;
       }
-      EXPECT_EQ(asker.client->got.size(), asker.octetsBefore) << asker.client->got;
+      EXPECT_EQ(asker.client->got.size(), asker.bytesBefore) << asker.client->got;
       EXPECT_FALSE(w.seenAtEngines(asker.id)) << asker.id;
       if (asker.asked) ++unread;
     }
--- a/tests/process/scripted_discovery.h
+++ b/tests/process/scripted_discovery.h
@@ -7,8 +7,8 @@
 #include <utility>
 #include <vector>
 
+#include "fake_engine/http_server.h"
 #include "net/loop.h"
-#include "standin/http_server.h"
 
 namespace garnethook::test {
 
@@ -48,19 +48,20 @@
   static constexpr net::Micros kBeatEvery = 1'000'000;
 
   void listen(const Poco::Net::SocketAddress& address) {
-    server_ = std::make_unique<standin::HttpServer>(
-        loop_, address,
-        [this](standin::HttpRequest, std::shared_ptr<standin::HttpReply> reply) { begin(std::move(reply)); });
+    server_ = std::make_unique<fake_engine::HttpServer>(
+        loop_, address, [this](fake_engine::HttpRequest, std::shared_ptr<fake_engine::HttpReply> reply) {
+          begin(std::move(reply));
+        });
     address_ = server_->address();
   }
-  void begin(std::shared_ptr<standin::HttpReply> watch) {
+  void begin(std::shared_ptr<fake_engine::HttpReply> watch) {
     ++begun_;
     watches_.push_back(watch);
     if (silent) return;
     if (answersAfter == 0) return answer(watch);
     loop_.after(answersAfter, [this, watch] { answer(watch); });
   }
-  void answer(const std::shared_ptr<standin::HttpReply>& watch) {
+  void answer(const std::shared_ptr<fake_engine::HttpReply>& watch) {
     if (!watch->open()) return;
     watch->begin(200, {});
     watch->piece(list + "\n");
@@ -69,18 +70,18 @@
     if (!silent) sendAll("\n");
     beatAlarm_.start(kBeatEvery, [this] { beat(); });
   }
-  void sendAll(const std::string& octets) {
+  void sendAll(const std::string& bytes) {
     std::erase_if(watches_, [](const auto& watch) { return !watch->open(); });
     if (answersAfter > 0) return;
-    for (const auto& watch : watches_) watch->piece(octets);
+    for (const auto& watch : watches_) watch->piece(bytes);
   }
 
   net::Loop& loop_;
   timing::Alarm beatAlarm_;
   Poco::Net::SocketAddress address_;
   std::size_t begun_ = 0;
-  std::vector<std::shared_ptr<standin::HttpReply>> watches_;
-  std::unique_ptr<standin::HttpServer> server_;
+  std::vector<std::shared_ptr<fake_engine::HttpReply>> watches_;
+  std::unique_ptr<fake_engine::HttpServer> server_;
 };
 
 }  // namespace garnethook::test
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -20,15 +20,15 @@
       state = false;
       heldSince.reset();
     }
-    RequestArrived ask;
+    RequestArrived request;
     Micros deadline = 0;
-    Effect effect = Effect::safe;
+    Idempotency idempotency = Idempotency::idempotent;
     int sends = 0;
     bool out = false;
     bool readOut = false;
     bool started = false;
     bool ended = false;
-    bool mayHaveRun = false;
+    bool possiblyExecuted = false;
     bool state = false;  // read, and neither streamed nor released
     std::optional<Micros> heldSince;
   };
@@ -37,7 +37,7 @@
 
   void action(Micros now, const Action& action, const std::map<std::uint64_t, Role>& running) {
     if (const auto* send = std::get_if<Send>(&action)) return sent(*send, running);
-    if (const auto* refuse = std::get_if<Refuse>(&action)) return final(now, refuse->id.value, true);
+    if (const auto* refuse = std::get_if<Reject>(&action)) return final(now, refuse->id.value, true);
     if (const auto* fail = std::get_if<Fail>(&action)) return final(now, fail->id.value, false);
     if (const auto* release = std::get_if<Release>(&action)) known[release->id.value].drop();
   }
@@ -57,19 +57,20 @@
     Known& k = known[send.id.value];
     if (k.ended) breach("sent after the end");
     if (k.out) breach("two attempts out");
-    if (k.mayHaveRun && k.effect == Effect::unsafe) breach("unsafe repeated");
-    if (!running.contains(send.server.value)) breach("sent to a drained server");
+    if (k.possiblyExecuted && k.idempotency == Idempotency::nonIdempotent) breach("unsafe repeated");
+    if (!running.contains(send.endpoint.value)) breach("sent to a drained server");
     if (++k.sends > settings().maxAttempts) breach("too many attempts");
     k.out = true;
-    const auto role = running.find(send.server.value);
-    k.readOut = role != running.end() && role->second == Role::reader;
+    const auto role = running.find(send.endpoint.value);
+    k.readOut = role != running.end() && role->second == Role::prefill;
     if (!k.readOut) k.heldSince.reset();
   }
 
-  void final(Micros now, std::uint64_t id, bool refused) {
+  void final(Micros now, std::uint64_t id, bool rejected) {
     Known& k = known[id];
     if (k.ended) breach("two answers");
-    if (refused && k.effect == Effect::unsafe && (k.mayHaveRun || k.out)) breach("unsafe refused");
+    if (rejected && k.idempotency == Idempotency::nonIdempotent && (k.possiblyExecuted || k.out))
+      breach("unsafe refused");
     if (now > k.deadline + 8 * kMs) breach("late answer");
     k.ended = true;
   }
@@ -79,7 +80,7 @@
  public:
   explicit RandomDay(std::uint32_t seed) : random_(seed), driver_(settings(), seed) {
     for (std::uint64_t id = 1; id <= 12; ++id)
-      entries_.push_back(server(id, static_cast<KindIndex>(id % 3), id % 2, id % 2));
+      entries_.push_back(endpoint(id, static_cast<KindIndex>(id % 3), id % 2, id % 2));
     relist();
   }
 
@@ -125,27 +126,27 @@
   void relist() {
     running_.clear();
     for (const auto& e : entries_)
-      if (e.state == ServerState::running) running_.emplace(e.id.value, settings().kinds[*e.kind].role);
-    give(ServerList{ServerList::Kind::complete, entries_});
+      if (e.state == EndpointState::running) running_.emplace(e.id.value, settings().kinds[*e.kind].role);
+    give(EndpointUpdate{EndpointUpdate::Kind::snapshot, entries_});
   }
   void change() {
     auto& e = entries_[below(entries_.size())];
-    e.state = static_cast<ServerState>(below(3));
-    if (e.state == ServerState::running) e.startedAt = driver_.now;
+    e.state = static_cast<EndpointState>(below(3));
+    if (e.state == EndpointState::running) e.startedAt = driver_.now;
     relist();
   }
 
   void arrive() {
-    auto ask = driver_.request(++last_, static_cast<ClassIndex>(below(3)));
-    ask.session = {below(20)};
-    ask.sharedBeginning = {below(6)};
-    ask.promptTokens = static_cast<double>(below(9000));
-    ask.sharedTokens = static_cast<double>(below(4000));
-    ask.remaining = static_cast<Micros>(below(4000)) * kMs;
-    checker.known[last_] = {.ask = ask,
-                            .deadline = driver_.now + ask.remaining,
-                            .effect = settings().classes[*ask.requestClass].effect};
-    give(ask);
+    auto request = driver_.request(++last_, static_cast<ClassIndex>(below(3)));
+    request.session = {below(20)};
+    request.sharedPrefix = {below(6)};
+    request.promptTokens = static_cast<double>(below(9000));
+    request.sharedPrefixTokens = static_cast<double>(below(4000));
+    request.remaining = static_cast<Micros>(below(4000)) * kMs;
+    checker.known[last_] = {.request = request,
+                            .deadline = driver_.now + request.remaining,
+                            .idempotency = settings().classes[*request.requestClass].idempotency};
+    give(request);
   }
 
   std::optional<std::uint64_t> pick() {
@@ -161,23 +162,23 @@
     if (!id) return;
     auto& k = checker.known[*id];
     auto outcome = static_cast<Outcome>(below(9));
-    if (below(2) == 0) outcome = k.readOut ? Outcome::readDone : Outcome::served;
-    if (k.readOut && outcome == Outcome::served) outcome = Outcome::readDone;
-    if (!k.readOut && outcome == Outcome::readDone) outcome = Outcome::served;
-    const bool proven = outcome == Outcome::full || outcome == Outcome::connectFailed ||
+    if (below(2) == 0) outcome = k.readOut ? Outcome::prefillDone : Outcome::completed;
+    if (k.readOut && outcome == Outcome::completed) outcome = Outcome::prefillDone;
+    if (!k.readOut && outcome == Outcome::prefillDone) outcome = Outcome::completed;
+    const bool proven = outcome == Outcome::rejected || outcome == Outcome::connectFailed ||
                         outcome == Outcome::notSent || k.readOut;
-    k.mayHaveRun = k.mayHaveRun || !proven;
+    k.possiblyExecuted = k.possiblyExecuted || !proven;
     k.out = false;
-    if (outcome == Outcome::served || k.started) k.ended = true;
-    if (outcome == Outcome::readDone) k.state = true;
-    if (outcome == Outcome::served) k.drop();
+    if (outcome == Outcome::completed || k.started) k.ended = true;
+    if (outcome == Outcome::prefillDone) k.state = true;
+    if (outcome == Outcome::completed) k.drop();
     if (k.state) k.heldSince = driver_.now;
     AttemptEnded event{.id = {*id},
                        .attempt = k.sends - 1,
-                       .server = {driver_.sentTo(*id)},
+                       .endpoint = {driver_.sentTo(*id)},
                        .outcome = outcome,
-                       .last = k.ended};
-    event.foundTokens = static_cast<double>(below(2000));
+                       .requestEnded = k.ended};
+    event.cachedTokens = static_cast<double>(below(2000));
     if (below(3) == 0)
       event.report = LoadReport{.memoryShare = 0.01 * static_cast<double>(below(130)),
                                 .queuedKiloTokens = static_cast<double>(below(30))};
@@ -196,12 +197,12 @@
     const auto id = pick();
     if (!id || checker.known[*id].started || checker.known[*id].ended) return;
     checker.known[*id].ended = true;
-    give(RequestGone{{*id}});
+    give(RequestCancelled{{*id}});
   }
 
   std::mt19937 random_;
   Driver driver_;
-  std::vector<ServerEntry> entries_;
+  std::vector<EndpointEntry> entries_;
   std::map<std::uint64_t, Role> running_;
   std::uint64_t last_ = 0;
 };
@@ -226,7 +227,7 @@
   for (std::size_t i = 0; i < first.size(); ++i) {
     ASSERT_EQ(first[i].second.index(), second[i].second.index());
     if (const auto* send = std::get_if<Send>(&first[i].second)) {
-      EXPECT_EQ(send->server, std::get<Send>(second[i].second).server);
+      EXPECT_EQ(send->endpoint, std::get<Send>(second[i].second).endpoint);
       EXPECT_EQ(send->timeout, std::get<Send>(second[i].second).timeout);
     }
   }
@@ -234,12 +235,12 @@
 
 // That the checker sees each breach.
 TEST(TheChecker, CatchesEachBreach) {
-  const std::map<std::uint64_t, Role> running{{1, Role::reader}, {11, Role::writer}};
+  const std::map<std::uint64_t, Role> running{{1, Role::prefill}, {11, Role::decode}};
   const auto after = [&](auto script) {
     Checker checker;
     auto& k = checker.known[1];
     k.deadline = 1000 * kMs;
-    k.effect = Effect::unsafe;
+    k.idempotency = Idempotency::nonIdempotent;
     script(checker, k);
     return checker.breaches;
   };
@@ -251,13 +252,13 @@
             }),
             Set{"two answers"});
   EXPECT_EQ(after([&](Checker& c, auto& k) {
-              k.mayHaveRun = true;
+              k.possiblyExecuted = true;
               c.action(0, Send{{1}, {11}}, running);
             }),
             Set{"unsafe repeated"});
   EXPECT_EQ(after([&](Checker& c, auto& k) {
-              k.mayHaveRun = true;
-              c.action(0, Refuse{{1}}, running);
+              k.possiblyExecuted = true;
+              c.action(0, Reject{{1}}, running);
             }),
             Set{"unsafe refused"});
   EXPECT_EQ(after([&](Checker& c, auto&) {
--- a/tests/reading_test.cpp
+++ b/tests/reading_test.cpp
@@ -8,9 +8,9 @@
 namespace garnethook::test {
 namespace {
 
-std::vector<ServerEntry> fleet() {
-  return {server(1, kReader, 0),  server(2, kReader, 0),  server(3, kReader, 1),
-          server(11, kWriter, 0), server(12, kWriter, 0), server(13, kWriter, 1)};
+std::vector<EndpointEntry> fleet() {
+  return {endpoint(1, kReader, 0),  endpoint(2, kReader, 0),  endpoint(3, kReader, 1),
+          endpoint(11, kWriter, 0), endpoint(12, kWriter, 0), endpoint(13, kWriter, 1)};
 }
 
 TEST(Reading, UnknownKeysMeetAtOneReaderWhateverTheSeed) {
@@ -20,10 +20,10 @@
     Driver b(settings(), 99);
     for (Driver* d : {&a, &b}) {
       d->list(fleet());
-      auto ask = d->request(1);
-      ask.sharedBeginning = {key};
-      ask.sharedTokens = 800;
-      d->give(ask);
+      auto request = d->request(1);
+      request.sharedPrefix = {key};
+      request.sharedPrefixTokens = 800;
+      d->give(request);
     }
     EXPECT_EQ(a.sentTo(1), b.sentTo(1));
     readers.insert(a.sentTo(1));
@@ -48,13 +48,13 @@
   Driver d(settings());
   d.list(fleet());
   auto first = d.request(1);
-  first.sharedBeginning = {5};
-  first.sharedTokens = 3500;
+  first.sharedPrefix = {5};
+  first.sharedPrefixTokens = 3500;
   first.promptTokens = 4000;
   const auto reader = d.run(first, 240 * kMs);
   auto other = d.request(2);
-  other.sharedBeginning = first.sharedBeginning;
-  other.sharedTokens = 3500;
+  other.sharedPrefix = first.sharedPrefix;
+  other.sharedPrefixTokens = 3500;
   other.promptTokens = 3900;
   d.give(other);
   EXPECT_EQ(d.sentTo(2), reader);
@@ -82,17 +82,17 @@
 TEST(Reading, TableEntriesEndWithTheirLife) {
   Driver d(settings());
   d.list(fleet());
-  auto ask = d.request(1);
-  ask.promptTokens = 4000;
-  ask.session = {77};
-  d.give(ask);
+  auto request = d.request(1);
+  request.promptTokens = 4000;
+  request.session = {77};
+  d.give(request);
   const auto home = d.sentTo(1);
   d.end(1, Outcome::connectFailed);  // read elsewhere, so the table names another reader than the hash
   const auto other = d.sentTo(1);
   ASSERT_NE(home, other);
   d.pass(240 * kMs);
-  d.end(1, Outcome::readDone);
-  d.end(1, Outcome::served);
+  d.end(1, Outcome::prefillDone);
+  d.end(1, Outcome::completed);
   d.pass(2 * kSec);
   auto soon = d.request(2);
   soon.session = {77};
@@ -107,10 +107,10 @@
 TEST(Reading, ARestartEmptiesWhatIsKnownOfAServer) {
   Driver d(settings());
   d.list(fleet());
-  auto ask = d.request(1);
-  ask.session = {77};
-  ask.promptTokens = 6000;
-  const auto reader = d.run(ask, 300 * kMs);
+  auto request = d.request(1);
+  request.session = {77};
+  request.promptTokens = 6000;
+  const auto reader = d.run(request, 300 * kMs);
   auto restarted = fleet();
   for (auto& s : restarted)
     if (s.id.value == reader) s.startedAt = d.now;
@@ -129,16 +129,16 @@
   Driver d(s);
   d.list(fleet());
   for (std::uint64_t id = 1; id <= 3; ++id) {
-    auto ask = d.request(id);
-    ask.session = {id};
-    ask.sharedBeginning = {500};
-    ask.sharedTokens = 3000;
-    ask.promptTokens = 3200;
-    d.run(ask, 200 * kMs, 0);  // finds nothing although the table promised the beginning
+    auto request = d.request(id);
+    request.session = {id};
+    request.sharedPrefix = {500};
+    request.sharedPrefixTokens = 3000;
+    request.promptTokens = 3200;
+    d.run(request, 200 * kMs, 0);  // finds nothing although the table promised the beginning
   }
   auto next = d.request(9);
-  next.sharedBeginning = {500};
-  next.sharedTokens = 3000;
+  next.sharedPrefix = {500};
+  next.sharedPrefixTokens = 3000;
   next.promptTokens = 3200;
   d.give(next);
   EXPECT_NE(d.sentTo(9), 0u);  // still served: by the hash, as for an unknown key
@@ -147,12 +147,12 @@
 TEST(Reading, ReportedQueueSendsElsewhere) {
   Driver d(settings());
   d.list(fleet());
-  auto ask = d.request(1);
-  ask.session = {77};
-  d.give(ask);
+  auto request = d.request(1);
+  request.session = {77};
+  d.give(request);
   const auto reader = d.sentTo(1);
   d.pass(60 * kMs);
-  AttemptEnded done{.id = {1}, .attempt = 0, .server = {reader}, .outcome = Outcome::readDone};
+  AttemptEnded done{.id = {1}, .attempt = 0, .endpoint = {reader}, .outcome = Outcome::prefillDone};
   done.report = LoadReport{.memoryShare = 0.5, .queuedKiloTokens = 60};
   d.give(done);
   auto next = d.request(2);
@@ -164,7 +164,7 @@
 TEST(Reading, MixedServersAnswerAPartWhole) {
   Driver d(settings());
   auto servers = fleet();
-  servers.push_back(server(21, kMixed, 0));
+  servers.push_back(endpoint(21, kMixed, 0));
   d.list(servers);
   int whole = 0;
   for (std::uint64_t id = 1; id <= 200; ++id) {
@@ -174,11 +174,11 @@
       d.give(StreamStarted{{id}, 0});
     } else {
       d.pass(50 * kMs);
-      d.end(id, Outcome::readDone);
+      d.end(id, Outcome::prefillDone);
       d.give(StreamStarted{{id}, 1});
     }
     d.pass(500 * kMs);
-    d.end(id, Outcome::served);
+    d.end(id, Outcome::completed);
   }
   EXPECT_GT(whole, 5);
   EXPECT_LT(whole, 60);
@@ -186,69 +186,69 @@
 
 TEST(Reading, WritersReadWhereTheyMayAndNoReaderIsLeft) {
   auto s = settings();
-  s.writersRead = true;
+  s.decodeEndpointsPrefill = true;
   Driver d(s);
-  d.list({server(11, kWriter)});
+  d.list({endpoint(11, kWriter)});
   d.give(d.request(1));
   EXPECT_EQ(d.sentTo(1), 11u);
 }
 
 TEST(Reading, TheLongestWaitNowTellsOfAQueueThatNobodyReports) {
   Driver d(settings());
-  d.list({server(1, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
   d.give(d.request(1));
   d.pass(50 * kMs);
   d.give(d.request(2));  // a sign between, so that the server is busy, not silent
   d.pass(850 * kMs);
-  d.end(2, Outcome::readDone);
+  d.end(2, Outcome::prefillDone);
   d.give(d.request(3));  // the first read waits for 900 ms by now
   EXPECT_EQ(d.count<Send>(3), 0);
-  EXPECT_EQ(d.count<Refuse>(3), 1);
+  EXPECT_EQ(d.count<Reject>(3), 1);
 }
 
 TEST(Reading, AWaitingFirstTokenHoldsNewRequestsBack) {
   Driver d(settings());
-  d.list({server(1, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
   d.give(d.request(1));
   d.pass(50 * kMs);
-  d.end(1, Outcome::readDone);
+  d.end(1, Outcome::prefillDone);
   ASSERT_EQ(d.sentTo(1), 11u);
   d.pass(950 * kMs);
   d.give(d.request(2));
-  EXPECT_EQ(d.count<Refuse>(2), 1);
+  EXPECT_EQ(d.count<Reject>(2), 1);
 }
 
 TEST(Reading, ReportedTokensCostTheSlopeNotAnAverageRead) {
   Driver d(settings());
-  d.list({server(1, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
   for (std::uint64_t id = 100; id < 190; ++id) {  // nearly all cached: 30 ms for 100 new tokens
-    auto ask = d.request(id);
-    ask.session = {7};
-    ask.promptTokens = 3000;
-    d.run(ask, 30 * kMs, 2900);
+    auto request = d.request(id);
+    request.session = {7};
+    request.promptTokens = 3000;
+    d.run(request, 30 * kMs, 2900);
   }
-  auto ask = d.request(50);
-  ask.session = {7};
-  ask.promptTokens = 3000;
-  d.give(ask);
+  auto request = d.request(50);
+  request.session = {7};
+  request.promptTokens = 3000;
+  d.give(request);
   d.pass(30 * kMs);
   AttemptEnded done{
-      .id = {50}, .attempt = 0, .server = {1}, .outcome = Outcome::readDone, .foundTokens = 2900};
+      .id = {50}, .attempt = 0, .endpoint = {1}, .outcome = Outcome::prefillDone, .cachedTokens = 2900};
   done.report = LoadReport{.memoryShare = 0.3, .queuedKiloTokens = 4};
   d.give(done);
-  ask.id = {51};
-  d.give(ask);  // 4,000 tokens at the average read's time a token would take 0.9 s
+  request.id = {51};
+  d.give(request);  // 4,000 tokens at the average read's time a token would take 0.9 s
   EXPECT_EQ(d.sentTo(51), 1u);
 }
 
 TEST(Reading, WithoutHopeItRefusesAtOnce) {
   Driver d(settings());
-  d.list({server(1, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
   std::uint64_t id = 1;
-  for (; id < 200 && d.count<Refuse>(id - 1) == 0; ++id) {
-    auto ask = d.request(id);
-    ask.promptTokens = 5000;
-    d.give(ask);
+  for (; id < 200 && d.count<Reject>(id - 1) == 0; ++id) {
+    auto request = d.request(id);
+    request.promptTokens = 5000;
+    d.give(request);
   }
   EXPECT_GT(id, 3u);
   EXPECT_LT(id, 20u);
@@ -257,9 +257,9 @@
 // A cell with one writer to many readers would get more states than it can answer.
 TEST(Reading, TheHashSparesCellsWithLittleAnsweringMemory) {
   Driver d(settings());
-  d.list({server(1, kReader, 0), server(2, kReader, 0), server(3, kReader, 0), server(4, kReader, 1),
-          server(5, kReader, 1), server(11, kWriter, 0), server(12, kWriter, 1), server(13, kWriter, 1),
-          server(14, kWriter, 1)});
+  d.list({endpoint(1, kReader, 0), endpoint(2, kReader, 0), endpoint(3, kReader, 0), endpoint(4, kReader, 1),
+          endpoint(5, kReader, 1), endpoint(11, kWriter, 0), endpoint(12, kWriter, 1),
+          endpoint(13, kWriter, 1), endpoint(14, kWriter, 1)});
   int skewed = 0;
   for (std::uint64_t id = 1; id <= 100; ++id) {
     skewed += d.run(d.request(id)) <= 3 ? 1 : 0;  // an unweighted hash: 60 of 100
@@ -272,9 +272,9 @@
 // With every reader gone, reads that go on after their cancel jammed the writers for the rest of the day.
 TEST(Reading, WritersReadOnlyWhatIsTimelyAndAtFirstTries) {
   auto s = settings();
-  s.writersRead = true;
+  s.decodeEndpointsPrefill = true;
   Driver d(s);
-  d.list({server(11, kWriter)});
+  d.list({endpoint(11, kWriter)});
   int sends = 0;
   for (std::uint64_t id = 1; id <= 40; ++id) {
     d.give(d.request(id));
@@ -290,10 +290,10 @@
 // the fleet's reading lay idle. They get less than others, as their states cross links, but a true part.
 TEST(Reading, ACellWithoutWritersReadsItsPart) {
   Driver d(settings());
-  std::vector<ServerEntry> fleet;
-  for (std::uint64_t id = 1; id <= 4; ++id) fleet.push_back(server(id, kReader, 0));
-  for (std::uint64_t id = 5; id <= 8; ++id) fleet.push_back(server(id, kReader, 1));
-  fleet.push_back(server(11, kWriter, 0));
+  std::vector<EndpointEntry> fleet;
+  for (std::uint64_t id = 1; id <= 4; ++id) fleet.push_back(endpoint(id, kReader, 0));
+  for (std::uint64_t id = 5; id <= 8; ++id) fleet.push_back(endpoint(id, kReader, 1));
+  fleet.push_back(endpoint(11, kWriter, 0));
   d.list(fleet);
   int bare = 0;
   for (std::uint64_t id = 1; id <= 200; ++id) {
@@ -308,15 +308,15 @@
 // idle readers though their aim grows with their length.
 TEST(Reading, ALongPromptIsNotRefusedForItsOwnReadAlone) {
   Driver d(settings());
-  d.list({server(1, kReader), server(11, kWriter)});
-  auto ask = d.request(1);
-  ask.promptTokens = 45'000;  // read in 2.7 s of the 3.7 s to its aim
-  d.give(ask);
+  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
+  auto request = d.request(1);
+  request.promptTokens = 45'000;  // read in 2.7 s of the 3.7 s to its aim
+  d.give(request);
   EXPECT_EQ(d.sentTo(1), 1u);
   auto second = d.request(2);  // waits for the first
   second.promptTokens = 45'000;
   d.give(second);
-  EXPECT_EQ(d.count<Refuse>(2), 1);
+  EXPECT_EQ(d.count<Reject>(2), 1);
 }
 
 }  // namespace
--- a/tests/recorded_stream_test.cpp
+++ b/tests/recorded_stream_test.cpp
@@ -16,13 +16,13 @@
 
 class Digest {
  public:
-  void operator()(const Send& a) { put(1, a.id.value, a.server.value, a.timeout); }
+  void operator()(const Send& a) { put(1, a.id.value, a.endpoint.value, a.timeout); }
   void operator()(const Cancel& a) { put(2, a.id.value, a.attempt); }
-  void operator()(const Refuse& a) { put(3, a.id.value, a.retryAfter); }
+  void operator()(const Reject& a) { put(3, a.id.value, a.retryAfter); }
   void operator()(const Fail& a) { put(4, a.id.value); }
   void operator()(const Release& a) { put(5, a.id.value); }
   void operator()(const SetTimer& a) { put(6, a.id.value, a.delay); }
-  void operator()(const Probe& a) { put(7, a.server.value); }
+  void operator()(const Probe& a) { put(7, a.endpoint.value); }
   void operator()(const Subscribe&) { put(8); }
   // That there is a line, not its words, which are for people: LogText tests them.
   void operator()(const Log&) { put(9); }
@@ -34,14 +34,14 @@
     (number(static_cast<std::uint64_t>(numbers)), ...);
   }
   void number(std::uint64_t n) {
-    for (int i = 0; i < 8; ++i) octet(static_cast<std::uint8_t>(n >> (8 * i)));
+    for (int i = 0; i < 8; ++i) byte(static_cast<std::uint8_t>(n >> (8 * i)));
   }
-  void octet(std::uint8_t o) { value = (value ^ o) * 1099511628211ULL; }
+  void byte(std::uint8_t o) { value = (value ^ o) * 1099511628211ULL; }
 };
 
 struct Case {
   std::size_t servers, mixed;
-  double perSecond, troubles;
+  double perSecond, errors;
   bool reports, restarts;
   std::uint64_t seed;
   std::uint64_t expected;
@@ -55,7 +55,7 @@
   o.servers = c.servers;
   o.mixed = c.mixed;
   o.perSecond = c.perSecond;
-  o.troubles = c.troubles;
+  o.errors = c.errors;
   o.reports = c.reports;
   o.restarts = c.restarts;
   o.seconds = 14;
@@ -80,7 +80,7 @@
 // What on-call reads when a server is set aside and when it is taken back.
 TEST(LogText, NamesTheServerWhatBecameOfItAndWhy) {
   Driver d(settings());
-  d.list({server(1, kReader), server(2, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(2, kWriter)});
   std::vector<std::string> lines;
   const auto collect = [&](const std::vector<Action>& actions) {
     for (const Action& a : actions)
@@ -89,7 +89,7 @@
   d.give(d.request(1));
   collect(d.end(1, Outcome::connectFailed));
   ASSERT_EQ(lines, std::vector<std::string>{"server 1 suspect: no connection"});
-  collect(d.end(1, Outcome::readDone));
+  collect(d.end(1, Outcome::prefillDone));
   EXPECT_EQ(lines.back(), "server 1 trusted again: it answered");
   EXPECT_EQ(lines.size(), 2U);
 }
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -23,30 +23,31 @@
   timing::TimerWheel wheel{1000, 1'000'000'000};
 };
 
-struct HandEngines final : Engines {
-  void begin(const Order& o) override {
-    begun.push_back({o.attempt, o.server, o.job, std::string(o.handover), o.fresh, o.writeBy});
+struct HandEngines final : EngineClient {
+  void begin(const AttemptSpec& o) override {
+    begun.push_back(
+        {o.attempt, o.endpoint, o.phase, std::string(o.kvTransferParams), o.requiresNewConnection, o.sendBy});
   }
   void cancel(AttemptId a) override { cancelled.push_back(a); }
-  Reach reach(AttemptId) const override { return reached; }
-  void release(ServerId s, RequestId r, const std::string&) override { released.emplace_back(s, r); }
-  void probe(ServerId) override {}
-  bool confirms() const override { return asksForSigns; }
-  void confirm(AttemptId a, ServerId) override { asked.push_back(a); }
+  DeliveryState deliveryState(AttemptId) const override { return reached; }
+  void release(EndpointId s, RequestId r, const std::string&) override { released.emplace_back(s, r); }
+  void probe(EndpointId) override {}
+  bool canCheckLiveness() const override { return asksForSigns; }
+  void checkLiveness(AttemptId a, EndpointId) override { asked.push_back(a); }
   struct Begun {
     AttemptId attempt;
-    ServerId server;
-    Job job;
-    std::string handover;
+    EndpointId endpoint;
+    Phase phase;
+    std::string kvTransferParams;
     bool fresh = false;
-    Micros writeBy = 0;
+    Micros sendBy = 0;
   };
-  Reach reached = Reach::engine;
+  DeliveryState reached = DeliveryState::confirmed;
   bool asksForSigns = true;
   std::vector<AttemptId> asked;  // for a sign of life of their engines
   std::vector<Begun> begun;
   std::vector<AttemptId> cancelled;
-  std::vector<std::pair<ServerId, RequestId>> released;
+  std::vector<std::pair<EndpointId, RequestId>> released;
 };
 
 struct Ear final : Client {
@@ -55,14 +56,14 @@
     text += t.text;
     if (whenToken) whenToken();
   }
-  void onEnd(const Ending& e) override {
+  void onCompletion(const Completion& e) override {
     EXPECT_FALSE(ending) << "a second final answer";
     ending = e;
   }
-  bool departed() const override { return gone; }
+  bool isCancelled() const override { return gone; }
   std::string text;
   bool gone = false;
-  std::optional<Ending> ending;
+  std::optional<Completion> ending;
   std::function<void()> whenToken;
 };
 
@@ -70,41 +71,42 @@
  protected:
   static Options options() {
     Options o;
-    o.settings.classes = {{.aim = 1'000'000, .deadline = 5'000'000},
-                          {.aim = 1'000'000, .deadline = 5'000'000, .effect = Effect::unsafe},
-                          {.aim = 1'000'000,
-                           .deadline = 5'000'000,
-                           .effect = Effect::keyed,
-                           .scope = RepeatScope::everywhere,
-                           .repeatWindow = 400'000}};
-    o.settings.kinds = {{Role::reader, 1e5}, {Role::writer, 1e5}};
+    o.settings.classes = {
+        {.ttftObjective = 1'000'000, .deadline = 5'000'000},
+        {.ttftObjective = 1'000'000, .deadline = 5'000'000, .idempotency = Idempotency::nonIdempotent},
+        {.ttftObjective = 1'000'000,
+         .deadline = 5'000'000,
+         .idempotency = Idempotency::idempotentWithKey,
+         .deduplicationScope = DeduplicationScope::fleet,
+         .deduplicationWindow = 400'000}};
+    o.settings.kinds = {{Role::prefill, 1e5}, {Role::decode, 1e5}};
     o.settings.maxAttempts = 4;
-    o.settings.mayCancel = true;
-    o.settings.releaseWithin = 500'000;
+    o.settings.canCancel = true;
+    o.settings.kvReleaseTimeout = 500'000;
     o.instance = "t";
     o.openRequests = 3;
     return o;
   }
   RouterTest() : router(options(), timers, engines, observer) {
-    router.onList({ServerList::Kind::complete,
+    router.onList({EndpointUpdate::Kind::snapshot,
                    {{.id = {1}, .zone = 0, .kind = 0},
                     {.id = {2}, .zone = 0, .kind = 1},
                     {.id = {3}, .zone = 0, .kind = 1}}});
   }
   RequestId ask(Client& c, std::size_t kind = 0, Micros remaining = 5'000'000) {
-    Ask a;
+    Request a;
     a.requestClass = kind;
     a.remaining = remaining;
     a.prompt = std::make_shared<const std::string>("p");
     a.promptTokens = 100;
     a.maxOutput = 10;
-    return router.take(a, c);
+    return router.accept(a, c);
   }
   // The read of the latest attempt ends well; the writer is sent to.
   void read() {
     AttemptResult r;
-    r.outcome = Outcome::readDone;
-    r.handover = "{}";
+    r.outcome = Outcome::prefillDone;
+    r.kvTransferParams = "{}";
     router.onAttemptEnded(engines.begun.back().attempt, r);
   }
   void token(const std::string& text = "x") { router.onTokens(engines.begun.back().attempt, text, 1, {}); }
@@ -119,15 +121,15 @@
   Ear ear;
   ask(ear);
   ASSERT_EQ(engines.begun.size(), 1u);
-  EXPECT_EQ(engines.begun[0].job, Job::read);
+  EXPECT_EQ(engines.begun[0].phase, Phase::prefill);
   read();
   ASSERT_EQ(engines.begun.size(), 2u);
-  EXPECT_EQ(engines.begun[1].job, Job::write);
+  EXPECT_EQ(engines.begun[1].phase, Phase::decode);
   token("a");
   token("b");
-  router.onAttemptEnded(engines.begun[1].attempt, {.outcome = Outcome::served});
+  router.onAttemptEnded(engines.begun[1].attempt, {.outcome = Outcome::completed});
   ASSERT_TRUE(ear.ending);
-  EXPECT_EQ(ear.ending->final, Final::served);
+  EXPECT_EQ(ear.ending->disposition, Disposition::completed);
   EXPECT_EQ(ear.text, "ab");
   EXPECT_EQ(router.lives(), 0u);
   EXPECT_TRUE(engines.released.empty());  // it was fetched
@@ -140,7 +142,7 @@
   timers.time += 990'000;  // the loop is late: the deadline's timer has not fired yet
   token();
   ASSERT_TRUE(ear.ending);
-  EXPECT_EQ(ear.ending->cause, Cause::deadline);
+  EXPECT_EQ(ear.ending->failureReason, FailureReason::deadline);
   EXPECT_EQ(engines.cancelled.size(), 1u);
   timers.pass(1'000'000);
   EXPECT_EQ(router.lives(), 0u);
@@ -151,10 +153,10 @@
   const auto id = ask(ear);
   read();
   const auto attempt = engines.begun.back().attempt;
-  router.leave(id);
+  router.cancel(id);
   EXPECT_EQ(engines.released.size(), 1u);
   router.onTokens(attempt, "late", 1, {});
-  router.onAttemptEnded(attempt, {.outcome = Outcome::served});
+  router.onAttemptEnded(attempt, {.outcome = Outcome::completed});
   EXPECT_EQ(ear.text, "");
   EXPECT_FALSE(ear.ending);
   EXPECT_EQ(router.counters().dropped, 2u);
@@ -164,11 +166,11 @@
 TEST_F(RouterTest, AClientMayGiveUpFromWithinItsOwnToken) {
   Ear ear;
   const auto id = ask(ear);
-  ear.whenToken = [&] { router.giveUp(id, Cause::slowClient, "slow"); };
+  ear.whenToken = [&] { router.abort(id, FailureReason::slowClient, "slow"); };
   read();
   token();
   ASSERT_TRUE(ear.ending);
-  EXPECT_EQ(ear.ending->cause, Cause::slowClient);
+  EXPECT_EQ(ear.ending->failureReason, FailureReason::slowClient);
   EXPECT_EQ(router.lives(), 0u);
   EXPECT_EQ(engines.cancelled.size(), 1u);
 }
@@ -177,7 +179,7 @@
   std::array<Ear, 4> ears;
   for (auto& e : ears) ask(e);
   ASSERT_TRUE(ears[3].ending);
-  EXPECT_EQ(ears[3].ending->cause, Cause::tooMany);
+  EXPECT_EQ(ears[3].ending->failureReason, FailureReason::tooManyRequests);
   EXPECT_GT(ears[3].ending->retryAfter, 0);
   EXPECT_EQ(router.lives(), 3u);
 }
@@ -190,9 +192,9 @@
   read();
   ask(reading, 1);
   router.stop();
-  EXPECT_EQ(safe.ending->final, Final::refused);
-  EXPECT_EQ(order.ending->final, Final::failed);
-  EXPECT_EQ(reading.ending->final, Final::refused);
+  EXPECT_EQ(safe.ending->disposition, Disposition::rejected);
+  EXPECT_EQ(order.ending->disposition, Disposition::failed);
+  EXPECT_EQ(reading.ending->disposition, Disposition::rejected);
   EXPECT_EQ(router.lives(), 0u);
   EXPECT_EQ(router.held().held(), 0u);
 }
@@ -201,7 +203,7 @@
   Ear ear;
   const auto id = ask(ear);
   read();
-  router.leave(id);
+  router.cancel(id);
   ASSERT_EQ(engines.released.size(), 1u);
   router.onReleaseEnded(engines.released[0].first, id, false);
   timers.pass(150'000);
@@ -218,11 +220,11 @@
   timers.pass(10'000);
   const Micros readAt = timers.time;
   read();
-  engines.reached = Reach::nowhere;
+  engines.reached = DeliveryState::undelivered;
   timers.pass(300'000);
-  ASSERT_EQ(engines.begun.back().job, Job::write);
+  ASSERT_EQ(engines.begun.back().phase, Phase::decode);
   router.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::connectFailed});
-  ASSERT_EQ(engines.begun.back().job, Job::write);
+  ASSERT_EQ(engines.begun.back().phase, Phase::decode);
   const auto second = engines.begun.back().attempt;
   while (engines.released.empty() && timers.time < readAt + 2'000'000) timers.pass(1'000);
   EXPECT_LE(timers.time - readAt, 510'000);
@@ -230,32 +232,33 @@
   EXPECT_EQ(engines.cancelled[0], second);
   EXPECT_FALSE(ear.ending);
   ASSERT_EQ(engines.begun.size(), 4u);
-  EXPECT_EQ(engines.begun.back().job, Job::read);  // and the prompt is read anew
+  EXPECT_EQ(engines.begun.back().phase, Phase::prefill);  // and the prompt is read anew
 }
 
 // No reader is left as a state's time is over: the request begins anew as a whole attempt, and what is held
 // goes on being let go of beside it.
 TEST_F(RouterTest, AReleaseGoesOnThoughAWholeAttemptBeginsInPlaceOfTheWrite) {
   Options mixed = options();
-  mixed.settings.kinds.push_back({Role::both, 1e5});
+  mixed.settings.kinds.push_back({Role::combined, 1e5});
   Router own(mixed, timers, engines, observer);
-  own.onList({ServerList::Kind::complete, {{.id = {1}, .kind = 0}, {.id = {2}, .kind = 1}}});
+  own.onList({EndpointUpdate::Kind::snapshot, {{.id = {1}, .kind = 0}, {.id = {2}, .kind = 1}}});
   Ear ear;
-  Ask a;
+  Request a;
   a.remaining = 5'000'000;
   a.prompt = std::make_shared<const std::string>("p");
   a.promptTokens = 100;
-  own.take(a, ear);
+  own.accept(a, ear);
   timers.pass(10'000);
-  own.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::readDone, .handover = "{}"});
-  ASSERT_EQ(engines.begun.back().job, Job::write);
-  engines.reached = Reach::nowhere;
+  own.onAttemptEnded(engines.begun.back().attempt,
+                     {.outcome = Outcome::prefillDone, .kvTransferParams = "{}"});
+  ASSERT_EQ(engines.begun.back().phase, Phase::decode);
+  engines.reached = DeliveryState::undelivered;
   timers.pass(480'000);
-  own.onList({ServerList::Kind::changes,
-              {{.id = {1}, .kind = 0, .state = ServerState::gone}, {.id = {9}, .kind = 2}}});
+  own.onList({EndpointUpdate::Kind::delta,
+              {{.id = {1}, .kind = 0, .state = EndpointState::removed}, {.id = {9}, .kind = 2}}});
   timers.pass(30'000);
   ASSERT_FALSE(engines.released.empty());
-  ASSERT_EQ(engines.begun.back().job, Job::whole);
+  ASSERT_EQ(engines.begun.back().phase, Phase::combined);
   const auto [reader, request] = engines.released.front();
   const std::size_t said = engines.released.size();
   own.onReleaseEnded(reader, request, false);
@@ -274,12 +277,12 @@
   timers.pass(10'000);
   read();
   const Micros readAt = timers.time;
-  engines.reached = Reach::nowhere;
+  engines.reached = DeliveryState::undelivered;
   while (engines.released.empty() && timers.time < readAt + 2'000'000) {
     const auto latest = engines.begun.back();
     for (Micros t = 0; t < kEach && engines.released.empty(); t += 1'000) timers.pass(1'000);
-    if (latest.job == Job::write)
-      router.onAttemptEnded(latest.attempt, {.outcome = Outcome::full, .left = false});
+    if (latest.phase == Phase::decode)
+      router.onAttemptEnded(latest.attempt, {.outcome = Outcome::rejected, .leftRouter = false});
   }
   ASSERT_FALSE(engines.released.empty());
   EXPECT_LE(timers.time - readAt, 510'000);
@@ -289,17 +292,17 @@
 TEST_F(RouterTest, ARepeatOfKeyedWorkHasToBeWrittenWithinItsWindow) {
   Ear ear;
   ask(ear, 2);
-  EXPECT_EQ(engines.begun.back().writeBy, 0);
+  EXPECT_EQ(engines.begun.back().sendBy, 0);
   timers.pass(10'000);
   read();
-  ASSERT_EQ(engines.begun.back().job, Job::write);
-  EXPECT_EQ(engines.begun.back().writeBy, 0);  // the first one
+  ASSERT_EQ(engines.begun.back().phase, Phase::decode);
+  EXPECT_EQ(engines.begun.back().sendBy, 0);  // the first one
   const Micros sentAt = timers.time;
   timers.pass(100'000);
-  router.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::reset});
+  router.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::connectionReset});
   ASSERT_EQ(engines.begun.size(), 3u);
-  EXPECT_EQ(engines.begun.back().job, Job::write);
-  EXPECT_EQ(engines.begun.back().writeBy, sentAt + 400'000);
+  EXPECT_EQ(engines.begun.back().phase, Phase::decode);
+  EXPECT_EQ(engines.begun.back().sendBy, sentAt + 400'000);
 }
 
 TEST_F(RouterTest, AWriteThatReachedItsEngineIsWaitedForAndAKeptConnectionsSilenceRunsOn) {
@@ -310,64 +313,66 @@
   timers.pass(600'000);  // it waits at its writer
   EXPECT_TRUE(engines.cancelled.empty());
   router.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::error});
-  EXPECT_EQ(engines.begun.back().job, Job::write);  // the state is good for another one
+  EXPECT_EQ(engines.begun.back().phase, Phase::decode);  // the state is good for another one
   EXPECT_TRUE(engines.released.empty());
   timers.pass(600'000);
-  router.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::reset, .keptConnection = true});
+  router.onAttemptEnded(engines.begun.back().attempt,
+                        {.outcome = Outcome::connectionReset, .reusedConnection = true});
   EXPECT_EQ(engines.released.size(), 1u);  // it may never have come there, and the state's time is over
-  EXPECT_EQ(engines.begun.back().job, Job::read);
+  EXPECT_EQ(engines.begun.back().phase, Phase::prefill);
 }
 
 // What an earlier read may have left has its time too, when the next read's connection does not come up, or
 // is one kept from before that died unseen (seen in a cut between zones).
-class LostReadTest : public RouterTest, public testing::WithParamInterface<Reach> {};
+class LostReadTest : public RouterTest, public testing::WithParamInterface<DeliveryState> {};
 
 TEST_P(LostReadTest, WhatItMayHaveLeftIsLetGoWhileTheNextMayNotArrive) {
-  router.onList({ServerList::Kind::changes, {{.id = {4}, .zone = 0, .kind = 0}}});
+  router.onList({EndpointUpdate::Kind::delta, {{.id = {4}, .zone = 0, .kind = 0}}});
   Ear ear;
   const auto id = ask(ear);
   timers.pass(10'000);
   const Micros lostAt = timers.time;
-  const ServerId first = engines.begun.back().server;
-  router.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::reset});
+  const EndpointId first = engines.begun.back().endpoint;
+  router.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::connectionReset});
   ASSERT_EQ(engines.begun.size(), 2u);
-  EXPECT_EQ(engines.begun.back().job, Job::read);
-  ASSERT_NE(engines.begun.back().server, first);
+  EXPECT_EQ(engines.begun.back().phase, Phase::prefill);
+  ASSERT_NE(engines.begun.back().endpoint, first);
   EXPECT_FALSE(engines.begun.front().fresh);
   EXPECT_TRUE(engines.begun.back().fresh);  // so that its arrival shows, and a release need not hit it
   engines.reached = GetParam();
   while (engines.released.empty() && timers.time < lostAt + 550'000) timers.pass(1'000);
-  if (GetParam() == Reach::engine) {
+  if (GetParam() == DeliveryState::confirmed) {
     EXPECT_TRUE(engines.released.empty());
   } else {
     EXPECT_LE(timers.time - lostAt, 510'000);
     EXPECT_EQ(std::count(engines.released.begin(), engines.released.end(), std::pair(first, id)), 1);
   }
   // One without a connection is over; one that may have arrived is waited for.
-  EXPECT_EQ(engines.cancelled.size(), GetParam() == Reach::nowhere ? 1u : 0u);
-  if (GetParam() == Reach::nowhere) return;
+  EXPECT_EQ(engines.cancelled.size(), GetParam() == DeliveryState::undelivered ? 1u : 0u);
+  if (GetParam() == DeliveryState::undelivered) return;
   ASSERT_EQ(engines.begun.size(), 2u);
   read();
-  EXPECT_EQ(engines.begun.back().job, Job::write);
+  EXPECT_EQ(engines.begun.back().phase, Phase::decode);
 }
 
 INSTANTIATE_TEST_SUITE_P(Reaches, LostReadTest,
-                         testing::Values(Reach::nowhere, Reach::written, Reach::engine));
+                         testing::Values(DeliveryState::undelivered, DeliveryState::written,
+                                         DeliveryState::confirmed));
 
 class DoubtTest : public RouterTest {
  protected:
   DoubtTest() : doubtful(spared(), timers, engines, observer) {
-    doubtful.onList(
-        {ServerList::Kind::complete, {{.id = {1}, .zone = 0, .kind = 0}, {.id = {2}, .zone = 0, .kind = 1}}});
-    Ask a;
+    doubtful.onList({EndpointUpdate::Kind::snapshot,
+                     {{.id = {1}, .zone = 0, .kind = 0}, {.id = {2}, .zone = 0, .kind = 1}}});
+    Request a;
     a.remaining = 5'000'000;
     a.prompt = std::make_shared<const std::string>("p");
     a.promptTokens = 100;
     a.maxOutput = 10;
-    doubtful.take(a, ear);
+    doubtful.accept(a, ear);
     timers.pass(10'000);
     readAt = timers.time;
-    doubtful.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::readDone});
+    doubtful.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::prefillDone});
   }
   static Options spared() {
     auto o = options();
@@ -380,17 +385,17 @@
 };
 
 TEST_F(DoubtTest, AStateIsLetGoInTimeWhileAWriteMayBeOnADeadConnection) {
-  ASSERT_EQ(engines.begun.back().job, Job::write);
-  engines.reached = Reach::written;
+  ASSERT_EQ(engines.begun.back().phase, Phase::decode);
+  engines.reached = DeliveryState::written;
   timers.pass(490'000);
   EXPECT_TRUE(engines.released.empty());
   timers.pass(20'000);
   ASSERT_EQ(engines.released.size(), 1u);
   EXPECT_TRUE(engines.cancelled.empty());  // an engine may have it in hand: it is waited for
   doubtful.onTokens(engines.begun.back().attempt, "x", 1, {});
-  doubtful.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::served});
+  doubtful.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::completed});
   ASSERT_TRUE(ear.ending);
-  EXPECT_EQ(ear.ending->final, Final::served);
+  EXPECT_EQ(ear.ending->disposition, Disposition::completed);
   EXPECT_EQ(engines.released.size(), 1u);
 }
 
@@ -403,38 +408,38 @@
 // A connection came up for the write and fell silent before its last byte was there (seen at a cut: a state
 // was held for 2.5 s).
 TEST_F(DoubtTest, AStateIsLetGoWhereTheEngineOfAWriteGivesNoSignOfLife) {
-  engines.reached = Reach::connected;
+  engines.reached = DeliveryState::connected;
   timers.pass(490'000);
   EXPECT_TRUE(engines.asked.empty());
   timers.pass(20'000);
   ASSERT_EQ(engines.asked.size(), 1u);
   EXPECT_TRUE(engines.released.empty());
-  doubtful.onConfirmed(engines.asked.front(), false);
+  doubtful.onLivenessChecked(engines.asked.front(), false);
   EXPECT_EQ(engines.released.size(), 1u);
   EXPECT_TRUE(engines.cancelled.empty());
 }
 
 TEST_F(DoubtTest, AStateIsKeptWhereTheEngineOfAWriteIsAlive) {
-  engines.reached = Reach::connected;
+  engines.reached = DeliveryState::connected;
   timers.pass(510'000);
   ASSERT_EQ(engines.asked.size(), 1u);
-  doubtful.onConfirmed(engines.asked.front(), true);
+  doubtful.onLivenessChecked(engines.asked.front(), true);
   EXPECT_TRUE(engines.released.empty());
 }
 
 // The time of what is held runs on through a write that nothing shows to have arrived: it is over when the
 // write is given up.
 TEST_F(DoubtTest, AnAttemptWithoutASignDoesNotStopTheTimeOfWhatIsHeld) {
-  engines.reached = Reach::connected;
+  engines.reached = DeliveryState::connected;
   while (engines.cancelled.empty() && timers.time < readAt + 4'000'000) timers.pass(1'000);
   ASSERT_EQ(engines.cancelled.size(), 1u);
   ASSERT_GT(timers.time - readAt, 500'000);
   EXPECT_EQ(engines.released.size(), 1u);
-  EXPECT_EQ(engines.begun.back().job, Job::read);
+  EXPECT_EQ(engines.begun.back().phase, Phase::prefill);
 }
 
 TEST_F(DoubtTest, WhereEnginesCantBeAskedAConnectionThatCameUpIsTrusted) {
-  engines.reached = Reach::connected;
+  engines.reached = DeliveryState::connected;
   engines.asksForSigns = false;
   timers.pass(600'000);
   EXPECT_TRUE(engines.asked.empty());
@@ -467,7 +472,7 @@
   router.onAttemptEnded(engines.begun[0].attempt,
                         {.outcome = Outcome::notSent, .badRequest = true, .text = "HTTP 400: too long"});
   ASSERT_TRUE(ear.ending);
-  EXPECT_EQ(ear.ending->cause, Cause::badRequest);
+  EXPECT_EQ(ear.ending->failureReason, FailureReason::badRequest);
   EXPECT_EQ(engines.begun.size(), 1u);
 }
 
