--- a/tests/rule_guard_test.cpp
+++ b/tests/rule_guard_test.cpp
@@ -6,31 +6,32 @@
 namespace garnethook::test {
 namespace {
 
-using routing::EnginePlace;
-using routing::Exposure;
-using routing::Job;
+using routing::EndpointLocation;
+using routing::ExecutionHistory;
+using routing::Phase;
 using routing::RuleGuard;
 using routing::Violation;
 
 struct RuleGuardTest : testing::Test {
-  std::optional<Violation> judge(Job job = Job::write) {
+  std::optional<Violation> judge(Phase phase = Phase::decode) {
     return RuleGuard::judge({.requestClass = requestClass,
                              .exposure = exposure,
                              .firstPlace = first,
                              .target = target,
-                             .job = job,
+                             .phase = phase,
                              .answered = answered,
                              .attemptOut = attemptOut,
                              .now = now});
   }
-  void mayHaveRunAt(Micros time, const EnginePlace& place) {
+  void mayHaveRunAt(Micros time, const EndpointLocation& place) {
     exposure.note(time);
     first = place;
   }
-  RequestClass requestClass{.deadline = 3'000'000, .effect = Effect::safe, .repeatWindow = 1'000'000};
-  Exposure exposure;
-  std::optional<EnginePlace> first;
-  EnginePlace target{0, 1};
+  RequestClass requestClass{
+      .deadline = 3'000'000, .idempotency = Idempotency::idempotent, .deduplicationWindow = 1'000'000};
+  ExecutionHistory exposure;
+  std::optional<EndpointLocation> first;
+  EndpointLocation target{0, 1};
   bool answered = false;
   bool attemptOut = false;
   Micros now = 5'000'000;
@@ -39,10 +40,10 @@
 TEST_F(RuleGuardTest, OneAttemptAtATimeAndNoneBehindTheAnswer) {
   EXPECT_EQ(judge(), std::nullopt);
   attemptOut = true;
-  EXPECT_EQ(judge(), Violation::secondAttempt);
-  EXPECT_EQ(judge(Job::read), Violation::secondAttempt);
+  EXPECT_EQ(judge(), Violation::concurrentAttempt);
+  EXPECT_EQ(judge(Phase::prefill), Violation::concurrentAttempt);
   answered = true;
-  EXPECT_EQ(judge(), Violation::attemptAfterEnd);
+  EXPECT_EQ(judge(), Violation::attemptAfterCompletion);
 }
 
 TEST_F(RuleGuardTest, SafeWorkIsRepeatedAtWill) {
@@ -51,32 +52,32 @@
 }
 
 TEST_F(RuleGuardTest, UnsafeWorkThatMayHaveRunIsReadAnewAtMost) {
-  requestClass.effect = Effect::unsafe;
+  requestClass.idempotency = Idempotency::nonIdempotent;
   EXPECT_EQ(judge(), std::nullopt);
   mayHaveRunAt(now - 1, target);
-  EXPECT_EQ(judge(), Violation::repeatOfUnsafe);
-  EXPECT_EQ(judge(Job::whole), Violation::repeatOfUnsafe);
-  EXPECT_EQ(judge(Job::read), std::nullopt);
+  EXPECT_EQ(judge(), Violation::retryOfNonIdempotent);
+  EXPECT_EQ(judge(Phase::combined), Violation::retryOfNonIdempotent);
+  EXPECT_EQ(judge(Phase::prefill), std::nullopt);
 }
 
 TEST_F(RuleGuardTest, KeyedWorkStaysInItsWindow) {
-  requestClass.effect = Effect::keyed;
+  requestClass.idempotency = Idempotency::idempotentWithKey;
   mayHaveRunAt(now - 1'000'000, target);
   EXPECT_EQ(judge(), std::nullopt);
   now += 1;
-  EXPECT_EQ(judge(), Violation::repeatOutOfWindow);
+  EXPECT_EQ(judge(), Violation::retryOutsideDeduplicationWindow);
 }
 
 TEST_F(RuleGuardTest, KeyedWorkStaysInItsGroup) {
-  requestClass.effect = Effect::keyed;
+  requestClass.idempotency = Idempotency::idempotentWithKey;
   mayHaveRunAt(now - 10, {1, 1});
   EXPECT_EQ(judge(), std::nullopt);
-  requestClass.scope = RepeatScope::zone;
-  EXPECT_EQ(judge(), Violation::repeatOutOfGroup);
-  requestClass.scope = RepeatScope::cell;
+  requestClass.deduplicationScope = DeduplicationScope::zone;
+  EXPECT_EQ(judge(), Violation::retryOutsideDeduplicationScope);
+  requestClass.deduplicationScope = DeduplicationScope::cell;
   EXPECT_EQ(judge(), std::nullopt);
   target.cell = 2;
-  EXPECT_EQ(judge(), Violation::repeatOutOfGroup);
+  EXPECT_EQ(judge(), Violation::retryOutsideDeduplicationScope);
 }
 
 TEST_F(RuleGuardTest, AnAnswerIsLateBehindItsSlackAndThePlatforms) {
@@ -88,11 +89,11 @@
 
 TEST_F(RuleGuardTest, WhatWasBrokenIsCountedByRule) {
   RuleGuard guard;
-  guard.count(Violation::lateAnswer);
-  guard.count(Violation::lateAnswer);
-  guard.count(Violation::refusalOfRun);
-  EXPECT_EQ(guard.counted(Violation::lateAnswer), 2u);
-  EXPECT_EQ(guard.counted(Violation::secondAttempt), 0u);
+  guard.count(Violation::lateCompletion);
+  guard.count(Violation::lateCompletion);
+  guard.count(Violation::rejectionAfterExecution);
+  EXPECT_EQ(guard.counted(Violation::lateCompletion), 2u);
+  EXPECT_EQ(guard.counted(Violation::concurrentAttempt), 0u);
   EXPECT_EQ(guard.all(), 3u);
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -1,12 +1,12 @@
 // The wire: what is read, what is printed, what is said of bad lines.
-#include "wire.h"
-
 #include <gtest/gtest.h>
 
 #include <sstream>
 #include <stdexcept>
 
-namespace garnethook::wire {
+#include "simulator_adapter/adapter.h"
+
+namespace garnethook::simulator_adapter {
 namespace {
 
 const char* const kProvision =
@@ -44,7 +44,7 @@
 }
 bool has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
 
-TEST(Provision, TheRoutersNumberIsReadWhereItIsTold) {
+TEST(DeploymentConfig, TheRoutersNumberIsReadWhereItIsTold) {
   EXPECT_FALSE(parseProvision(kProvision).settings.self);
   const std::string numbered = std::string(kProvision) + " me=2";
   EXPECT_EQ(parseProvision(numbered).settings.self, 2u);
@@ -52,24 +52,24 @@
   EXPECT_THROW(parseProvision(bad), std::exception);
 }
 
-TEST(Provision, SettingsAreTranslated) {
+TEST(DeploymentConfig, SettingsAreTranslated) {
   const auto p = parseProvision(kProvision);
   EXPECT_EQ(p.seed, 5u);
   ASSERT_EQ(p.settings.classes.size(), 2u);
-  EXPECT_EQ(p.settings.classes[0].aim, 1'000'000);
-  EXPECT_EQ(p.settings.classes[0].aimPerKiloToken, 60'000);
-  EXPECT_EQ(p.settings.classes[1].tokenAim, 80'000);
-  EXPECT_EQ(p.settings.classes[1].effect, Effect::keyed);
-  EXPECT_EQ(p.settings.classes[1].scope, RepeatScope::zone);
-  EXPECT_EQ(p.settings.classes[1].repeatWindow, 700'000);
-  EXPECT_EQ(p.settings.kinds[0].role, Role::reader);
+  EXPECT_EQ(p.settings.classes[0].ttftObjective, 1'000'000);
+  EXPECT_EQ(p.settings.classes[0].ttftObjectivePerKiloToken, 60'000);
+  EXPECT_EQ(p.settings.classes[1].timePerOutputTokenObjective, 80'000);
+  EXPECT_EQ(p.settings.classes[1].idempotency, Idempotency::idempotentWithKey);
+  EXPECT_EQ(p.settings.classes[1].deduplicationScope, DeduplicationScope::zone);
+  EXPECT_EQ(p.settings.classes[1].deduplicationWindow, 700'000);
+  EXPECT_EQ(p.settings.kinds[0].role, Role::prefill);
   EXPECT_DOUBLE_EQ(p.settings.kinds[1].memoryTokens, 121918);
   EXPECT_EQ(p.settings.ownZone, 1u);
   EXPECT_EQ(p.settings.zones, 3u);
   EXPECT_EQ(p.settings.routers, 3u);
-  EXPECT_EQ(p.settings.releaseWithin, 500'000);
-  EXPECT_TRUE(p.settings.writersRead);
-  EXPECT_TRUE(p.settings.mayCancel);
+  EXPECT_EQ(p.settings.kvReleaseTimeout, 500'000);
+  EXPECT_TRUE(p.settings.decodeEndpointsPrefill);
+  EXPECT_TRUE(p.settings.canCancel);
 }
 
 TEST(Serve, AnEmptyBatchGetsAnEmptyReply) {
@@ -138,10 +138,10 @@
   struct Refuser final : Decider {
     explicit Refuser(const Settings& s) : settings(s) {}
     void handle(Micros, const Event& event, std::vector<Action>& actions) override {
-      const auto* ask = std::get_if<RequestArrived>(&event);
-      if (ask == nullptr) return;
+      const auto* request = std::get_if<RequestArrived>(&event);
+      if (request == nullptr) return;
       const bool told = settings.passesRetryAfter && settings.maxRetryAfter == 750'000;
-      actions.push_back(Refuse{ask->id, told && ask->id.value == 7 ? 250'500 : 0});
+      actions.push_back(Reject{request->id, told && request->id.value == 7 ? 250'500 : 0});
     }
     Settings settings;
   };
@@ -191,4 +191,4 @@
 }
 
 }  // namespace
-}  // namespace garnethook::wire
+}  // namespace garnethook::simulator_adapter
--- a/tests/start_dates_test.cpp
+++ b/tests/start_times_test.cpp
@@ -1,14 +1,14 @@
 // Starts of engines on the process's own clock, whatever the wall clocks say.
-#include "membership/start_dates.h"
+#include "membership/start_times.h"
 
 #include <gtest/gtest.h>
 
 namespace garnethook::test {
 namespace {
 
-using membership::EngineMap;
-using membership::EngineSpec;
-using membership::StartDates;
+using membership::EndpointMap;
+using membership::EndpointSpec;
+using membership::StartTimes;
 
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kHour = 3600 * kSecond;
@@ -19,10 +19,10 @@
   // What this machine's wall clock says at a monotonic time; the parameter is how far it is off.
   Micros wall(Micros now) const { return kUnix + now + GetParam(); }
   // Engines by name, each with the monotonic time at which it truly started; 0: long ago.
-  static EngineMap list(const std::map<std::string, Micros>& starts) {
-    EngineMap out;
+  static EndpointMap list(const std::map<std::string, Micros>& starts) {
+    EndpointMap out;
     for (const auto& [name, start] : starts) {
-      EngineSpec e;
+      EndpointSpec e;
       e.name = name;
       e.startedAt = start == 0 ? 0 : kUnix + start;
       out[name] = e;
@@ -32,7 +32,7 @@
   Micros dated(const std::map<std::string, Micros>& starts, const std::string& name, Micros now) {
     return dates.date(list(starts), false, now, wall(now)).at(name).startedAt;
   }
-  StartDates dates;
+  StartTimes dates;
 };
 
 TEST_P(StartDatesTest, AFreshEngineOfTheFirstListIsFresh) {
@@ -46,7 +46,7 @@
   const Micros early = dated(starts, "early", kNow);
   EXPECT_GE(early, kNow - 60 * kSecond);
   // Where the latest start alone lies ahead of this machine's clock it proves nothing: younger, never older.
-  const bool latestAhead = GetParam() < -StartDates::kMostAhead - kSecond && GetParam() > -60 * kSecond;
+  const bool latestAhead = GetParam() < -StartTimes::kMostAhead - kSecond && GetParam() > -60 * kSecond;
   if (!latestAhead) { EXPECT_LE(early, kNow - 59 * kSecond); }
 }
 
@@ -57,7 +57,7 @@
   EXPECT_GE(dated({{"a", 0}, {"b", now - kSecond / 2}}, "b", now), now - kSecond);
   // An engine whose own clock is an hour behind.
   const Micros later = now + kSecond;
-  EXPECT_GE(dated({{"c", later - kHour}}, "c", later), now - StartDates::kToldLate);
+  EXPECT_GE(dated({{"c", later - kHour}}, "c", later), now - StartTimes::kToldLate);
 }
 
 TEST_P(StartDatesTest, AfterASilenceTheListsClockTellsHowOldAStartIs) {
@@ -80,24 +80,24 @@
                                          -24 * kHour));
 
 // One engine's clock is an hour ahead, this machine's is right: the others' ages stand.
-TEST(StartDates, AStartInTheFutureIsNoEvidenceForOthers) {
-  StartDates dates;
-  EngineMap engines;
+TEST(StartTimes, AStartInTheFutureIsNoEvidenceForOthers) {
+  StartTimes dates;
+  EndpointMap engines;
   for (const auto& [name, start] : std::map<std::string, Micros>{{"ahead", kHour}, {"fresh", -kSecond}}) {
     engines[name].name = name;
     engines[name].startedAt = kUnix + kNow + start;
   }
-  const EngineMap dated = dates.date(engines, false, kNow, kUnix + kNow);
+  const EndpointMap dated = dates.date(engines, false, kNow, kUnix + kNow);
   EXPECT_GE(dated.at("fresh").startedAt, kNow - 2 * kSecond);
 }
 
-TEST(StartDates, TheFirstListThatIsToldDatesRememberedStartsAnew) {
-  StartDates dates;
-  EngineMap engines;
+TEST(StartTimes, TheFirstListThatIsToldDatesRememberedStartsAnew) {
+  StartTimes dates;
+  EndpointMap engines;
   engines["a"].startedAt = kUnix + kNow - 60 * kSecond;
   EXPECT_EQ(dates.date(engines, true, kNow, kUnix + kNow).at("a").startedAt, kNow);
   engines["b"].startedAt = kUnix + kNow - kSecond;
-  const EngineMap told = dates.date(engines, false, kNow + kSecond / 100, kUnix + kNow);
+  const EndpointMap told = dates.date(engines, false, kNow + kSecond / 100, kUnix + kNow);
   EXPECT_LE(told.at("a").startedAt, kNow - 58 * kSecond);
   dates.keepOnly({});
 }
--- a/tests/support/busy_world.h
+++ b/tests/support/busy_world.h
@@ -1,5 +1,6 @@
-// A busy simulated world around one Brain, for the recorded stream and for the benchmark: open-loop requests,
-// readers and writers that answer after fixed times, now and then a failure. Seeded; the same on every run.
+// A busy simulated world around one RoutingPolicy, for the recorded stream and for the benchmark: open-loop
+// requests, readers and writers that answer after fixed times, now and then a failure. Seeded; the same on
+// every run.
 #pragma once
 
 #include <chrono>
@@ -9,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "brain.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook::test {
 
@@ -19,7 +20,7 @@
   double perSecond = 1000;
   double seconds = 20;
   double sessionsNew = 0.5;  // share of requests that begin a session
-  double troubles = 0;       // share of attempts that end badly
+  double errors = 0;         // share of attempts that end badly
   std::size_t beginnings = 200;
   bool reports = true;
   bool restarts = false;  // a server starts anew each second
@@ -35,9 +36,9 @@
   // Plays the whole run. `tell` gets each answer of the module, in order.
   template <class Tell>
   void play(Tell tell) {
-    std::vector<ServerEntry> list;
+    std::vector<EndpointEntry> list;
     for (std::size_t i = 0; i < o_.servers; ++i) list.push_back(entry(i, 0));
-    give(ServerList{ServerList::Kind::complete, list}, tell);
+    give(EndpointUpdate{EndpointUpdate::Kind::snapshot, list}, tell);
     Micros arrival = 0;
     Micros restart = kStart + 1'000'000;
     const Micros end = kStart + static_cast<Micros>(o_.seconds * 1e6);
@@ -48,7 +49,7 @@
       now_ = next;
       if (o_.restarts && now_ >= restart) {
         restart += 1'000'000;
-        give(ServerList{ServerList::Kind::changes, {entry(random_() % o_.servers, now_)}}, tell);
+        give(EndpointUpdate{EndpointUpdate::Kind::delta, {entry(random_() % o_.servers, now_)}}, tell);
       }
       if (next == arrival) {
         arrival += static_cast<Micros>(1e6 / o_.perSecond * (0.5 + uniform()));
@@ -78,23 +79,29 @@
 
   Settings settings() const {
     Settings s;
-    s.classes = {{.aim = 1'000'000, .aimPerKiloToken = 60'000, .deadline = 5'000'000, .tokenAim = 50'000},
-                 {.aim = 2'000'000, .deadline = 8'000'000, .tokenAim = 50'000, .effect = Effect::unsafe}};
-    s.kinds = {{Role::reader, 200'000}, {Role::writer, 1'000'000}, {Role::both, 1'000'000}};
+    s.classes = {{.ttftObjective = 1'000'000,
+                  .ttftObjectivePerKiloToken = 60'000,
+                  .deadline = 5'000'000,
+                  .timePerOutputTokenObjective = 50'000},
+                 {.ttftObjective = 2'000'000,
+                  .deadline = 8'000'000,
+                  .timePerOutputTokenObjective = 50'000,
+                  .idempotency = Idempotency::nonIdempotent}};
+    s.kinds = {{Role::prefill, 200'000}, {Role::decode, 1'000'000}, {Role::combined, 1'000'000}};
     s.zones = 3;
     s.routers = 2;
     s.maxAttempts = 4;
-    s.mayCancel = true;
-    s.writersRead = true;
+    s.canCancel = true;
+    s.decodeEndpointsPrefill = true;
     s.passesRetryAfter = true;
-    s.releaseWithin = 500'000;
-    s.coldFrom = 0.3;
-    s.warmWithin = 5'000'000;
-    s.fallMultiple = 2.5;
-    s.fallAfter = 2'000'000;
+    s.kvReleaseTimeout = 500'000;
+    s.warmUpMinCapacity = 0.3;
+    s.warmUpDuration = 5'000'000;
+    s.overloadMultiple = 2.5;
+    s.overloadWindow = 2'000'000;
     return s;
   }
-  ServerEntry entry(std::size_t i, Micros startedAt) const {
+  EndpointEntry entry(std::size_t i, Micros startedAt) const {
     const std::size_t kind = i < o_.mixed ? 2 : i % 2;
     return {.id = {1000 + i}, .zone = i / 10 % 3, .kind = kind, .cell = i / 10, .startedAt = startedAt};
   }
@@ -108,9 +115,9 @@
     r.session = {1'000'000 + (sessions_ > back ? sessions_ - back : sessions_)};
     r.promptTokens = 100 + 2000 * uniform();
     if (uniform() < 0.7) {
-      r.sharedBeginning = {
+      r.sharedPrefix = {
           1 + static_cast<std::uint64_t>(uniform() * uniform() * static_cast<double>(o_.beginnings))};
-      r.sharedTokens = r.promptTokens * 0.7;
+      r.sharedPrefixTokens = r.promptTokens * 0.7;
     }
     r.maxOutput = 100;
     requests_[r.id.value] = {.tokens = r.promptTokens};
@@ -123,14 +130,14 @@
       const auto at = requests_.find(ended->id.value);
       if (at == requests_.end() || at->second.current != ended->attempt) return;
       at->second.current = -1;
-      at->second.state = ended->outcome == Outcome::readDone;
+      at->second.state = ended->outcome == Outcome::prefillDone;
       AttemptEnded copy = *ended;
-      copy.last =
-          ended->outcome == Outcome::served || (at->second.started && ended->outcome == Outcome::reset);
+      copy.requestEnded = ended->outcome == Outcome::completed ||
+                          (at->second.started && ended->outcome == Outcome::connectionReset);
       if (o_.reports)
         copy.report = LoadReport{.memoryShare = 0.3 + 0.3 * uniform(), .queuedKiloTokens = uniform() * 2};
-      served += ended->outcome == Outcome::served ? 1 : 0;
-      if (copy.last) requests_.erase(at);
+      served += ended->outcome == Outcome::completed ? 1 : 0;
+      if (copy.requestEnded) requests_.erase(at);
       return give(copy, tell);
     }
     if (const auto* started = std::get_if<StreamStarted>(&e)) {
@@ -161,19 +168,20 @@
     if (at == requests_.end()) return;
     Out& out = at->second;
     out.current = out.attempts++;
-    const std::uint64_t i = a.server.value - 1000;
+    const std::uint64_t i = a.endpoint.value - 1000;
     const bool read = i >= o_.mixed && i % 2 == 0;
-    AttemptEnded end{.id = a.id, .attempt = out.current, .server = a.server, .outcome = Outcome::served};
+    AttemptEnded end{
+        .id = a.id, .attempt = out.current, .endpoint = a.endpoint, .outcome = Outcome::completed};
     const bool whole = !read && !out.state;
     const auto readTime = static_cast<Micros>(5'000 + out.tokens * 20 * (0.2 + uniform()));
-    if (uniform() < o_.troubles) {
-      constexpr Outcome kBad[] = {Outcome::error, Outcome::reset, Outcome::full, Outcome::connectFailed,
-                                  Outcome::timedOut};
+    if (uniform() < o_.errors) {
+      constexpr Outcome kBad[] = {Outcome::error, Outcome::connectionReset, Outcome::rejected,
+                                  Outcome::connectFailed, Outcome::timedOut};
       end.outcome = kBad[random_() % 5];
       later(1'000 + static_cast<Micros>(uniform() * 300'000), end);
     } else if (read) {
-      end.outcome = Outcome::readDone;
-      end.foundTokens = out.tokens * 0.7 * uniform();
+      end.outcome = Outcome::prefillDone;
+      end.cachedTokens = out.tokens * 0.7 * uniform();
       later(readTime, end);
     } else {
       const Micros first = 5'000 + static_cast<Micros>(uniform() * 20'000) + (whole ? readTime : 0);
@@ -186,11 +194,11 @@
     if (at == requests_.end() || at->second.current != a.attempt) return;
     later(1'000, AttemptEnded{.id = a.id, .attempt = a.attempt, .outcome = Outcome::cancelled});
   }
-  void act(const Refuse& a) { drop(a.id); }
+  void act(const Reject& a) { drop(a.id); }
   void act(const Fail& a) { drop(a.id); }
   void act(const Release&) {}
   void act(const SetTimer& a) { later(a.delay, TimerFired{a.id}); }
-  void act(const Probe& a) { later(1'000, ProbeEnded{a.server, uniform() < 0.8, std::nullopt}); }
+  void act(const Probe& a) { later(1'000, ProbeEnded{a.endpoint, uniform() < 0.8, std::nullopt}); }
   void act(const Subscribe&) {}
   void act(const Log&) {}
   void drop(RequestId id) {
@@ -201,7 +209,7 @@
 
   BusyOptions o_;
   std::mt19937_64 random_;
-  Brain brain_;
+  RoutingPolicy brain_;
   Micros now_ = kStart;
   std::map<std::pair<Micros, std::uint64_t>, Event> events_;
   std::map<std::uint64_t, Out> requests_;
--- a/tests/support/front_world.h
+++ b/tests/support/frontend_world.h
@@ -14,42 +14,44 @@
 #include <vector>
 
 #include "platform/config/platform_config.h"
-#include "platform/discovery/target_list.h"
-#include "platform/front/http_front.h"
+#include "platform/discovery/endpoint_list.h"
+#include "platform/http_frontend/http_frontend.h"
 #include "support/loop_runner.h"
 #include "support/platform_peers.h"
 
 namespace garnethook::test {
 
 // Engines without sockets. Each attempt is recorded; `script` says what comes of it.
-class StubEngines final : public routing::Engines {
+class StubEngines final : public routing::EngineClient {
  public:
   struct Attempt {
     routing::AttemptId id;
-    routing::Job job = routing::Job::whole;
+    routing::Phase phase = routing::Phase::combined;
     Micros timeout = 0;
-    std::string workId;
+    std::string traceId;
   };
   using Script = std::function<void(const Attempt&)>;
 
   explicit StubEngines(net::Loop& loop) : loop_(loop) {}
 
-  void begin(const routing::Order& order) override {
-    const Attempt attempt{order.attempt, order.job, order.timeout, std::string(order.workId)};
+  void begin(const routing::AttemptSpec& order) override {
+    const Attempt attempt{order.attempt, order.phase, order.timeout, std::string(order.traceId)};
     begun.push_back(attempt);
     loop_.post([this, attempt] { script ? script(attempt) : succeed(attempt); });
   }
   void cancel(routing::AttemptId) override { ++cancelled; }
-  routing::Reach reach(routing::AttemptId) const override { return routing::Reach::engine; }
-  void release(ServerId server, RequestId request, const std::string&) override {
+  routing::DeliveryState deliveryState(routing::AttemptId) const override {
+    return routing::DeliveryState::confirmed;
+  }
+  void release(EndpointId server, RequestId request, const std::string&) override {
     loop_.post([this, server, request] { events->onReleaseEnded(server, request, true); });
   }
-  void probe(ServerId) override {}
+  void probe(EndpointId) override {}
 
   void succeed(const Attempt& attempt) {
-    if (attempt.job == routing::Job::read) return end(attempt, Outcome::readDone);
+    if (attempt.phase == routing::Phase::prefill) return end(attempt, Outcome::prefillDone);
     events->onTokens(attempt.id, kEvent, 1, {});
-    end(attempt, Outcome::served);
+    end(attempt, Outcome::completed);
   }
   void end(const Attempt& attempt, Outcome outcome) {
     events->onAttemptEnded(attempt.id, {.outcome = outcome});
@@ -58,17 +60,17 @@
   // succeeds.
   void holdFirstWrite(bool firstEvent) {
     script = [this, firstEvent](const Attempt& attempt) {
-      if (attempt.job == routing::Job::read || held) return succeed(attempt);
+      if (attempt.phase == routing::Phase::prefill || held) return succeed(attempt);
       held = attempt;
       if (firstEvent) events->onTokens(attempt.id, kEvent, 1, {});
     };
   }
-  std::size_t count(routing::Job job) const {
+  std::size_t count(routing::Phase phase) const {
     return static_cast<std::size_t>(
-        std::count_if(begun.begin(), begun.end(), [&](const auto& a) { return a.job == job; }));
+        std::count_if(begun.begin(), begun.end(), [&](const auto& a) { return a.phase == phase; }));
   }
 
-  routing::EngineEvents* events = nullptr;
+  routing::EngineClientEvents* events = nullptr;
   Script script;
   std::vector<Attempt> begun;
   std::optional<Attempt> held;
@@ -146,32 +148,32 @@
          more + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-class FrontWorld : public LoopRunner {
+class FrontendWorld : public LoopRunner {
  public:
   // `silence`: the longest time between two events of a stream.
-  explicit FrontWorld(const platform::HttpFront::Options& options = {},
-                      Micros silence = routing::StreamGuard::Options().silence)
+  explicit FrontendWorld(const platform::HttpFrontend::Options& options = {},
+                         Micros silence = routing::StreamGuard::Options().silence)
       : engines(loop), config(testConfig()) {
     routing::Options core;
-    core.settings = config.provision.settings;
+    core.settings = config.deployment.settings;
     core.instance = "n0";
     core.streams.margin = 0;
     core.streams.silence = silence;
     core.streams.deadlineEnds = false;
     router = std::make_unique<routing::Router>(core, loop, engines, observer_);
     engines.events = router.get();
-    platform::TargetList list;
-    list.apply(platform::parseTargets(
+    platform::EndpointList list;
+    list.apply(platform::parseEndpointList(
         R"({"revision":1,"complete":true,"members":[)"
         R"({"id":"r","host_port":"127.0.0.1:1","locality":"a","flavor":"m1","cell":1,"phase":"ready"},)"
         R"({"id":"w","host_port":"127.0.0.1:2","locality":"a","flavor":"m2","cell":1,"phase":"ready"}]})"));
-    const membership::Names names{config.provision.kindNames, config.provision.zoneNames};
-    router->onList(membership::toServerList(list.engines(), names, ServerList::Kind::complete));
-    front = std::make_unique<platform::HttpFront>(loop, Poco::Net::SocketAddress("127.0.0.1", 0), options,
-                                                  config.provision, *router,
-                                                  platform::HttpFront::Events{[] { return true; }});
+    const membership::Names names{config.deployment.kindNames, config.deployment.zoneNames};
+    router->onList(membership::toEndpointUpdate(list.engines(), names, EndpointUpdate::Kind::snapshot));
+    front = std::make_unique<platform::HttpFrontend>(loop, Poco::Net::SocketAddress("127.0.0.1", 0), options,
+                                                     config.deployment, *router,
+                                                     platform::HttpFrontend::Events{[] { return true; }});
   }
-  ~FrontWorld() { stopLoop(); }
+  ~FrontendWorld() { stopLoop(); }
 
   static platform::PlatformConfig testConfig() {
     return platform::readConfig(config::JsonFile::parse("config.json", platformConfigText("127.0.0.1:1")),
@@ -209,7 +211,7 @@
   StubEngines engines;
   platform::PlatformConfig config;
   std::unique_ptr<routing::Router> router;
-  std::unique_ptr<platform::HttpFront> front;
+  std::unique_ptr<platform::HttpFrontend> front;
 
  private:
   struct Silent final : routing::Observer {};
--- a/tests/support/platform_peers.h
+++ b/tests/support/platform_peers.h
@@ -17,7 +17,7 @@
 
 namespace garnethook::test {
 
-// An engine that answers each request with octets of the test's choice.
+// An engine that answers each request with bytes of the test's choice.
 class ScriptedEngine {
  public:
   struct Request {
@@ -50,10 +50,10 @@
           number(n),
           parser(http1::MessageParser::Kind::request, {}, *this),
           stream(e.loop_, std::move(socket), *this) {}
-    void onOctets(std::string_view octets) override { EXPECT_TRUE(parser.receive(octets)); }
+    void onBytes(std::string_view bytes) override { EXPECT_TRUE(parser.receive(bytes)); }
     void onClosed(net::CloseCause) override { ++engine.gone_; }
     void onHead(const http1::Head& h) override { now = {h, {}, number, &stream}; }
-    void onBody(std::string_view octets) override { now.body += octets; }
+    void onBody(std::string_view bytes) override { now.body += bytes; }
     void onEnd() override {
       engine.seen.push_back(now);
       if (engine.script) engine.script(now);
@@ -74,7 +74,7 @@
 class RawClient final : public net::StreamEvents {
  public:
   RawClient(net::Loop& loop, const Poco::Net::SocketAddress& to) : stream(loop, to, "", 1'000'000, *this) {}
-  void onOctets(std::string_view octets) override { got += octets; }
+  void onBytes(std::string_view bytes) override { got += bytes; }
   void onClosed(net::CloseCause) override { closed = true; }
   void ask(const std::string& id, const std::string& kind = "chat", const std::string& more = "",
            const std::string& body = R"({"model":"m"})") {
--- a/tests/support/pool_peers.h
+++ b/tests/support/pool_peers.h
@@ -23,19 +23,19 @@
 struct Listening final : engine::Exchange {
   explicit Listening(Heard& to) : heard(to) {}
   bool onHead(const http1::Head&) override { return true; }
-  bool onBody(std::string_view octets) override {
-    heard.body += octets;
+  bool onBody(std::string_view bytes) override {
+    heard.body += bytes;
     return true;
   }
   void onEnd() override { ++heard.ends; }
   void onFailed(Outcome outcome, const std::string&, bool) override { heard.failed = outcome; }
-  void onNotSent(const std::string&) override { heard.failed = Outcome::full; }
+  void onNotSent(const std::string&) override { heard.failed = Outcome::rejected; }
   void mute() override {}
   Heard& heard;
 };
 
-inline membership::EngineMap only(const Poco::Net::SocketAddress& address) {
-  membership::EngineSpec e;
+inline membership::EndpointMap only(const Poco::Net::SocketAddress& address) {
+  membership::EndpointSpec e;
   e.name = "e";
   e.id = {7};
   e.host = address.host().toString();
@@ -60,12 +60,12 @@
 inline void rest(LoopRunner& w) { w.pass(30'000); }
 
 // Told of by the router; remembers how attempts ended.
-struct AttemptEnds final : routing::EngineEvents {
+struct AttemptEnds final : routing::EngineClientEvents {
   void onTokens(routing::AttemptId, std::string_view, std::uint32_t,
                 std::span<const std::uint32_t>) override {}
   void onAttemptEnded(routing::AttemptId, const routing::AttemptResult& r) override { ends.push_back(r); }
-  void onProbeEnded(ServerId, bool, const std::optional<LoadReport>&) override {}
-  void onReleaseEnded(ServerId, RequestId, bool) override {}
+  void onProbeEnded(EndpointId, bool, const std::optional<LoadReport>&) override {}
+  void onReleaseEnded(EndpointId, RequestId, bool) override {}
   std::vector<routing::AttemptResult> ends;
 };
 
--- a/tests/tokeniser_test.cpp
+++ b/tests/tokeniser_test.cpp
@@ -7,8 +7,8 @@
 
 #include <chrono>
 
-#include "standin/made_vocabulary.h"
-#include "standin/own_tokeniser.h"
+#include "fake_engine/made_vocabulary.h"
+#include "fake_engine/own_tokeniser.h"
 #include "tokeniser/byte_level.h"
 #include "tokeniser/utf8.h"
 
@@ -19,7 +19,7 @@
 using std::string_view;
 
 const string& ranks() {
-  static const string text = standin::madeRanks(1);
+  static const string text = fake_engine::madeRanks(1);
   return text;
 }
 
@@ -42,15 +42,15 @@
   return out;
 }
 
-// All 256 octets, then "ab" (merge "a b"), " t", "he", "the", " the".
+// All 256 bytes, then "ab" (merge "a b"), " t", "he", "the", " the".
 string vocab() {
   string out = R"("vocab":{)";
   char32_t next = 256;
-  for (unsigned octet = 0; octet < 256; ++octet) {
-    const bool itself = (octet >= 33 && octet <= 126) || (octet >= 161 && octet <= 172) || octet >= 174;
-    const string letter = utf8Of(itself ? octet : next++);
+  for (unsigned byte = 0; byte < 256; ++byte) {
+    const bool itself = (byte >= 33 && byte <= 126) || (byte >= 161 && byte <= 172) || byte >= 174;
+    const string letter = utf8Of(itself ? byte : next++);
     out += "\"" + string(letter == "\"" || letter == "\\" ? "\\" : "") + letter +
-           "\":" + std::to_string(octet) + ",";
+           "\":" + std::to_string(byte) + ",";
   }
   return out + R"("ab":256,"Ġt":257,"he":258,"the":259,"Ġthe":260})";
 }
@@ -61,9 +61,9 @@
          vocab() + "," + model + "}}";
 }
 
-string trouble(const string& octets) {
+string error(const string& bytes) {
   try {
-    readHuggingFace("file", octets);
+    readHuggingFace("file", bytes);
   } catch (const FileError& e) { return e.what(); }
   return "none";
 }
@@ -132,16 +132,16 @@
   EXPECT_EQ(repaired("\xf0\x90\x80").value(), bad);              // cut: one maximal part
   EXPECT_EQ(repaired("\xe2\x82x").value(), bad + "x");
   EXPECT_EQ(repaired("\xf4\x90\x80\x80").value(), bad + bad + bad + bad);  // above U+10FFFF
-  EXPECT_EQ(octetsOf("aé😀b", 3), 7U);
+  EXPECT_EQ(bytesOf("aé😀b", 3), 7U);
   EXPECT_EQ(characterStart("aé", 2), 1U);
 }
 
 TEST(Pieces, TheFastEncoderGivesWhatTheDefinitionGives) {
   Vocabulary vocabulary;
   // "Improper" neighbours on purpose: abc by a+bc, with ab younger than bc.
-  for (unsigned octet = 0; octet < 256; ++octet) {
-    const char c = static_cast<char>(octet);
-    vocabulary.add(octet, {&c, 1});
+  for (unsigned byte = 0; byte < 256; ++byte) {
+    const char c = static_cast<char>(byte);
+    vocabulary.add(byte, {&c, 1});
   }
   TokenId next = 256;
   for (const char* token : {"aa", "bc", "ab", "abc", "aaaa", "ba", "aab", "cabc", "aaa", "caa"})
@@ -174,9 +174,9 @@
   // "abc" is made by ab+c before "ab" may be made: the definition gives a, b, c for "abc" by rank 1, ab by
   // rank 2.
   Vocabulary vocabulary;
-  for (unsigned octet = 0; octet < 256; ++octet) {
-    const char c = static_cast<char>(octet);
-    vocabulary.add(octet, {&c, 1});
+  for (unsigned byte = 0; byte < 256; ++byte) {
+    const char c = static_cast<char>(byte);
+    vocabulary.add(byte, {&c, 1});
   }
   vocabulary.add(256, "ab");
   vocabulary.add(257, "abc");
@@ -199,7 +199,7 @@
 
 TEST(Pieces, RandomTextsAgreeWithTheStandInsOwnWay) {
   const auto t = made();
-  const standin::OwnTokeniser own("made", "1", ranks(), knownPattern("cl100k_base"));
+  const fake_engine::OwnTokeniser own("made", "1", ranks(), knownPattern("cl100k_base"));
   Workspace workspace;
   for (std::uint64_t seed = 0; seed < 2000; ++seed) {
     const string text = drawText(seed, 1 + seed % 60);
@@ -218,9 +218,9 @@
     EXPECT_EQ(decode(*t, ids), text);
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
   };
-  const auto repeat = [](const string& unit, std::size_t octets) {
+  const auto repeat = [](const string& unit, std::size_t bytes) {
     string out;
-    while (out.size() < octets) out += unit;
+    while (out.size() < bytes) out += unit;
     return out;
   };
   for (const string& unit : {string("a"), string(" "), string("\n"), string("e\u0301"), string("😀"),
@@ -327,9 +327,9 @@
     string text = file();
     const std::size_t at = text.find(from);
     EXPECT_NE(at, string::npos) << from;
-    return trouble(text.replace(at, from.size(), to));
+    return error(text.replace(at, from.size(), to));
   };
-  EXPECT_EQ(trouble(file()), "none");
+  EXPECT_EQ(error(file()), "none");
   EXPECT_EQ(replaced("\"truncation\":null", "\"truncation\":{}"), "file: truncation: is not supported");
   EXPECT_EQ(replaced("\"version\":\"1.0\"", "\"version\":\"1.0\",\"colour\":1"),
             "file: colour: is not known");
@@ -360,8 +360,8 @@
             "file: model.vocab: no token for the octet 65: not a byte-level vocabulary");
   EXPECT_EQ(replaced("\"decoder\":{\"type\":\"ByteLevel\"}", "\"decoder\":{\"type\":\"Metaspace\"}"),
             "file: decoder.type: \"Metaspace\" is not supported; ByteLevel is");
-  EXPECT_NE(trouble("{"), "none");
-  EXPECT_NE(trouble(string(100'000, '[')), "none");
+  EXPECT_NE(error("{"), "none");
+  EXPECT_NE(error(string(100'000, '[')), "none");
 }
 
 TEST(HuggingFace, ComposesFirstWhereTheFileSaysSo) {
@@ -377,13 +377,13 @@
 TEST(Ranks, ErrorsNameTheLine) {
   FileOptions options;
   options.pattern = "cl100k_base";
-  const auto what = [&](const string& octets) -> string {
+  const auto what = [&](const string& bytes) -> string {
     try {
-      readRanks("file", octets, options);
+      readRanks("file", bytes, options);
     } catch (const FileError& e) { return e.what(); }
     return "none";
   };
-  const string good = standin::madeRanks(1, 20);
+  const string good = fake_engine::madeRanks(1, 20);
   EXPECT_EQ(what(good), "none");
   EXPECT_EQ(what(good + "QUI"), "file: line 277: no token in base 64 and its rank");
   EXPECT_EQ(what(good + "QUI 5"), "file: line 277: no token in base 64 and its rank");
--- a/tests/watch_test.cpp
+++ b/tests/watch_test.cpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
+#include "platform/discovery/endpoint_list.h"
 #include "platform/discovery/object_splitter.h"
-#include "platform/discovery/target_list.h"
 #include "platform/discovery/watch_policy.h"
 
 namespace garnethook::platform {
@@ -40,7 +40,7 @@
   for (const std::size_t piece : {1, 7, 1000}) {
     const auto got = cut("\n" + list + "\n\n" + list + "\n", piece);
     ASSERT_EQ(got, (std::vector<std::string>{list, list}));
-    const auto update = parseTargets(got[0]);
+    const auto update = parseEndpointList(got[0]);
     EXPECT_EQ(update.version, 4);
     ASSERT_EQ(update.engines.size(), 1u);
     EXPECT_EQ(update.engines[0].host, "h");
--- a/tests/writing_test.cpp
+++ b/tests/writing_test.cpp
@@ -6,16 +6,17 @@
 namespace garnethook::test {
 namespace {
 
-std::vector<ServerEntry> fleet() {
-  return {server(1, kReader, 0), server(11, kWriter, 0), server(12, kWriter, 0), server(13, kWriter, 1)};
+std::vector<EndpointEntry> fleet() {
+  return {endpoint(1, kReader, 0), endpoint(11, kWriter, 0), endpoint(12, kWriter, 0),
+          endpoint(13, kWriter, 1)};
 }
 
 void readOne(Driver& d, std::uint64_t id, double tokens = 1000) {
-  auto ask = d.request(id);
-  ask.promptTokens = tokens;
-  d.give(ask);
+  auto request = d.request(id);
+  request.promptTokens = tokens;
+  d.give(request);
   d.pass(50 * kMs);
-  d.end(id, Outcome::readDone);
+  d.end(id, Outcome::prefillDone);
 }
 
 TEST(Writing, TakesTheRoomierWriterOfTheCell) {
@@ -33,8 +34,8 @@
   d.list(fleet());
   for (std::uint64_t id = 1; id <= 2; ++id) {
     readOne(d, id);
-    AttemptEnded done{.id = {id}, .attempt = 1, .server = {d.sentTo(id)}, .outcome = Outcome::served};
-    done.last = true;
+    AttemptEnded done{.id = {id}, .attempt = 1, .endpoint = {d.sentTo(id)}, .outcome = Outcome::completed};
+    done.requestEnded = true;
     done.report = LoadReport{.memoryShare = d.sentTo(id) == 11 ? 0.8 : 0.2};
     d.give(done);
   }
@@ -47,8 +48,8 @@
   d.list(fleet());
   for (std::uint64_t id = 1; id <= 2; ++id) {
     readOne(d, id);
-    AttemptEnded done{.id = {id}, .attempt = 1, .server = {d.sentTo(id)}, .outcome = Outcome::served};
-    done.last = true;
+    AttemptEnded done{.id = {id}, .attempt = 1, .endpoint = {d.sentTo(id)}, .outcome = Outcome::completed};
+    done.requestEnded = true;
     done.report = LoadReport{.memoryShare = 0.99};
     d.give(done);
   }
@@ -59,43 +60,43 @@
 TEST(Writing, WithoutRoomAStateWaitsWithinTheReleaseTime) {
   auto s = settings();
   Driver d(s);
-  d.list({server(1, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
   readOne(d, 1);
   d.give(d.request(2));
-  AttemptEnded done{.id = {1}, .attempt = 1, .server = {11}, .outcome = Outcome::served};
-  done.last = true;
+  AttemptEnded done{.id = {1}, .attempt = 1, .endpoint = {11}, .outcome = Outcome::completed};
+  done.requestEnded = true;
   done.report = LoadReport{.memoryShare = 1};
   d.give(done);
   d.pass(50 * kMs);
-  d.end(2, Outcome::readDone);
+  d.end(2, Outcome::prefillDone);
   EXPECT_EQ(d.count<Send>(2), 1);
-  d.pass(s.releaseWithin);
+  d.pass(s.kvReleaseTimeout);
   EXPECT_EQ(d.count<Send>(2), 2);  // sent at the last look all the same
 }
 
 TEST(Writing, WithoutRoomAnywhereNothingNewIsLetIn) {
   Driver d(settings());
-  d.list({server(1, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
   readOne(d, 1);
-  AttemptEnded done{.id = {1}, .attempt = 1, .server = {11}, .outcome = Outcome::served};
-  done.last = true;
+  AttemptEnded done{.id = {1}, .attempt = 1, .endpoint = {11}, .outcome = Outcome::completed};
+  done.requestEnded = true;
   done.report = LoadReport{.memoryShare = 0.97};
   d.give(done);
   d.give(d.request(2));
   EXPECT_EQ(d.count<Send>(2), 0);
-  EXPECT_EQ(d.count<Refuse>(2), 1);
+  EXPECT_EQ(d.count<Reject>(2), 1);
 }
 
 TEST(Writing, AMissingStateBlamesTheStateAndIsReadAnew) {
   Driver d(settings());
-  d.list({server(1, kReader), server(2, kReader), server(11, kWriter)});
+  d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(11, kWriter)});
   d.give(d.request(1));
   const auto reader = d.sentTo(1);
-  d.end(1, Outcome::readDone);
+  d.end(1, Outcome::prefillDone);
   EXPECT_EQ(d.sentTo(1), 11u);
-  d.end(1, Outcome::full, 0, true);
+  d.end(1, Outcome::rejected, 0, true);
   EXPECT_EQ(d.sentTo(1), reader == 1 ? 2u : 1u);
-  d.end(1, Outcome::readDone);
+  d.end(1, Outcome::prefillDone);
   EXPECT_EQ(d.sentTo(1), 11u);  // not blamed
 }
 
@@ -104,7 +105,7 @@
   d.list(fleet());
   readOne(d, 1);
   const auto first = d.sentTo(1);
-  d.end(1, Outcome::full);
+  d.end(1, Outcome::rejected);
   EXPECT_NE(d.sentTo(1), first);
   EXPECT_EQ(d.count<Send>(1), 3);
 }
@@ -116,8 +117,8 @@
   std::map<std::uint64_t, int> chosen;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Driver d(s, seed);
-    d.list({server(1, kReader), server(11, kWriter), server(12, kWriter), server(13, kWriter),
-            server(14, kWriter)});
+    d.list({endpoint(1, kReader), endpoint(11, kWriter), endpoint(12, kWriter), endpoint(13, kWriter),
+            endpoint(14, kWriter)});
     readOne(d, 1);
     ++chosen[d.sentTo(1)];
   }
@@ -129,8 +130,8 @@
   auto s = settings();
   s.routers = 100;
   Driver d(s);
-  d.list({server(1, kReader, 0), server(11, kWriter, 0), server(12, kWriter, 1), server(13, kWriter, 1),
-          server(14, kWriter, 1), server(15, kWriter, 1)});
+  d.list({endpoint(1, kReader, 0), endpoint(11, kWriter, 0), endpoint(12, kWriter, 1),
+          endpoint(13, kWriter, 1), endpoint(14, kWriter, 1), endpoint(15, kWriter, 1)});
   for (std::uint64_t id = 1; id <= 2; ++id) {
     readOne(d, id, 2000);
     EXPECT_EQ(d.sentTo(id), 11u);
@@ -144,17 +145,17 @@
 TEST(Mixed, AnswersThatStreamForLongEarnASmallerShare) {
   const auto whole = [](Micros atMixed) {
     Driver d(settings());
-    d.list({server(1, kReader), server(2, kReader), server(11, kWriter), server(21, kMixed)});
+    d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(11, kWriter), endpoint(21, kMixed)});
     int count = 0;
     for (std::uint64_t id = 1; id <= 200; ++id) {
       d.give(d.request(id));
       const bool mixed = d.sentTo(id) == 21;
       count += mixed && id > 100 ? 1 : 0;
       d.pass(50 * kMs);
-      if (!mixed) d.end(id, Outcome::readDone);
+      if (!mixed) d.end(id, Outcome::prefillDone);
       d.give(StreamStarted{{id}, d.count<Send>(id) - 1});
       d.pass(d.sentTo(id) == 21 ? atMixed : 500 * kMs);
-      d.end(id, Outcome::served);
+      d.end(id, Outcome::completed);
     }
     return count;
   };
