--- a/scripts/check-docs.sh
+++ b/scripts/check-docs.sh
@@ -4,8 +4,14 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 paths=("$@")
-((${#paths[@]})) || paths=(src/policy src/routing src/membership src/deployment_config src/simulator_adapter src/platform)
-warnings=$({ cat scripts/doxygen-check.conf; echo "INPUT = ${paths[*]}"; } | doxygen - 2>&1 >/dev/null || true)
+((${#paths[@]})) || paths=(src/config src/log)
+output=$(mktemp -d)
+trap 'rm -rf "$output"' EXIT
+warnings=$({
+  cat scripts/doxygen-check.conf
+  echo "OUTPUT_DIRECTORY = $output"
+  echo "INPUT = ${paths[*]}"
+} | doxygen - 2>&1 >/dev/null)
 if [ -n "$warnings" ]; then
   printf '%s\n' "$warnings" | sed "s|$PWD/||"
   exit 1
--- a/scripts/check-tidy.sh
+++ b/scripts/check-tidy.sh
@@ -6,7 +6,7 @@
 build=$1
 shift
 # Packages that are finished, and the rest, which is named so that nobody takes it for checked.
-finished=(src/policy src/routing src/membership src/deployment_config src/simulator_adapter src/platform)
+finished=(src/config src/log)
 pending=()
 for folder in src/*/; do
   folder=${folder%/}
@@ -15,5 +15,5 @@
 echo "clang-tidy: not yet covered: ${pending[*]}"
 files=("$@")
 ((${#files[@]})) || mapfile -t files < <(git ls-files "${finished[@]/%/\/*.cpp}")
-printf '%s\n' "${files[@]}" | xargs -P "${TIDY_JOBS:-2}" -n 2 clang-tidy -p "$build" --quiet
+printf '%s\n' "${files[@]}" | xargs -P "${TIDY_JOBS:-$(nproc)}" -n 2 clang-tidy -p "$build" --quiet
 echo "clang-tidy: ${#files[@]} files clean"
--- a/src/config/file_text.cpp
+++ b/src/config/file_text.cpp
@@ -3,51 +3,68 @@
 #include <fcntl.h>
 #include <unistd.h>
 
-#include <array>
 #include <cerrno>
 #include <chrono>
+#include <span>
 #include <system_error>
 #include <thread>
+#include <vector>
 
 namespace garnethook::config {
 namespace {
 
-constexpr int kTries = 24;
-constexpr std::chrono::milliseconds kPause{2};
+constexpr int kMaxAttempts = 24;
+constexpr std::chrono::milliseconds kRetryInterval{2};
+constexpr std::size_t kBufferBytes = std::size_t{64} * 1024;
 
-// Reads it once; an error number where that fails.
+// A descriptor that is closed with its owner.
+class OpenFile {
+ public:
+  explicit OpenFile(const std::string& path) : descriptor_(::open(path.c_str(), O_RDONLY | O_CLOEXEC)) {}
+  ~OpenFile() {
+    if (isOpen()) ::close(descriptor_);
+  }
+  OpenFile(const OpenFile&) = delete;
+  OpenFile& operator=(const OpenFile&) = delete;
+
+  bool isOpen() const { return descriptor_ >= 0; }
+  ssize_t read(std::span<char> buffer) const { return ::read(descriptor_, buffer.data(), buffer.size()); }
+
+ private:
+  int descriptor_;
+};
+
+// Reads the file once into `text`; returns 0, or the error number where that fails.
 int readOnce(const std::string& path, std::string& text) {
   text.clear();
-  const int file = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
-  if (file < 0) return errno;
-  std::array<char, 64 * 1024> piece;  // NOLINT: filled by the read
-  int error = 0;
-  while (error == 0) {
-    const auto count = ::read(file, piece.data(), piece.size());
-    if (count == 0) break;
+  const OpenFile file(path);
+  if (!file.isOpen()) return errno;
+  std::vector<char> buffer(kBufferBytes);
+  while (true) {
+    const auto count = file.read(buffer);
+    if (count == 0) return 0;
     if (count > 0)
-      text.append(piece.data(), static_cast<std::size_t>(count));
+      text.append(buffer.data(), static_cast<std::size_t>(count));
     else if (errno != EINTR)
-      error = errno;
+      return errno;
   }
-  ::close(file);
-  return error;
 }
 
 }  // namespace
 
-bool mayPass(int error) {
+bool isTransientError(int error) {
   return error == EINTR || error == EAGAIN || error == EMFILE || error == ENFILE || error == ENOMEM ||
          error == ENOBUFS || error == EIO;
 }
 
 std::string readFileText(const std::string& path) {
   std::string text;
-  for (int tries = 1;; ++tries) {
+  for (int attempt = 1;; ++attempt) {
     const int error = readOnce(path, text);
     if (error == 0) return text;
-    if (tries == kTries || !mayPass(error)) throw std::system_error(error, std::generic_category(), path);
-    std::this_thread::sleep_for(kPause);
+    if (attempt == kMaxAttempts || !isTransientError(error))
+      throw std::system_error(error, std::generic_category(), path);
+    std::this_thread::sleep_for(kRetryInterval);
   }
 }
 
--- a/src/config/file_text.h
+++ b/src/config/file_text.h
@@ -11,6 +11,6 @@
 std::string readFileText(const std::string& path);
 
 /// Whether reading a file may succeed a moment after it failed with this error number.
-bool mayPass(int error);
+bool isTransientError(int error);
 
 }  // namespace garnethook::config
--- a/src/config/json_depth.h
+++ b/src/config/json_depth.h
@@ -1,4 +1,4 @@
-// Guard against texts nested so deep that code walking the parsed value would run out of stack.
+/// Guards against JSON texts nested so deep that code that walks the parsed value would run out of stack.
 #pragma once
 
 #include <algorithm>
@@ -6,10 +6,11 @@
 
 namespace garnethook::config {
 
+/// Deepest nesting that is accepted.
 constexpr unsigned kDeepest = 64;
 
-// Deepest nesting of objects and arrays in JSON text, in one pass; what stands in strings does not count.
-// For texts without comments.
+/// Deepest nesting of objects and arrays in JSON text without comments, in one pass. Brackets in strings do
+/// not count.
 inline unsigned jsonDepth(std::string_view text) {
   unsigned depth = 0;
   unsigned deepest = 0;
--- a/src/config/json_file.cpp
+++ b/src/config/json_file.cpp
@@ -7,25 +7,13 @@
 
 #include "config/file_text.h"
 #include "config/json_depth.h"
+#include "config/json_line_index.h"
 
 namespace garnethook::config {
 namespace {
 
 using nlohmann::json;
 
-std::string escaped(std::string_view key) {  // RFC 6901
-  std::string out;
-  for (const char c : key) {
-    if (c == '~')
-      out += "~0";
-    else if (c == '/')
-      out += "~1";
-    else
-      out.push_back(c);
-  }
-  return out;
-}
-
 bool deeperThan(const json& value, unsigned levels) {
   if (!value.is_structured()) return false;
   if (levels == 0) return true;
@@ -33,78 +21,8 @@
                      [&](const json& item) { return deeperThan(item, levels - 1); });
 }
 
-// Notes the line on which each value begins. Runs on text that the parser accepted.
-class LineFinder {
- public:
-  LineFinder(std::string_view text, std::map<std::string, int>& lines) : text_(text), lines_(lines) {
-    value("");
-  }
-
- private:
-  void skip() {
-    while (at_ < text_.size()) {
-      const char c = text_[at_];
-      if (c == '\n') ++line_;
-      if (c == '/' && at_ + 1 < text_.size() && text_[at_ + 1] == '/') {
-        while (at_ < text_.size() && text_[at_] != '\n') ++at_;
-      } else if (c == '/' && at_ + 1 < text_.size() && text_[at_ + 1] == '*') {
-        const auto end = std::min(text_.find("*/", at_ + 2), text_.size() - 2);
-        line_ += static_cast<int>(std::count(text_.begin() + static_cast<std::ptrdiff_t>(at_),
-                                             text_.begin() + static_cast<std::ptrdiff_t>(end), '\n'));
-        at_ = end + 2;
-      } else if (c == ' ' || c == '\t' || c == '\r' || c == '\n') {
-        ++at_;
-      } else {
-        return;
-      }
-    }
-  }
-  std::string string() {
-    const auto start = at_++;
-    while (at_ < text_.size() && text_[at_] != '"') at_ += text_[at_] == '\\' ? 2 : 1;
-    ++at_;
-    return json::parse(text_.substr(start, at_ - start)).get<std::string>();
-  }
-  void value(const std::string& pointer) {
-    skip();
-    if (at_ >= text_.size()) return;
-    lines_[pointer] = line_;
-    if (text_[at_] == '{' || text_[at_] == '[') {
-      const bool object = text_[at_++] == '{';
-      for (int i = 0; at_ < text_.size(); ++i) {
-        skip();
-        if (at_ >= text_.size() || text_[at_] == '}' || text_[at_] == ']') break;
-        std::string key = std::to_string(i);
-        if (object) {
-          const int line = line_;
-          key = escaped(string());
-          skip();
-          ++at_;  // the colon
-          value(pointer + "/" + key);
-          lines_[pointer + "/" + key] = line;
-        } else {
-          value(pointer + "/" + key);
-        }
-        skip();
-        if (at_ < text_.size() && text_[at_] == ',') ++at_;
-      }
-      ++at_;
-    } else if (text_[at_] == '"') {
-      string();
-    } else {
-      while (at_ < text_.size() && std::string_view(",]}/ \t\r\n").find(text_[at_]) == std::string_view::npos)
-        ++at_;
-    }
-  }
-
-  std::string_view text_;
-  std::map<std::string, int>& lines_;
-  std::size_t at_ = 0;
-  int line_ = 1;
-};
-
-// For people: "classes[0].aim_ms".
-std::string readable(std::string_view pointer) {
+// A pointer as people write it: "classes[0].aim_ms".
+std::string readablePath(std::string_view pointer) {
   std::string out;
   while (!pointer.empty()) {
     pointer.remove_prefix(1);
@@ -121,7 +39,7 @@
   return out.empty() ? "(file)" : out;
 }
 
-std::string shown(double value) {
+std::string formatNumber(double value) {
   std::ostringstream out;
   out << value;
   return out.str();
@@ -140,16 +58,15 @@
     std::string error = e.what();
     if (const auto colon = error.find("syntax error"); colon != std::string::npos) error.erase(0, colon);
     throw Error(file->name_ + ":" + std::to_string(line) + ": " + error);
-  }
-  // A number too large for a double: not a syntax error to the library, and it knows no place.
-  catch (const json::exception& e) {
+  } catch (const json::exception& e) {
+    // A number too large for a double is no syntax error to the library, which gives no position for it.
     throw Error(file->name_ + ":1: (file): " + e.what());
   }
-  // By the parsed value, not the text: comments may hold anything. nlohmann parses without recursion; this
-  // and what reads the value later do not.
+  // The depth is taken from the parsed value, as comments in the text may contain anything. The library
+  // parses without recursion; this check and the readers of the value recurse.
   if (deeperThan(file->root_, kDeepest)) throw Error(file->name_ + ":1: (file): nested too deep");
   if (!file->root_.is_object()) throw Error(file->name_ + ":1: (file): an object is wanted");
-  LineFinder(text, file->lines_);
+  file->lines_ = indexLines(text);
   return file;
 }
 
@@ -159,7 +76,7 @@
     text = readFileText(path);
   } catch (const std::system_error& e) {
     const std::string error = path + ": can't be read: " + e.code().message();
-    if (mayPass(e.code().value())) throw UnavailableError(error);
+    if (isTransientError(e.code().value())) throw UnavailableError(error);
     throw Error(error);
   }
   return parse(path, text);
@@ -170,37 +87,37 @@
   return at == lines_.end() ? 1 : at->second;
 }
 
-Node::Node(std::shared_ptr<const JsonFile> file) : Node(file, &file->root(), "") {}
+Node::Node(const std::shared_ptr<const JsonFile>& file) : Node(file, &file->root(), "") {}
 
 Node::Node(std::shared_ptr<const JsonFile> file, const json* value, std::string pointer)
     : file_(std::move(file)),
       value_(value),
       pointer_(std::move(pointer)),
-      asked_(std::make_shared<std::set<std::string, std::less<>>>()) {}
+      readKeys_(std::make_shared<std::set<std::string, std::less<>>>()) {}
 
 void Node::fail(std::string_view error) const {
-  throw Error(file_->name() + ":" + std::to_string(file_->line(pointer_)) + ": " + readable(pointer_) + ": " +
-              std::string(error));
+  throw Error(file_->name() + ":" + std::to_string(file_->line(pointer_)) + ": " + readablePath(pointer_) +
+              ": " + std::string(error));
 }
 
 void Node::failAt(std::string_view key, std::string_view error) const {
-  const std::string pointer = pointer_ + "/" + escaped(key);
+  const std::string pointer = pointer_ + "/" + escapePointerToken(key);
   const bool present = value_->is_object() && value_->contains(key);
   throw Error(file_->name() + ":" + std::to_string(file_->line(present ? pointer : pointer_)) + ": " +
-              readable(pointer) + ": " + std::string(error));
+              readablePath(pointer) + ": " + std::string(error));
 }
 
 const json* Node::member(std::string_view key) const {
   if (value_->is_null()) return nullptr;
   if (!value_->is_object()) fail("an object is wanted");
-  asked_->emplace(key);
+  readKeys_->emplace(key);
   const auto at = value_->find(key);
   return at == value_->end() ? nullptr : &*at;
 }
 
 Node Node::child(std::string_view key, const json* value) const {
   static const json nothing;
-  return {file_, value == nullptr ? &nothing : value, pointer_ + "/" + escaped(key)};
+  return {file_, value == nullptr ? &nothing : value, pointer_ + "/" + escapePointerToken(key)};
 }
 
 bool Node::has(std::string_view key) const { return member(key) != nullptr; }
@@ -254,7 +171,8 @@
   if (!value->is_number()) failAt(key, "a number is wanted");
   const double number = value->get<double>();
   if (!(number >= least && number <= most))
-    failAt(key, shown(number) + " is not between " + shown(least) + " and " + shown(most));
+    failAt(key,
+           formatNumber(number) + " is not between " + formatNumber(least) + " and " + formatNumber(most));
   return number;
 }
 
@@ -300,7 +218,7 @@
   if (value_->is_null()) return;
   if (!value_->is_object()) fail("an object is wanted");
   for (const auto& [key, value] : value_->items())
-    if (!asked_->contains(key)) failAt(key, "is not a setting");
+    if (!readKeys_->contains(key)) failAt(key, "is not a setting");
 }
 
 }  // namespace garnethook::config
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -17,7 +17,7 @@
   logger->set_pattern(R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l","router":"%n",%v})",
                       spdlog::pattern_time_type::utc);
   logger->flush_on(spdlog::level::warn);
-  const Log log(std::move(logger));
+  Log log(std::move(logger));
   log.setLevel(level);
   return log;
 }
@@ -28,7 +28,7 @@
 
 void Log::setLevel(const std::string& level) const { logger_->set_level(spdlog::level::from_str(level)); }
 
-void Log::write(spdlog::level::level_enum level, const char* event, Fields fields) const {
+void Log::write(spdlog::level::level_enum level, const char* event, const Fields& fields) const {
   if (!logger_->should_log(level)) return;
   Fields line{{"event", event}};
   line.update(fields);
--- a/src/log/stderr_sink.h
+++ b/src/log/stderr_sink.h
@@ -1,7 +1,7 @@
-/// Standard error as a target of log lines that never holds the program up.
+/// Standard error as a target of log lines that never blocks the program.
 ///
-/// Whoever reads the other end of a pipe may be slow, stopped or gone. A line that the pipe does not take at
-/// once is dropped; how many were is told by the first line behind them. Files and terminals take every line.
+/// The reader of a pipe may be slow, stopped or gone. A line that the pipe does not accept at once is
+/// dropped; the next line that is written reports how many were. Files and terminals accept every line.
 #pragma once
 
 #include <spdlog/details/null_mutex.h>
@@ -12,20 +12,24 @@
 
 namespace garnethook::log {
 
+/// The sink; for one thread.
 class StderrSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
+  /// Lines dropped since the start.
   std::uint64_t dropped() const { return dropped_; }
 
  protected:
+  /// Writes a formatted line, or drops it.
   void sink_it_(const spdlog::details::log_msg& message) override;
+  /// Nothing is buffered.
   void flush_() override {}
 
  private:
-  // False: there is no room now, or the line went out in part.
+  // Returns false where there is no room now, or the line went out in part.
   static bool write(std::string_view text);
-  std::uint64_t dropped_ = 0;  // in all
-  std::uint64_t untold_ = 0;   // and of them since the latest word on it
-  bool midway_ = false;        // the latest line went out in part
+  std::uint64_t dropped_ = 0;
+  std::uint64_t unreportedDrops_ = 0;  // dropped since the last line that reported drops
+  bool lastLineIncomplete_ = false;
 };
 
 }  // namespace garnethook::log
