--- a/src/platform/http_frontend/http_frontend.cpp
+++ b/src/platform/http_frontend/http_frontend.cpp
@@ -1,6 +1,7 @@
 #include "platform/http_frontend/http_frontend.h"
 
 #include <algorithm>
+#include <tuple>
 #include <utility>
 #include <vector>
 
@@ -17,100 +18,112 @@
       deployment_(deployment),
       router_(router),
       events_(std::move(events)),
-      roomAlarm_(loop),
-      listener_(loop, address, [this](Poco::Net::StreamSocket socket) { accept(std::move(socket)); }) {}
+      bodyBudget_(options.maxBufferedBytes),
+      pipelinedBudget_(options.maxBufferedBytes),
+      capacityAlarm_(loop),
+      listener_(loop, address, [this](const Poco::Net::StreamSocket& socket) { accept(socket); }) {}
 
-HttpFrontend::~HttpFrontend() {
-  *alive_ = false;
-  connections_.clear();
-}
+// The connections use the members declared after them.
+HttpFrontend::~HttpFrontend() { connections_.clear(); }
 
-void HttpFrontend::noteClose(CloseReason reason, std::string_view trace, bool owed) {
+void HttpFrontend::reportClose(CloseReason reason, std::string_view traceId, bool owesResponse) {
   ++counters_.closed[static_cast<std::size_t>(reason)];
-  if (owed) ++counters_.closedUnanswered;
-  events_.closed(reason, trace, owed);
+  if (owesResponse) ++counters_.closedUnanswered;
+  events_.closed(reason, traceId, owesResponse);
 }
 
-// Those whose end this side has told wait for their peers to close, as long as there are descriptors for
-// them.
-void HttpFrontend::ending(Connection& connection) {
-  ending_.push_back(&connection);
-  boundLingering();
+// Connections that are shut down wait for their clients to close, as long as there are descriptors for them.
+void HttpFrontend::onLingering(Connection& connection) {
+  lingering_.push_back(&connection);
+  limitLingering();
 }
 
-void HttpFrontend::boundLingering() {
-  const std::size_t most = options_.connections.connections + options_.lingering;
-  if (connections_.size() > most && !ending_.empty()) ending_.front()->gone(CloseReason::stopped);
+void HttpFrontend::limitLingering() {
+  const std::size_t limit = options_.connections.maxConnections + options_.maxLingeringConnections;
+  if (connections_.size() > limit && !lingering_.empty()) lingering_.front()->close(CloseReason::stopped);
 }
 
-void HttpFrontend::accept(Poco::Net::StreamSocket socket) {
+void HttpFrontend::accept(const Poco::Net::StreamSocket& socket) {
   ++counters_.accepted;
   try {
-    const Micros waited = loop_.now() - listener_.backlogSince().value_or(loop_.now());
-    auto own = std::make_unique<Connection>(*this, std::move(socket), waited);
-    Connection* key = own.get();
-    connections_.emplace(key, std::move(own));
-    if (draining_) key->drain(false);
-  } catch (const Poco::Exception&) {  // the client is gone already
+    const Micros acceptDelay = loop_.now() - listener_.backlogSince().value_or(loop_.now());
+    auto owned = std::make_unique<Connection>(*this, socket, acceptDelay);
+    Connection* const connection = owned.get();
+    connections_.emplace(connection, std::move(owned));
+    if (isDraining_) connection->drain(false);
+  } catch (const Poco::Exception&) {  // the client has gone already
   }
-  boundLingering();
+  limitLingering();
   makeRoom();
 }
 
-// Room for the next connection is made ahead. Where none may go yet, whoever comes waits in the system's
-// queue.
+// Room for the next connection is made in advance. Where no connection may be evicted yet, new ones stay in
+// the system's accept queue.
 void HttpFrontend::makeRoom() {
-  if (!policy_.full(connections_.size() - ending_.size()) || evictOne()) return listener_.resume();
+  if (!policy_.isFull(connections_.size() - lingering_.size()) || evictOne()) return listener_.resume();
   ++counters_.overfull;
   listener_.pause();
-  roomAlarm_.start(policy_.options().retryPause, [this] { makeRoom(); });
+  capacityAlarm_.start(policy_.options().capacityRetryInterval, [this] { makeRoom(); });
 }
 
-// The connection that has stood longest without a request goes, silent ones before those that have been used;
-// never one of which something waits unread.
+// Evicts the connection that has been without a request for the longest time, unused ones before idle ones;
+// never one that has unread input.
 bool HttpFrontend::evictOne() {
+  struct Candidate {
+    bool hasBeenUsed = false;
+    Micros lastResponseAt = 0;
+    Connection* connection = nullptr;
+    bool operator<(const Candidate& other) const {
+      return std::tie(hasBeenUsed, lastResponseAt, connection) <
+             std::tie(other.hasBeenUsed, other.lastResponseAt, other.connection);
+    }
+  };
   const Micros now = loop_.now();
-  std::vector<std::pair<std::pair<bool, Micros>, Connection*>> order;
-  for (const auto& [c, own] : connections_)
-    if (policy_.mayEvict(c->standing(), now - c->since()))
-      order.push_back({{c->standing() != ConnectionPolicy::Standing::fresh, c->since()}, c});
-  constexpr std::ptrdiff_t kLooks = 8;  // each asks the system
-  const auto looks = order.begin() + std::min(std::ssize(order), kLooks);
-  std::partial_sort(order.begin(), looks, order.end());
-  for (auto at = order.begin(); at != looks; ++at) {
-    if (!at->second->quiet()) continue;
+  std::vector<Candidate> candidates;
+  for (const auto& [connection, owned] : connections_) {
+    const auto activity = connection->activity();
+    if (policy_.mayEvict(activity, now - connection->lastResponseAt()))
+      candidates.push_back(
+          {activity != ConnectionPolicy::Activity::unused, connection->lastResponseAt(), connection});
+  }
+  constexpr std::ptrdiff_t kMaxChecked = 8;  // each check is a system call
+  const auto checkedEnd = candidates.begin() + std::min(std::ssize(candidates), kMaxChecked);
+  std::partial_sort(candidates.begin(), checkedEnd, candidates.end());
+  for (auto candidate = candidates.begin(); candidate != checkedEnd; ++candidate) {
+    if (!candidate->connection->isQuiet()) continue;
     ++counters_.evicted;
-    at->second->end(net::Stream::Inbound::leave, CloseReason::evicted);
+    candidate->connection->lingeringClose(net::Stream::Inbound::leave, CloseReason::evicted);
     return true;
   }
   return false;
 }
 
-// It may be the one that calls: it ends in the loop's next turn.
-void HttpFrontend::closed(Connection& connection) {
-  const auto at = connections_.find(&connection);
-  if (at == connections_.end()) return;
-  std::erase(ending_, &connection);
-  loop_.post([own = std::shared_ptr<Connection>(std::move(at->second)), alive = alive_] {});
-  connections_.erase(at);
+// The connection may be the caller, so it is destroyed in the loop's next turn.
+void HttpFrontend::onClosed(Connection& connection) {
+  const auto found = connections_.find(&connection);
+  if (found == connections_.end()) return;
+  std::erase(lingering_, &connection);
+  loop_.post([owned = std::shared_ptr<Connection>(std::move(found->second))] {});
+  connections_.erase(found);
 }
 
-void HttpFrontend::endIdle(bool silent) {
+void HttpFrontend::drainConnections(bool includeUnused) {
   std::vector<Connection*> all;
-  for (const auto& [c, own] : connections_) all.push_back(c);
-  for (Connection* c : all) c->drain(silent);
+  all.reserve(connections_.size());
+  for (const auto& [connection, owned] : connections_) all.push_back(connection);
+  for (Connection* connection : all) connection->drain(includeUnused);
 }
 
 void HttpFrontend::drain() {
-  draining_ = true;
-  endIdle(false);
+  isDraining_ = true;
+  drainConnections(false);
 }
 
 void HttpFrontend::close() {
-  draining_ = true;
-  refusing_ = true;
+  isDraining_ = true;
+  refusesRequests_ = true;
   listener_.close();
-  endIdle(true);
+  drainConnections(true);
 }
 
 }  // namespace garnethook::platform
--- a/src/platform/http_frontend/request_decoder.h
+++ b/src/platform/http_frontend/request_decoder.h
@@ -1,4 +1,5 @@
-// A client's request, from HTTP to what the router takes, or the status that says why not. Free of I/O.
+/// @file
+/// Decodes a client's HTTP request into what the router takes, or says why it can't be served. Free of I/O.
 #pragma once
 
 #include <string>
@@ -11,20 +12,26 @@
 
 namespace garnethook::platform {
 
-struct Rejection {
-  int status = 400;
-  std::string text;
+/// Why a request can't be served, as its client is told.
+struct DecodeError {
+  int status = 400;  ///< HTTP status code of the response.
+  std::string text;  ///< The response's body: names the field at fault.
 };
 
-// Bytes and tokens that a request may have at most.
+/// Limits on one request.
 struct RequestLimits {
-  std::size_t bodyBytes = 256 * 1024;
-  double tokens = 1e6;
-  Micros longestDeadline = 3'600'000'000;
+  std::size_t bodyBytes = std::size_t{256} * 1024;  ///< Longest body.
+  double tokens = 1e6;                              ///< Most tokens that any one field may name.
+  Micros longestDeadline = 3'600'000'000;           ///< Longest time for an answer, in microseconds.
 };
 
-std::variant<routing::Request, Rejection> readRequest(const http1::Head& head, std::string body,
-                                                      const deployment_config::DeploymentConfig& deployment,
-                                                      const RequestLimits& limits = {});
+/// Decodes a request, or says why it can't be served.
+/// @param head method, target and header fields
+/// @param body the whole body
+/// @param deployment names the request classes
+/// @param limits what a request may ask for
+std::variant<routing::Request, DecodeError> decodeRequest(
+    const http1::Head& head, std::string body, const deployment_config::DeploymentConfig& deployment,
+    const RequestLimits& limits = {});
 
 }  // namespace garnethook::platform
--- a/src/platform/http_frontend/response.cpp
+++ b/src/platform/http_frontend/response.cpp
@@ -1,9 +1,12 @@
 #include "platform/http_frontend/response.h"
 
+#include <array>
+#include <charconv>
+
 namespace garnethook::platform {
 namespace {
 
-std::string_view reason(int status) {
+std::string_view reasonPhrase(int status) {
   switch (status) {
     case 200: return "OK";
     case 404: return "Not Found";
@@ -20,23 +23,38 @@
   }
 }
 
-// Seconds with milliseconds, rounded up.
-std::string seconds(Micros time) {
-  const Micros ms = (time + 999) / 1000;
-  const std::string rest = std::to_string(ms % 1000);
-  return std::to_string(ms / 1000) + "." + std::string(3 - rest.size(), '0') + rest;
+// Seconds with three decimals, rounded up.
+std::string formatSeconds(Micros time) {
+  const Micros milliseconds = (time + 999) / 1000;
+  const std::string fraction = std::to_string(milliseconds % 1000);
+  return std::to_string(milliseconds / 1000) + "." + std::string(3 - fraction.size(), '0') + fraction;
 }
 
 }  // namespace
 
 std::string responseText(const Response& response) {
   std::string out = "HTTP/1.1 " + std::to_string(response.status) + " ";
-  out.append(reason(response.status)).append("\r\nContent-Type: text/plain\r\nContent-Length: ");
+  out.append(reasonPhrase(response.status)).append("\r\nContent-Type: text/plain\r\nContent-Length: ");
   out.append(std::to_string(response.text.size() + 1)).append("\r\n");
   if (response.retryAfter > 0)
-    out.append("Retry-After: ").append(seconds(response.retryAfter)).append("\r\n");
+    out.append("Retry-After: ").append(formatSeconds(response.retryAfter)).append("\r\n");
   if (!response.keepAlive) out.append("Connection: close\r\n");
   return out.append("\r\n").append(response.text).append("\n");
 }
 
+void appendStreamHead(std::string& out, bool keepAlive) {
+  out.append("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n");
+  if (!keepAlive) out.append("Connection: close\r\n");
+  out.append("\r\n");
+}
+
+void appendChunk(std::string& out, std::string_view text) {
+  std::array<char, 20> size{};
+  const char* const sizeEnd = std::to_chars(size.data(), size.data() + size.size(), text.size(), 16).ptr;
+  out.append(size.data(), static_cast<std::size_t>(sizeEnd - size.data()))
+      .append("\r\n")
+      .append(text)
+      .append("\r\n");
+}
+
 }  // namespace garnethook::platform
--- a/src/platform/process/router_process.cpp
+++ b/src/platform/process/router_process.cpp
@@ -69,9 +69,9 @@
 
 HttpFrontend::Options RouterProcess::frontOptions(const ResourceBudget& budget) {
   HttpFrontend::Options out;
-  out.connections.connections = budget.clients;
-  out.lingering = budget.lingering;
-  out.bodiesBytes = budget.bodies;
+  out.connections.maxConnections = budget.clients;
+  out.maxLingeringConnections = budget.lingering;
+  out.maxBufferedBytes = budget.bodies;
   return out;
 }
 
--- a/tests/fuzz/codecs.cpp
+++ b/tests/fuzz/codecs.cpp
@@ -192,7 +192,7 @@
     void onEnd() override {
       deployment_config::DeploymentConfig p;
       p.classNames = {"chat"};
-      const auto out = platform::readRequest(head, std::exchange(body, {}), p);
+      const auto out = platform::decodeRequest(head, std::exchange(body, {}), p);
       if (const auto* request = std::get_if<routing::Request>(&out))
         require(!request->traceId.empty() && request->remaining > 0 && request->promptTokens >= 0 &&
                 request->sharedPrefixTokens <= request->promptTokens && request->body &&
--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -47,7 +47,7 @@
 
 TEST_P(DrainCrossing, WhatTheClientWritesBehindTheEndStaysUnread) {
   Options options;
-  options.lingerWithin = 200'000;
+  options.lingerTimeout = 200'000;
   FrontendWorld w(options);
   auto c = w.acceptedClient(rested());
   rested() ? w.front->drain() : w.front->close();
@@ -135,9 +135,9 @@
 
 Options shortTimes() {
   Options options;
-  options.connections.idleMost = options.connections.idleLeast = 100'000;
-  options.connections.requestWithin = 100'000;
-  options.lingerWithin = 100'000;
+  options.connections.maxIdleTimeout = options.connections.minIdleTimeout = 100'000;
+  options.connections.requestTimeout = 100'000;
+  options.lingerTimeout = 100'000;
   return options;
 }
 
@@ -189,11 +189,11 @@
 
 TEST(Crossing, AConnectionWithAnUnreadRequestIsNotClosedForANewOne) {
   Options options;
-  options.connections.connections = 4;
+  options.connections.maxConnections = 4;
   FrontendWorld w(options);
   std::vector<std::unique_ptr<BlockingClient>> clients;
   for (int i = 0; i < 3; ++i) clients.push_back(w.acceptedClient(true));
-  w.stall(2 * options.connections.idleCrowded);
+  w.stall(2 * options.connections.minIdleBeforeEviction);
   for (std::size_t i = 0; i < clients.size(); ++i) clients[i]->send(clientRequest("r" + std::to_string(i)));
   clients.push_back(w.client());  // the fourth and the fifth make it full
   clients.push_back(w.client());
@@ -311,7 +311,7 @@
 TEST(Crossing, TheTimeThatARequestWaitsToBeAcceptedIsTakenOffItsDeadline) {
   constexpr Micros kWait = 300'000;
   Options options;
-  options.connections.connections = 1;
+  options.connections.maxConnections = 1;
   FrontendWorld w(options);
   std::unique_ptr<BlockingClient> first;
   ASSERT_NO_FATAL_FAILURE(fill(w, first));
@@ -334,8 +334,8 @@
 // A full router looks for room again and again: none of these looks may take a connection beyond its bound.
 TEST(Crossing, AFullRouterTakesNobodyHoweverOftenItLooksForRoom) {
   Options options;
-  options.connections.connections = 1;
-  options.connections.retryPause = 1'000;
+  options.connections.maxConnections = 1;
+  options.connections.capacityRetryInterval = 1'000;
   FrontendWorld w(options);
   std::unique_ptr<BlockingClient> first;
   ASSERT_NO_FATAL_FAILURE(fill(w, first));
@@ -354,7 +354,7 @@
 
 TEST(Crossing, WhatWasKeptOfAFloodIsAnsweredBeforeTheConnectionEnds) {
   Options options;
-  options.aheadBytes = 16 * 1024;
+  options.maxPipelinedBytes = 16 * 1024;
   FrontendWorld w(options);
   w.engines.holdFirstWrite(false);
   auto c = w.acceptedClient(false);
@@ -365,7 +365,7 @@
     if (i % 10 == 0) w.turn();
   }
   w.turn();
-  EXPECT_LE(w.front->heldBytes(), options.aheadBytes + clientRequest("first").size());
+  EXPECT_LE(w.front->bufferedBytes(), options.maxPipelinedBytes + clientRequest("first").size());
   w.engines.succeed(*w.engines.held);
   ASSERT_TRUE(w.ended(*c, 10'000'000));
   EXPECT_FALSE(c->wasReset);
@@ -380,8 +380,8 @@
   constexpr int kRequests = 200;
   constexpr std::size_t kAnswerBytes = 60'000;  // more in all than the system takes for a client
   Options options;
-  options.unreadBytes = 64u << 20;
-  options.connections.requestWithin = 300'000;
+  options.maxUnreadResponseBytes = 64u << 20;
+  options.connections.requestTimeout = 300'000;
   FrontendWorld w(options);
   const std::string event = "data: " + std::string(kAnswerBytes, 'x') + "\n\n";
   w.engines.script = [&](const StubEngines::Attempt& a) {
@@ -410,19 +410,19 @@
 TEST(Crossing, BodiesThatAreStillComingCountAsThoseOfOpenRequestsDo) {
   constexpr std::size_t kBody = 20'000;
   Options options;
-  options.bodiesBytes = 2 * kBody + 10'000;
+  options.maxBufferedBytes = 2 * kBody + 10'000;
   FrontendWorld w(options);
   auto first = w.acceptedClient(false);
   auto second = w.acceptedClient(false);
   auto third = w.acceptedClient(false);
   first->send(unfinishedRequest("a", kBody, kBody - 1));
   second->send(unfinishedRequest("b", kBody, kBody - 1));
-  ASSERT_TRUE(w.until([&] { return w.front->heldBytes() == 2 * (kBody - 1); }, 1'000'000));
+  ASSERT_TRUE(w.until([&] { return w.front->bufferedBytes() == 2 * (kBody - 1); }, 1'000'000));
   third->send(unfinishedRequest("c", kBody, kBody - 1));
   ASSERT_TRUE(w.ended(*third));
   EXPECT_TRUE(third->has("HTTP/1.1 503")) << third->got;
   EXPECT_TRUE(third->has("Retry-After: "));
-  EXPECT_LE(w.front->heldBytes(), options.bodiesBytes);
+  EXPECT_LE(w.front->bufferedBytes(), options.maxBufferedBytes);
   first->close();
   second->close();
   EXPECT_TRUE(w.clean());  // and all of it is given back
--- a/tests/path/endings_test.cpp
+++ b/tests/path/endings_test.cpp
@@ -81,7 +81,7 @@
 TEST(StreamEnding, AClientThatReadsSlowlyGetsTheWholeAnswerThoughItsConnectionEnds) {
   constexpr std::size_t kBytes = 400 * 1024;
   platform::HttpFrontend::Options options;
-  options.lingerWithin = 150 * kMillisecond;
+  options.lingerTimeout = 150 * kMillisecond;
   FrontendWorld w(options);
   w.engines.holdFirstWrite(true);
   auto c = w.acceptedClient(false);
@@ -102,8 +102,8 @@
 
 TEST(ClientConnectionEnding, AClientThatGoesOnSendingBehindItsEndIsCutOff) {
   platform::HttpFrontend::Options options;
-  options.lingerBytes = 64 * 1024;
-  options.lingerWithin = 5 * kSecond;
+  options.maxLingeringInputBytes = 64 * 1024;
+  options.lingerTimeout = 5 * kSecond;
   FrontendWorld w(options);
   auto c = w.acceptedClient(false);
   c->send("nonsense\r\n\r\n");
--- /dev/null
+++ b/tests/platform/http_connection_parts_test.cpp
@@ -0,0 +1,129 @@
+// The parts of a client connection that need no socket: shared budgets, pipelined input, persistence and the
+// bounds of a lingering close.
+#include <gtest/gtest.h>
+
+#include "platform/http_frontend/byte_budget.h"
+#include "platform/http_frontend/lingering_close.h"
+#include "platform/http_frontend/persistence.h"
+#include "platform/http_frontend/pipelined_input.h"
+#include "platform/http_frontend/response.h"
+
+namespace garnethook::platform {
+namespace {
+
+TEST(ByteBudget, GivesBackWhatAReservationHeldWhenItEnds) {
+  ByteBudget budget(10);
+  {
+    ByteReservation first(budget);
+    ByteReservation second(budget);
+    EXPECT_TRUE(first.tryAdd(6));
+    EXPECT_FALSE(second.tryAdd(5));
+    EXPECT_TRUE(second.tryAdd(4));
+    EXPECT_EQ(budget.used(), 10u);
+    first.subtract(2);
+    EXPECT_EQ(first.size(), 4u);
+    second.add(5);  // held already, so the limit does not matter
+    EXPECT_EQ(budget.used(), 13u);
+    second.release();
+    EXPECT_EQ(budget.used(), 4u);
+  }
+  EXPECT_EQ(budget.used(), 0u);
+}
+
+TEST(PipelinedInput, KeepsTheOrderAndTheTimeOfArrival) {
+  ByteBudget budget(100);
+  PipelinedInput input(100, budget);
+  input.append("ab", 1'000);
+  input.append("cd", 2'000);  // soon after: the same segment
+  input.append("ef", 1'000 + PipelinedInput::kSegmentWindow);
+  EXPECT_EQ(budget.used(), 6u);
+  auto segment = input.takeFirst();
+  EXPECT_EQ(segment.unparsed(), "abcd");
+  EXPECT_EQ(segment.arrivedAt, 1'000);
+  EXPECT_EQ(budget.used(), 2u);
+  input.putBack(std::move(segment), 3);
+  EXPECT_EQ(budget.used(), 3u);
+  EXPECT_EQ(input.takeFirst().unparsed(), "d");
+  EXPECT_EQ(input.takeFirst().unparsed(), "ef");
+  EXPECT_TRUE(input.empty());
+  EXPECT_FALSE(input.hasOverflowed());
+}
+
+TEST(PipelinedInput, ThrowsAwayWhatExceedsItsOwnLimitOrTheBudgetOfAll) {
+  ByteBudget budget(8);
+  PipelinedInput limited(4, budget);
+  limited.append("12345", 0);
+  EXPECT_TRUE(limited.hasOverflowed());
+  EXPECT_TRUE(limited.empty());
+  PipelinedInput first(8, budget);
+  PipelinedInput second(8, budget);
+  first.append("12345", 0);
+  second.append("1234", 0);
+  EXPECT_FALSE(first.hasOverflowed());
+  EXPECT_TRUE(second.hasOverflowed());
+  first.clear();
+  EXPECT_EQ(budget.used(), 0u);
+}
+
+TEST(Persistence, AnnouncesTheCloseInTheLastResponse) {
+  Persistence kept;
+  EXPECT_FALSE(kept.announceClose(false));
+  EXPECT_FALSE(kept.isClosing());
+
+  Persistence draining;
+  draining.closeAfterBufferedInput();
+  EXPECT_TRUE(draining.isClosing());
+  EXPECT_FALSE(draining.announceClose(true));
+  EXPECT_FALSE(draining.isClosingAnnounced());
+  EXPECT_TRUE(draining.announceClose(false));
+  EXPECT_TRUE(draining.isClosingAnnounced());
+
+  Persistence requested;  // by the client, whatever it has sent behind that
+  requested.closeAfterCurrentRequest();
+  requested.closeAfterBufferedInput();
+  EXPECT_TRUE(requested.announceClose(true));
+}
+
+TEST(LingeringClose, WaitsOnlyWhileTheClientReadsAndNotWithoutEnd) {
+  LingeringClose idle(100);
+  idle.startInterval(0);
+  EXPECT_FALSE(idle.shouldWaitAgain(0));
+  LingeringClose stuck(100);
+  stuck.startInterval(50);
+  EXPECT_FALSE(stuck.shouldWaitAgain(50));
+  LingeringClose reading(100);
+  std::size_t unsent = 1'000;
+  int intervals = 0;
+  do {
+    reading.startInterval(unsent);
+    ++intervals;
+  } while (reading.shouldWaitAgain(--unsent));
+  EXPECT_EQ(intervals, 10);
+  EXPECT_TRUE(reading.discard(100));
+  EXPECT_FALSE(reading.discard(1));
+}
+
+// Clients and their proxies read these bytes.
+TEST(Response, IsWrittenByteForByte) {
+  EXPECT_EQ(responseText({.status = 503, .text = "not ready", .retryAfter = 1'234'001, .keepAlive = false}),
+            "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 10\r\n"
+            "Retry-After: 1.235\r\nConnection: close\r\n\r\nnot ready\n");
+  EXPECT_EQ(responseText({.text = "ready"}),
+            "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 6\r\n\r\nready\n");
+  std::string stream;
+  appendStreamHead(stream, true);
+  appendChunk(stream, "data: 0123456789\n\n");
+  stream += kLastChunk;
+  EXPECT_EQ(stream,
+            "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+            "12\r\ndata: 0123456789\n\n\r\n0\r\n\r\n");
+  std::string last;
+  appendStreamHead(last, false);
+  EXPECT_EQ(last,
+            "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
+            "Connection: close\r\n\r\n");
+  EXPECT_EQ(kContinueResponse, "HTTP/1.1 100 Continue\r\n\r\n");
+}
+
+}  // namespace
+}  // namespace garnethook::platform
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -10,8 +10,6 @@
 #include "platform/engine/protocol.h"
 #include "platform/engine/relay_exchange.h"
 #include "platform/engine/release_route.h"
-#include "platform/http_frontend/connection_policy.h"
-#include "platform/http_frontend/request_decoder.h"
 #include "platform/process/resource_budget.h"
 
 namespace garnethook::platform {
@@ -439,125 +437,6 @@
   EXPECT_TRUE(policy.mayReuse(600 * kMs, true, 60 * kSec));  // forgotten
 }
 
-// ---- front ----
-
-deployment_config::DeploymentConfig provisionOf() { return read(std::string(kConfig)).deployment; }
-
-http1::Head request(http1::Fields more = {}) {
-  http1::Head h;
-  h.method = "POST";
-  h.target = "/v1/chat/completions";
-  h.fields = {{"x-trace-id", "9b1f03aa5c7e2d41"},
-              {"x-qos", "chat"},
-              {"x-object", "7f3a"},
-              {"x-expires-in-ms", "4800"},
-              {"x-props", "prefix=5c0f,prompt_len=5120,prefix_len=2048,max_out=800"}};
-  for (auto& f : more) {
-    std::erase_if(h.fields, [&](const auto& have) { return have.name == f.name; });
-    if (f.value != "-") h.fields.push_back(std::move(f));
-  }
-  return h;
-}
-int statusOf(const http1::Head& h, const std::string& body = R"({"model":"chat"})") {
-  const auto out = readRequest(h, body, provisionOf());
-  return std::holds_alternative<Rejection>(out) ? std::get<Rejection>(out).status : 200;
-}
-
-// Engines know the repeat of a keyed request by a field of its client's.
-TEST(Intake, FurtherFieldsGoOnAndThoseOfTheConnectionDoNot) {
-  const auto fieldsOf = [](http1::Fields more) {
-    const auto out = readRequest(request(std::move(more)), "{}", provisionOf());
-    return std::get<routing::Request>(out).fields;
-  };
-  const std::string key = "idempotency-key: f1b8db70\r\n";
-  EXPECT_NE(fieldsOf({{"idempotency-key", "f1b8db70"}}).find(key), std::string::npos);
-  EXPECT_NE(fieldsOf({}).find("content-type: application/json\r\n"), std::string::npos);
-  const std::string typed = fieldsOf({{"content-type", "application/json; charset=utf-8"}});
-  EXPECT_NE(typed.find("content-type: application/json; charset=utf-8\r\n"), std::string::npos);
-  EXPECT_EQ(typed.find("content-type: application/json\r\n"), std::string::npos);
-  const std::string hops = fieldsOf({{"host", "a"},
-                                     {"connection", "x-hop, close,X-Other"},
-                                     {"x-hop", "1"},
-                                     {"x-other", "1"},
-                                     {"content-length", "2"},
-                                     {"transfer-encoding", "chunked"},
-                                     {"expect", "100-continue"},
-                                     {"te", "trailers"},
-                                     {"upgrade", "h2c"}});
-  for (const char* name : {"host", "connection", "x-hop", "x-other", "content-length", "transfer-encoding",
-                           "expect", "te", "upgrade", "x-trace-id", "x-expires-in-ms"})
-    EXPECT_EQ(("\r\n" + hops).find("\r\n" + std::string(name) + ":"), std::string::npos) << name;
-}
-
-TEST(Intake, AGoodRequestIsTaken) {
-  const auto out = readRequest(request(), R"({"model":"chat"})", provisionOf());
-  ASSERT_TRUE(std::holds_alternative<routing::Request>(out));
-  const auto& request = std::get<routing::Request>(out);
-  EXPECT_EQ(request.traceId, "9b1f03aa5c7e2d41");
-  EXPECT_EQ(request.requestClass, 0u);
-  EXPECT_EQ(request.remaining, 4'800'000);
-  EXPECT_EQ(request.session, "7f3a");
-  EXPECT_EQ(request.sharedPrefixKey, "5c0f");
-  EXPECT_DOUBLE_EQ(request.promptTokens, 5120);
-  EXPECT_DOUBLE_EQ(request.sharedPrefixTokens, 2048);
-  EXPECT_EQ(request.maxOutput, 800u);
-  EXPECT_EQ(*request.body, R"({"model":"chat"})");
-}
-
-TEST(Intake, WithoutCountsTheBodyIsMeasured) {
-  const auto out = readRequest(request({{"x-props", "-"}}), R"({"model":"chat"})", provisionOf());
-  EXPECT_DOUBLE_EQ(std::get<routing::Request>(out).promptTokens, 4);
-}
-
-TEST(Intake, WhatCantBeServedIsTurnedAway) {
-  EXPECT_EQ(statusOf(request()), 200);
-  for (const http1::Fields& bad : std::vector<http1::Fields>{
-           {{"x-trace-id", "-"}},
-           {{"x-trace-id", "a b"}},
-           {{"x-trace-id", std::string(65, 'a')}},
-           {{"x-trace-id", ""}},
-           {{"x-qos", "-"}},
-           {{"x-qos", "gold"}},
-           {{"x-expires-in-ms", "-"}},
-           {{"x-expires-in-ms", "soon"}},
-           {{"x-expires-in-ms", "-5"}},
-           {{"x-expires-in-ms", "0"}},
-           {{"x-expires-in-ms", "99999999999999999999"}},
-           {{"x-expires-in-ms", "12.5"}},
-           {{"x-props", "prompt_len=-1"}},
-           {{"x-props", "prompt_len=99999999999"}},
-           {{"x-props", "prompt_len=many"}},
-           {{"x-props", "prefix"}},
-           {{"x-trace-id", "one"}, {"x-other", "x"}, {"x-object", std::string(300, 'o')}}})
-    EXPECT_EQ(statusOf(request(bad)), 400) << bad[0].name << " " << bad[0].value;
-  auto twice = request();
-  twice.fields.push_back({"x-trace-id", "other"});
-  EXPECT_EQ(statusOf(twice), 400);
-  for (const char* body : {"", "[]", "{", R"({"model":"chat")", "text", R"({"a":1}{"b":2})"})
-    EXPECT_EQ(statusOf(request(), body), 400) << body;
-  EXPECT_EQ(statusOf(request(), R"({"a":)" + std::string(100, '[') + std::string(100, ']') + "}"), 400);
-  auto get = request();
-  get.method = "GET";
-  EXPECT_EQ(statusOf(get), 405);
-  auto elsewhere = request();
-  elsewhere.target = "/v1/other";
-  EXPECT_EQ(statusOf(elsewhere), 404);
-}
-
-TEST(ConnectionPolicy, IdleTimeShrinksWithTheRoomAndSilentOnesGoFirst) {
-  const ConnectionPolicy policy({.connections = 100});
-  EXPECT_EQ(policy.idleLimit(10), policy.options().idleMost);
-  EXPECT_EQ(policy.idleLimit(90), policy.options().idleLeast);
-  EXPECT_LT(policy.idleLimit(50), policy.idleLimit(30));
-  EXPECT_GE(policy.idleLimit(1000), 2 * kSec);  // what clients count on
-  using Standing = ConnectionPolicy::Standing;
-  EXPECT_FALSE(policy.mayEvict(Standing::busy, 100 * kSec));
-  EXPECT_FALSE(policy.mayEvict(Standing::idle, 50 * kMs));
-  EXPECT_TRUE(policy.mayEvict(Standing::idle, 200 * kMs));
-  EXPECT_FALSE(policy.mayEvict(Standing::fresh, kMs));
-  EXPECT_TRUE(policy.mayEvict(Standing::fresh, 50 * kMs));
-}
-
 TEST(ResourceBudget, SharesStayWithinTheLimits) {
   for (const std::size_t descriptors : {32u, 64u, 256u, 512u, 1024u, 65536u}) {
     const auto b = share({.memory = 32u << 20, .descriptors = descriptors});
--- a/tests/support/frontend_world.h
+++ b/tests/support/frontend_world.h
@@ -203,7 +203,7 @@
     return until(
         [&] {
           return router->open() == 0 && router->lives() == 0 && front->openRequests() == 0 &&
-                 router->held().held() + router->held().releasing() == 0 && front->heldBytes() == 0;
+                 router->held().held() + router->held().releasing() == 0 && front->bufferedBytes() == 0;
         },
         2'000'000);
   }
