--- a/tests/simulator_adapter/adapter_test.cpp
+++ b/tests/simulator_adapter/adapter_test.cpp
@@ -1,10 +1,12 @@
-// The wire: what is read, what is printed, what is said of bad lines.
+// The simulator's lines: how they are decoded and encoded, and how malformed ones are reported.
+#include "simulator_adapter/adapter.h"
+
 #include <gtest/gtest.h>
 
 #include <sstream>
 #include <stdexcept>
 
-#include "simulator_adapter/adapter.h"
+#include "simulator_adapter/event_decoder.h"
 
 namespace garnethook::simulator_adapter {
 namespace {
@@ -32,84 +34,88 @@
   std::string out;
   std::string errors;
 };
-Result run(const std::string& input, const DeciderFactory& factory = makeBrain) {
+Result run(const std::string& input, const PolicyFactory& factory = hostRoutingPolicy) {
   std::istringstream in(input);
   std::ostringstream out;
   std::ostringstream errors;
   const int code = serve(in, out, errors, factory);
   return {code, out.str(), errors.str()};
 }
-std::string started(const std::string& more) {
-  return std::string("BATCH simTimeMs=1000\n") + kProvision + "\n" + kList + more + "EOB\n";
+std::string batchWith(const std::string& lines) {
+  return std::string("BATCH simTimeMs=1000\n") + kProvision + "\n" + kList + lines + "EOB\n";
+}
+bool contains(const std::string& text, const std::string& part) {
+  return text.find(part) != std::string::npos;
 }
-bool has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
 
-TEST(DeploymentConfig, TheRoutersNumberIsReadWhereItIsTold) {
-  EXPECT_FALSE(parseProvision(kProvision).settings.self);
+TEST(InstanceConfig, HasTheRoutersNumberOnlyWhenItIsGiven) {
+  EXPECT_FALSE(decodeInstanceConfig(kProvision).deployment.settings.self);
   const std::string numbered = std::string(kProvision) + " me=2";
-  EXPECT_EQ(parseProvision(numbered).settings.self, 2u);
+  EXPECT_EQ(decodeInstanceConfig(numbered).deployment.settings.self, 2u);
   const std::string bad = std::string(kProvision) + " me=two";
-  EXPECT_THROW(parseProvision(bad), std::exception);
-}
-
-TEST(DeploymentConfig, SettingsAreTranslated) {
-  const auto p = parseProvision(kProvision);
-  EXPECT_EQ(p.seed, 5u);
-  ASSERT_EQ(p.settings.classes.size(), 2u);
-  EXPECT_EQ(p.settings.classes[0].ttftObjective, 1'000'000);
-  EXPECT_EQ(p.settings.classes[0].ttftObjectivePerKiloToken, 60'000);
-  EXPECT_EQ(p.settings.classes[1].timePerOutputTokenObjective, 80'000);
-  EXPECT_EQ(p.settings.classes[1].idempotency, Idempotency::idempotentWithKey);
-  EXPECT_EQ(p.settings.classes[1].deduplicationScope, DeduplicationScope::zone);
-  EXPECT_EQ(p.settings.classes[1].deduplicationWindow, 700'000);
-  EXPECT_EQ(p.settings.kinds[0].role, Role::prefill);
-  EXPECT_DOUBLE_EQ(p.settings.kinds[1].memoryTokens, 121918);
-  EXPECT_EQ(p.settings.ownZone, 1u);
-  EXPECT_EQ(p.settings.zones, 3u);
-  EXPECT_EQ(p.settings.routers, 3u);
-  EXPECT_EQ(p.settings.kvReleaseTimeout, 500'000);
-  EXPECT_TRUE(p.settings.decodeEndpointsPrefill);
-  EXPECT_TRUE(p.settings.canCancel);
-}
-
-TEST(Serve, AnEmptyBatchGetsAnEmptyReply) {
-  const auto r = run("BATCH simTimeMs=8412.25\nEOB\n");
-  EXPECT_EQ(r.code, 0);
-  EXPECT_EQ(r.out, "FINISHED\n");
-  EXPECT_EQ(r.errors, "");
-}
-
-TEST(Serve, ARequestIsSentToTheReader) {
-  const auto r = run(started("QUERY i=3 txn=7 band=quick session=4 remainingMs=900.5 nPrompt=1800\n"));
-  EXPECT_TRUE(has(r.out, "ISSUE i=3 txn=7 engine=51\n")) << r.out;
-  EXPECT_EQ(r.errors, "");
-}
-
-TEST(Serve, UnknownKeysAndMessagesAreSkipped) {
-  const auto r =
-      run(started("NOVELTY i=3 a=b\nQUERY i=3 txn=7 band=quick remainingMs=900 nPrompt=18 zz=1\n"));
-  EXPECT_TRUE(has(r.out, "ISSUE i=3 txn=7"));
-  EXPECT_EQ(r.errors, "");
-}
-
-TEST(Serve, AMalformedLineGetsOneMessageAndTheRestIsServed) {
-  const auto r =
-      run(started("QUERY i=3 txn=7 band=quick remainingMs=soon nPrompt=18\n"
-                  "QUERY i=3 txn=8 band=quick remainingMs=900 nPrompt=18\n"));
-  EXPECT_EQ(r.errors, "line 6: field 'remainingMs': not a number\n");
-  EXPECT_FALSE(has(r.out, "txn=7"));
-  EXPECT_TRUE(has(r.out, "ISSUE i=3 txn=8"));
-  EXPECT_EQ(r.code, 0);
-}
-
-class Malformed : public testing::TestWithParam<std::pair<const char*, const char*>> {};
-TEST_P(Malformed, NamesTheField) {
-  const auto r = run(started(std::string(GetParam().first) + "\n"));
-  EXPECT_TRUE(has(r.errors, std::string("field '") + GetParam().second + "'")) << r.errors;
-  EXPECT_EQ(std::count(r.errors.begin(), r.errors.end(), '\n'), 1);
+  EXPECT_THROW(decodeInstanceConfig(bad), std::exception);
+}
+
+TEST(InstanceConfig, TranslatesTheSettings) {
+  const InstanceConfig config = decodeInstanceConfig(kProvision);
+  const Settings& settings = config.deployment.settings;
+  EXPECT_EQ(config.seed, 5U);
+  ASSERT_EQ(settings.classes.size(), 2u);
+  EXPECT_EQ(settings.classes[0].ttftObjective, 1'000'000);
+  EXPECT_EQ(settings.classes[0].ttftObjectivePerKiloToken, 60'000);
+  EXPECT_EQ(settings.classes[1].timePerOutputTokenObjective, 80'000);
+  EXPECT_EQ(settings.classes[1].idempotency, Idempotency::idempotentWithKey);
+  EXPECT_EQ(settings.classes[1].deduplicationScope, DeduplicationScope::zone);
+  EXPECT_EQ(settings.classes[1].deduplicationWindow, 700'000);
+  EXPECT_EQ(settings.kinds[0].role, Role::prefill);
+  EXPECT_DOUBLE_EQ(settings.kinds[1].memoryTokens, 121918);
+  EXPECT_EQ(settings.ownZone, 1u);
+  EXPECT_EQ(settings.zones, 3u);
+  EXPECT_EQ(settings.routers, 3u);
+  EXPECT_EQ(settings.kvReleaseTimeout, 500'000);
+  EXPECT_TRUE(settings.decodeEndpointsPrefill);
+  EXPECT_TRUE(settings.canCancel);
+}
+
+TEST(Adapter, RepliesEmptyToAnEmptyBatch) {
+  const Result result = run("BATCH simTimeMs=8412.25\nEOB\n");
+  EXPECT_EQ(result.code, 0);
+  EXPECT_EQ(result.out, "FINISHED\n");
+  EXPECT_EQ(result.errors, "");
+}
+
+TEST(Adapter, SendsARequestToThePrefillEndpoint) {
+  const Result result =
+      run(batchWith("QUERY i=3 txn=7 band=quick session=4 remainingMs=900.5 nPrompt=1800\n"));
+  EXPECT_TRUE(contains(result.out, "ISSUE i=3 txn=7 engine=51\n")) << result.out;
+  EXPECT_EQ(result.errors, "");
+}
+
+TEST(Adapter, SkipsUnknownKeysAndLines) {
+  const Result result =
+      run(batchWith("NOVELTY i=3 a=b\nQUERY i=3 txn=7 band=quick remainingMs=900 nPrompt=18 zz=1\n"));
+  EXPECT_TRUE(contains(result.out, "ISSUE i=3 txn=7"));
+  EXPECT_EQ(result.errors, "");
+}
+
+TEST(Adapter, ReportsAMalformedLineOnceAndServesTheRest) {
+  const Result result =
+      run(batchWith("QUERY i=3 txn=7 band=quick remainingMs=soon nPrompt=18\n"
+                    "QUERY i=3 txn=8 band=quick remainingMs=900 nPrompt=18\n"));
+  EXPECT_EQ(result.errors, "line 6: field 'remainingMs': not a number\n");
+  EXPECT_FALSE(contains(result.out, "txn=7"));
+  EXPECT_TRUE(contains(result.out, "ISSUE i=3 txn=8"));
+  EXPECT_EQ(result.code, 0);
+}
+
+class MalformedLine : public testing::TestWithParam<std::pair<const char*, const char*>> {};
+TEST_P(MalformedLine, IsReportedWithItsField) {
+  const Result result = run(batchWith(std::string(GetParam().first) + "\n"));
+  EXPECT_TRUE(contains(result.errors, std::string("field '") + GetParam().second + "'")) << result.errors;
+  EXPECT_EQ(std::count(result.errors.begin(), result.errors.end(), '\n'), 1);
 }
 INSTANTIATE_TEST_SUITE_P(
-    Lines, Malformed,
+    Lines, MalformedLine,
     testing::Values(std::pair{"QUERY i=3 band=quick remainingMs=9", "txn"},
                     std::pair{"QUERY i=9 txn=1 band=quick remainingMs=9", "i"},
                     std::pair{"QUERY i=3 txn=-1 band=quick remainingMs=9", "txn"},
@@ -123,60 +129,61 @@
                     std::pair{"REGISTRY i=3 mode=diff stamp=1 rows=4", "rows"},
                     std::pair{"FIRED i=3 cookie", "cookie"}));
 
-TEST(Serve, ABrokenModulePanics) {
-  class Broken final : public Decider {
+TEST(Adapter, PanicsWhenThePolicyThrows) {
+  class ThrowingPolicy final : public HostedPolicy {
     void handle(Micros, const Event&, std::vector<Action>&) override {
       throw std::runtime_error("odd\nstate");
     }
   };
-  const auto r = run(started(""), [](const Settings&, std::uint64_t) { return std::make_unique<Broken>(); });
-  EXPECT_TRUE(has(r.out, "PANIC i=3 text=odd state\nFINISHED\n")) << r.out;
+  const Result result =
+      run(batchWith(""), [](const Settings&, std::uint64_t) { return std::make_unique<ThrowingPolicy>(); });
+  EXPECT_TRUE(contains(result.out, "PANIC i=3 text=odd state\nFINISHED\n")) << result.out;
 }
 
-// What the settings say of coming back reaches the module, and what it answers reaches the wire.
-TEST(Serve, RetryAfterIsTranslatedBothWays) {
-  struct Refuser final : Decider {
-    explicit Refuser(const Settings& s) : settings(s) {}
+// The settings of Retry-After reach the policy, and what it answers reaches the reply.
+TEST(Adapter, TranslatesRetryAfterInSettingsAndActions) {
+  struct RejectingPolicy final : HostedPolicy {
+    explicit RejectingPolicy(const Settings& given) : settings(given) {}
     void handle(Micros, const Event& event, std::vector<Action>& actions) override {
       const auto* request = std::get_if<RequestArrived>(&event);
       if (request == nullptr) return;
-      const bool told = settings.passesRetryAfter && settings.maxRetryAfter == 750'000;
-      actions.push_back(Reject{request->id, told && request->id.value == 7 ? 250'500 : 0});
+      const bool isTranslated = settings.passesRetryAfter && settings.maxRetryAfter == 750'000;
+      actions.push_back(Reject{request->id, isTranslated && request->id.value == 7 ? 250'500 : 0});
     }
     Settings settings;
   };
-  const auto r =
-      run("BATCH simTimeMs=1\nPROVISION i=3 nonce64=1 allowed.retryAfter=true allowed.maxRetryAfterMs=750.0 "
-          "profiles.count=1 profiles.0.aimMs=1 profiles.0.deadlineMs=1 profiles.0.effect=read_like "
-          "profiles.0.name=quick skus=a familyInfo.kindRole=read\n"
-          "QUERY i=3 txn=7 band=quick remainingMs=900\nQUERY i=3 txn=8 band=quick remainingMs=900\nEOB\n",
-          [](const Settings& s, std::uint64_t) { return std::make_unique<Refuser>(s); });
-  EXPECT_TRUE(has(r.out, "SAY_NO i=3 txn=7 holdOffMs=250.500\n")) << r.out << r.errors;
-  EXPECT_TRUE(has(r.out, "SAY_NO i=3 txn=8\n")) << r.out;
+  const Result result = run(
+      "BATCH simTimeMs=1\nPROVISION i=3 nonce64=1 allowed.retryAfter=true allowed.maxRetryAfterMs=750.0 "
+      "profiles.count=1 profiles.0.aimMs=1 profiles.0.deadlineMs=1 profiles.0.effect=read_like "
+      "profiles.0.name=quick skus=a familyInfo.kindRole=read\n"
+      "QUERY i=3 txn=7 band=quick remainingMs=900\nQUERY i=3 txn=8 band=quick remainingMs=900\nEOB\n",
+      [](const Settings& settings, std::uint64_t) { return std::make_unique<RejectingPolicy>(settings); });
+  EXPECT_TRUE(contains(result.out, "SAY_NO i=3 txn=7 holdOffMs=250.500\n")) << result.out << result.errors;
+  EXPECT_TRUE(contains(result.out, "SAY_NO i=3 txn=8\n")) << result.out;
 }
 
-TEST(Serve, SettingsThatCannotWorkPanic) {
-  const auto r = run("BATCH simTimeMs=1\nPROVISION i=3 nonce64=1 skus=\nEOB\n");
-  EXPECT_TRUE(has(r.out, "PANIC i=3 text=kinds")) << r.out;
+TEST(Adapter, PanicsWhenTheSettingsCannotBeUsed) {
+  const Result result = run("BATCH simTimeMs=1\nPROVISION i=3 nonce64=1 skus=\nEOB\n");
+  EXPECT_TRUE(contains(result.out, "PANIC i=3 text=kinds")) << result.out;
 }
 
-TEST(Serve, InputCutInsideABatchIsAnError) {
-  const auto r = run("BATCH simTimeMs=1\nEOB\nBATCH simTimeMs=2\nFIRED i=3 cookie=1\n");
-  EXPECT_EQ(r.code, 1);
-  EXPECT_TRUE(has(r.errors, "ended inside a batch"));
-  EXPECT_EQ(r.out, "FINISHED\n");
+TEST(Adapter, FailsWhenTheInputEndsInsideABatch) {
+  const Result result = run("BATCH simTimeMs=1\nEOB\nBATCH simTimeMs=2\nFIRED i=3 cookie=1\n");
+  EXPECT_EQ(result.code, 1);
+  EXPECT_TRUE(contains(result.errors, "ended inside a batch"));
+  EXPECT_EQ(result.out, "FINISHED\n");
 }
 
-TEST(Serve, AStoppedInstanceIsForgotten) {
-  const auto r = run(started("DOWN i=3\nQUERY i=3 txn=7 band=quick remainingMs=900 nPrompt=18\n"));
-  EXPECT_FALSE(has(r.out, "ISSUE"));
-  EXPECT_TRUE(has(r.errors, "no such instance"));
+TEST(Adapter, ForgetsAStoppedInstance) {
+  const Result result = run(batchWith("DOWN i=3\nQUERY i=3 txn=7 band=quick remainingMs=900 nPrompt=18\n"));
+  EXPECT_FALSE(contains(result.out, "ISSUE"));
+  EXPECT_TRUE(contains(result.errors, "no such instance"));
 }
 
-TEST(Serve, InstancesActAlikeTogetherAndApart) {
+TEST(Adapter, KeepsInstancesIndependent) {
   const std::string query = "QUERY i=3 txn=7 band=quick session=4 remainingMs=900 nPrompt=1800\n";
-  const auto alone = run(started(query));
-  std::string both = started(query);
+  const auto alone = run(batchWith(query));
+  std::string both = batchWith(query);
   std::string other = std::string(kProvision) + "\n" + kList;
   for (auto at = other.find("i=3"); at != std::string::npos; at = other.find("i=3", at + 1))
     if (at == 0 || other[at - 1] == ' ') other.replace(at, 3, "i=4");
@@ -184,10 +191,10 @@
               other + "QUERY i=4 txn=9 band=quick session=4 remainingMs=900 nPrompt=1800\n");
   const auto together = run(both);
   std::istringstream lines(together.out);
-  std::string mine;
+  std::string ownLines;
   for (std::string line; std::getline(lines, line);)
-    if (!has(line, " i=4")) mine += line + "\n";
-  EXPECT_EQ(mine, alone.out);
+    if (!contains(line, " i=4")) ownLines += line + "\n";
+  EXPECT_EQ(ownLines, alone.out);
 }
 
 }  // namespace
