--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -99,8 +99,8 @@
 
   // What hashing needs of a listed endpoint, side by side.
   struct HashedEndpoint {
-    std::uint64_t mixedId;
-    double weight;
+    std::uint64_t mixedId = 0;
+    double weight = 1;
     EndpointId id;
   };
 
--- a/src/policy/ids.h
+++ b/src/policy/ids.h
@@ -15,6 +15,7 @@
 struct Id {
   std::uint64_t value = 0;  ///< The number itself.
   /// Identifiers are ordered by their numbers.
+  // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the 0 inside a defaulted <=> for a pointer.
   friend auto operator<=>(const Id&, const Id&) = default;
 };
 using RequestId = Id<struct RequestTag>;    ///< Identifies a request.
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -1,4 +1,4 @@
-// A request that is given up on is answered at once, and its client told when to come back.
+// A request that can't be served is rejected at once, and its client told when to come back.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -8,156 +8,158 @@
 namespace garnethook::test {
 namespace {
 
-Settings telling() {
-  auto s = settings();
-  s.passesRetryAfter = true;
-  s.maxRetryAfter = 500 * kMs;
-  return s;
+Settings settingsWithRetryAfter() {
+  Settings custom = settings();
+  custom.passesRetryAfter = true;
+  custom.maxRetryAfter = 500 * kMs;
+  return custom;
 }
 
 const Reject* rejection(const std::vector<Action>& actions) {
   for (const auto& action : actions)
-    if (const auto* refuse = std::get_if<Reject>(&action)) return refuse;
+    if (const auto* reject = std::get_if<Reject>(&action)) return reject;
   return nullptr;
 }
 
-// Requests at one reader until one is refused; that refusal.
-Reject untilRefused(Driver& d) {
+// Sends requests to one prefill endpoint until one is rejected; returns that rejection.
+Reject untilRejected(PolicyDriver& driver) {
   for (std::uint64_t id = 1; id < 200; ++id) {
-    auto request = d.request(id);
+    auto request = driver.newRequest(id);
     request.promptTokens = 5000;
-    if (const auto actions = d.give(request); rejection(actions) != nullptr) return *rejection(actions);
+    if (const auto actions = driver.deliver(request); rejection(actions) != nullptr)
+      return *rejection(actions);
   }
-  ADD_FAILURE() << "never refused";
+  ADD_FAILURE() << "never rejected";
   return {};
 }
 
-TEST(RetryAfter, IsToldOnlyWhereItIsPassedOn) {
-  Driver silent(settings());
-  Driver telling_(telling());
-  for (auto* d : {&silent, &telling_}) d->list({endpoint(1, kReader), endpoint(11, kWriter)});
-  EXPECT_EQ(untilRefused(silent).retryAfter, 0);
-  EXPECT_GT(untilRefused(telling_).retryAfter, 0);
+TEST(RetryAfter, IsGivenOnlyWhenItReachesClients) {
+  PolicyDriver without(settings());
+  PolicyDriver withRetryAfter(settingsWithRetryAfter());
+  for (auto* driver : {&without, &withRetryAfter})
+    driver->setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+  EXPECT_EQ(untilRejected(without).retryAfter, 0);
+  EXPECT_GT(untilRejected(withRetryAfter).retryAfter, 0);
 }
 
-TEST(RetryAfter, NeverPassesWhatClientsObserve) {
-  Driver d(telling());
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
-  untilRefused(d);
+TEST(RetryAfter, NeverExceedsWhatClientsObey) {
+  PolicyDriver driver(settingsWithRetryAfter());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+  untilRejected(driver);
   for (std::uint64_t id = 500; id < 520; ++id) {
-    auto request = d.request(id);
+    auto request = driver.newRequest(id);
     request.promptTokens = 80'000;  // seconds too late
-    const auto actions = d.give(request);
+    const auto actions = driver.deliver(request);
     ASSERT_NE(rejection(actions), nullptr);
     EXPECT_LE(rejection(actions)->retryAfter, 500 * kMs);
     EXPECT_GE(rejection(actions)->retryAfter, 250 * kMs);
   }
 }
 
-TEST(RetryAfter, GrowsWithWhatIsInTheWay) {
-  auto s = telling();
-  s.maxRetryAfter = 60 * kSec;
-  Driver d(s);
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
-  const auto shortWait = untilRefused(d).retryAfter;
-  auto request = d.request(500);
+TEST(RetryAfter, GrowsWithTheExpectedLateness) {
+  Settings custom = settingsWithRetryAfter();
+  custom.maxRetryAfter = 60 * kSec;
+  PolicyDriver driver(custom);
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+  const auto shortWait = untilRejected(driver).retryAfter;
+  auto request = driver.newRequest(500);
   request.promptTokens = 80'000;
-  const auto actions = d.give(request);
+  const auto actions = driver.deliver(request);
   ASSERT_NE(rejection(actions), nullptr);
   EXPECT_GT(rejection(actions)->retryAfter, 4 * shortWait);
 }
 
-TEST(RetryAfter, SpreadsClientsThatAreRefusedTogether) {
-  std::set<Micros> told;
+TEST(RetryAfter, SpreadsClientsThatAreRejectedTogether) {
+  std::set<Micros> delays;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-    Driver d(telling(), seed);
-    d.list({endpoint(1, kReader), endpoint(11, kWriter)});
-    told.insert(untilRefused(d).retryAfter / kMs);
+    PolicyDriver driver(settingsWithRetryAfter(), seed);
+    driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+    delays.insert(untilRejected(driver).retryAfter / kMs);
   }
-  EXPECT_GT(told.size(), 10u);
+  EXPECT_GT(delays.size(), 10u);
 }
 
-TEST(AtOnce, NoServerListed) {
-  Driver d(telling());
-  d.list({});
-  const auto actions = d.give(d.request(1));
+TEST(Admission, RejectsAtOnceWhenNoEndpointIsListed) {
+  PolicyDriver driver(settingsWithRetryAfter());
+  driver.setEndpoints({});
+  const auto actions = driver.deliver(driver.newRequest(1));
   ASSERT_NE(rejection(actions), nullptr);
   EXPECT_GT(rejection(actions)->retryAfter, 0);
 }
 
-TEST(AtOnce, NoServerThatReads) {
-  Driver d(settings());
-  d.list({endpoint(11, kWriter)});
-  EXPECT_NE(rejection(d.give(d.request(1))), nullptr);
+TEST(Admission, RejectsAtOnceWhenNoEndpointPrefills) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(11, kDecode)});
+  EXPECT_NE(rejection(driver.deliver(driver.newRequest(1))), nullptr);
 }
 
-// Reader 1 is full for a moment: it may yet serve, so that is waited for.
-TEST(AtOnce, NotWhereAFullReaderMayYetServe) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
-  d.give(d.request(1));
-  const auto actions = d.end(1, Outcome::rejected);
+// The prefill endpoint is full for a moment: it may serve later, so the request waits.
+TEST(Admission, WaitsWhenAFullPrefillEndpointMayServeInTime) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+  driver.deliver(driver.newRequest(1));
+  const auto actions = driver.endAttempt(1, Outcome::rejected);
   EXPECT_EQ(rejection(actions), nullptr);
-  d.pass(400 * kMs);
-  EXPECT_EQ(d.count<Reject>(1), 0);
-  EXPECT_EQ(d.count<Send>(1), 2);
+  driver.advanceTime(400 * kMs);
+  EXPECT_EQ(driver.count<Reject>(1), 0);
+  EXPECT_EQ(driver.count<Send>(1), 2);
 }
 
-// The same, but the prompt's read alone would take past the aim.
-TEST(AtOnce, AFullReaderThatIsTooSlowIsNotWaitedFor) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
-  d.give(d.request(1));
-  d.end(1, Outcome::rejected);
-  auto request = d.request(2);
+// The same, but the prefill alone would take longer than the objective.
+TEST(Admission, RejectsAtOnceWhenAFullPrefillEndpointWouldBeTooSlow) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+  driver.deliver(driver.newRequest(1));
+  driver.endAttempt(1, Outcome::rejected);
+  auto request = driver.newRequest(2);
   request.promptTokens = 100'000;
-  EXPECT_NE(rejection(d.give(request)), nullptr);
+  EXPECT_NE(rejection(driver.deliver(request)), nullptr);
 }
 
-// The last writer leaves while a prompt is read: its state waits for nobody.
-TEST(AtOnce, AStateThatNobodyCanTake) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
-  d.give(d.request(1));
-  d.list({endpoint(1, kReader)});
-  const auto actions = d.end(1, Outcome::prefillDone);
+// The last decode endpoint leaves during a prefill: nobody can take the KV state.
+TEST(Admission, RejectsAtOnceWhenNoEndpointCanDecodeTheKvState) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+  driver.deliver(driver.newRequest(1));
+  driver.setEndpoints({endpoint(1, kPrefill)});
+  const auto actions = driver.endAttempt(1, Outcome::prefillDone);
   EXPECT_NE(rejection(actions), nullptr);
-  EXPECT_EQ(d.count<Release>(1), 1);
+  EXPECT_EQ(driver.count<Release>(1), 1);
 }
 
-TEST(AtOnce, AStateWaitsForAFullWriterWhileThatMayBeInTime) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
-  d.give(d.request(1));
-  d.end(1, Outcome::prefillDone);
-  EXPECT_EQ(rejection(d.end(1, Outcome::rejected)), nullptr);
-  d.pass(200 * kMs);
-  EXPECT_EQ(d.count<Reject>(1), 0);
-  EXPECT_EQ(d.count<Send>(1), 3);
+TEST(Admission, WaitsWhenAFullDecodeEndpointMayServeInTime) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+  driver.deliver(driver.newRequest(1));
+  driver.endAttempt(1, Outcome::prefillDone);
+  EXPECT_EQ(rejection(driver.endAttempt(1, Outcome::rejected)), nullptr);
+  driver.advanceTime(200 * kMs);
+  EXPECT_EQ(driver.count<Reject>(1), 0);
+  EXPECT_EQ(driver.count<Send>(1), 3);
 }
 
-// The read ends right before the deadline: no writer can be in time, so the writer that is full is not waited
-// for.
-TEST(AtOnce, AStateThatComesTooLate) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
-  auto request = d.request(1);
+// The prefill ends right before the deadline: no decode endpoint can be in time, so there is no wait for a
+// full one.
+TEST(Admission, RejectsAtOnceWhenTheKvStateComesTooLate) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+  auto request = driver.newRequest(1);
   request.remaining = 700 * kMs;
-  d.give(request);
-  d.pass(20 * kMs);
-  d.end(1, Outcome::prefillDone);
-  d.pass(650 * kMs);
-  EXPECT_NE(rejection(d.end(1, Outcome::rejected)), nullptr);
+  driver.deliver(request);
+  driver.advanceTime(20 * kMs);
+  driver.endAttempt(1, Outcome::prefillDone);
+  driver.advanceTime(650 * kMs);
+  EXPECT_NE(rejection(driver.endAttempt(1, Outcome::rejected)), nullptr);
 }
 
-TEST(AtOnce, AfterTheLastAttempt) {
-  auto s = settings();
-  s.maxAttempts = 2;
-  Driver d(s);
-  d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(11, kWriter)});
-  d.give(d.request(1));
-  EXPECT_EQ(rejection(d.end(1, Outcome::connectFailed)), nullptr);
-  EXPECT_NE(rejection(d.end(1, Outcome::connectFailed)), nullptr);
+TEST(Admission, RejectsAtOnceAfterTheLastAttempt) {
+  Settings custom = settings();
+  custom.maxAttempts = 2;
+  PolicyDriver driver(custom);
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(11, kDecode)});
+  driver.deliver(driver.newRequest(1));
+  EXPECT_EQ(rejection(driver.endAttempt(1, Outcome::connectFailed)), nullptr);
+  EXPECT_NE(rejection(driver.endAttempt(1, Outcome::connectFailed)), nullptr);
 }
 
 }  // namespace
--- a/tests/policy/decode_selection_test.cpp
+++ b/tests/policy/decode_selection_test.cpp
@@ -1,4 +1,4 @@
-// Who answers: room in the reader's cell, then elsewhere, then waiting.
+// Where a request is decoded: room in the cell of its KV state, then elsewhere, then waiting.
 #include <gtest/gtest.h>
 
 #include "policy/policy_driver.h"
@@ -7,161 +7,164 @@
 namespace {
 
 std::vector<EndpointEntry> fleet() {
-  return {endpoint(1, kReader, 0), endpoint(11, kWriter, 0), endpoint(12, kWriter, 0),
-          endpoint(13, kWriter, 1)};
+  return {endpoint(1, kPrefill, 0), endpoint(11, kDecode, 0), endpoint(12, kDecode, 0),
+          endpoint(13, kDecode, 1)};
 }
 
-void readOne(Driver& d, std::uint64_t id, double tokens = 1000) {
-  auto request = d.request(id);
+void prefillOne(PolicyDriver& driver, std::uint64_t id, double tokens = 1000) {
+  auto request = driver.newRequest(id);
   request.promptTokens = tokens;
-  d.give(request);
-  d.pass(50 * kMs);
-  d.end(id, Outcome::prefillDone);
+  driver.deliver(request);
+  driver.advanceTime(50 * kMs);
+  driver.endAttempt(id, Outcome::prefillDone);
 }
 
-TEST(Writing, TakesTheRoomierWriterOfTheCell) {
-  Driver d(settings());
-  d.list(fleet());
-  readOne(d, 1, 5000);
-  const auto first = d.sentTo(1);
+TEST(DecodeSelection, PrefersTheEmptierEndpointOfTheCell) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  prefillOne(driver, 1, 5000);
+  const auto first = driver.lastEndpoint(1);
   EXPECT_TRUE(first == 11 || first == 12);
-  readOne(d, 2);
-  EXPECT_EQ(d.sentTo(2), first == 11 ? 12u : 11u);
+  prefillOne(driver, 2);
+  EXPECT_EQ(driver.lastEndpoint(2), first == 11 ? 12u : 11u);
 }
 
-TEST(Writing, ReportsOfMemoryDecide) {
-  Driver d(settings());
-  d.list(fleet());
+TEST(DecodeSelection, FollowsReportsOfMemory) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
   for (std::uint64_t id = 1; id <= 2; ++id) {
-    readOne(d, id);
-    AttemptEnded done{.id = {id}, .attempt = 1, .endpoint = {d.sentTo(id)}, .outcome = Outcome::completed};
+    prefillOne(driver, id);
+    AttemptEnded done{
+        .id = {id}, .attempt = 1, .endpoint = {driver.lastEndpoint(id)}, .outcome = Outcome::completed};
     done.requestEnded = true;
-    done.report = LoadReport{.memoryShare = d.sentTo(id) == 11 ? 0.8 : 0.2};
-    d.give(done);
+    done.report = LoadReport{.memoryShare = driver.lastEndpoint(id) == 11 ? 0.8 : 0.2};
+    driver.deliver(done);
   }
-  readOne(d, 3);
-  EXPECT_EQ(d.sentTo(3), 12u);
+  prefillOne(driver, 3);
+  EXPECT_EQ(driver.lastEndpoint(3), 12u);
 }
 
-TEST(Writing, AFullCellSendsToAnother) {
-  Driver d(settings());
-  d.list(fleet());
+TEST(DecodeSelection, LeavesTheCellWhenItIsFull) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
   for (std::uint64_t id = 1; id <= 2; ++id) {
-    readOne(d, id);
-    AttemptEnded done{.id = {id}, .attempt = 1, .endpoint = {d.sentTo(id)}, .outcome = Outcome::completed};
+    prefillOne(driver, id);
+    AttemptEnded done{
+        .id = {id}, .attempt = 1, .endpoint = {driver.lastEndpoint(id)}, .outcome = Outcome::completed};
     done.requestEnded = true;
     done.report = LoadReport{.memoryShare = 0.99};
-    d.give(done);
+    driver.deliver(done);
   }
-  readOne(d, 3);
-  EXPECT_EQ(d.sentTo(3), 13u);
+  prefillOne(driver, 3);
+  EXPECT_EQ(driver.lastEndpoint(3), 13u);
 }
 
-TEST(Writing, WithoutRoomAStateWaitsWithinTheReleaseTime) {
-  auto s = settings();
-  Driver d(s);
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
-  readOne(d, 1);
-  d.give(d.request(2));
+TEST(DecodeSelection, KeepsTheKvStateWithinTheReleaseTimeoutWhenThereIsNoRoom) {
+  Settings custom = settings();
+  PolicyDriver driver(custom);
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+  prefillOne(driver, 1);
+  driver.deliver(driver.newRequest(2));
   AttemptEnded done{.id = {1}, .attempt = 1, .endpoint = {11}, .outcome = Outcome::completed};
   done.requestEnded = true;
   done.report = LoadReport{.memoryShare = 1};
-  d.give(done);
-  d.pass(50 * kMs);
-  d.end(2, Outcome::prefillDone);
-  EXPECT_EQ(d.count<Send>(2), 1);
-  d.pass(s.kvReleaseTimeout);
-  EXPECT_EQ(d.count<Send>(2), 2);  // sent at the last look all the same
+  driver.deliver(done);
+  driver.advanceTime(50 * kMs);
+  driver.endAttempt(2, Outcome::prefillDone);
+  EXPECT_EQ(driver.count<Send>(2), 1);
+  driver.advanceTime(custom.kvReleaseTimeout);
+  EXPECT_EQ(driver.count<Send>(2), 2);  // sent all the same when the timeout is near
 }
 
-TEST(Writing, WithoutRoomAnywhereNothingNewIsLetIn) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
-  readOne(d, 1);
+TEST(DecodeSelection, AdmitsNothingNewWhenThereIsNoRoomAnywhere) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+  prefillOne(driver, 1);
   AttemptEnded done{.id = {1}, .attempt = 1, .endpoint = {11}, .outcome = Outcome::completed};
   done.requestEnded = true;
   done.report = LoadReport{.memoryShare = 0.97};
-  d.give(done);
-  d.give(d.request(2));
-  EXPECT_EQ(d.count<Send>(2), 0);
-  EXPECT_EQ(d.count<Reject>(2), 1);
+  driver.deliver(done);
+  driver.deliver(driver.newRequest(2));
+  EXPECT_EQ(driver.count<Send>(2), 0);
+  EXPECT_EQ(driver.count<Reject>(2), 1);
 }
 
-TEST(Writing, AMissingStateBlamesTheStateAndIsReadAnew) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(11, kWriter)});
-  d.give(d.request(1));
-  const auto reader = d.sentTo(1);
-  d.end(1, Outcome::prefillDone);
-  EXPECT_EQ(d.sentTo(1), 11u);
-  d.end(1, Outcome::rejected, 0, true);
-  EXPECT_EQ(d.sentTo(1), reader == 1 ? 2u : 1u);
-  d.end(1, Outcome::prefillDone);
-  EXPECT_EQ(d.sentTo(1), 11u);  // not blamed
+TEST(DecodeSelection, PrefillsAgainWithoutBlamingTheDecodeEndpointWhenTheKvStateIsMissing) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(11, kDecode)});
+  driver.deliver(driver.newRequest(1));
+  const auto endpointOfFirst = driver.lastEndpoint(1);
+  driver.endAttempt(1, Outcome::prefillDone);
+  EXPECT_EQ(driver.lastEndpoint(1), 11u);
+  driver.endAttempt(1, Outcome::rejected, 0, true);
+  EXPECT_EQ(driver.lastEndpoint(1), endpointOfFirst == 1 ? 2u : 1u);
+  driver.endAttempt(1, Outcome::prefillDone);
+  EXPECT_EQ(driver.lastEndpoint(1), 11u);  // not blamed
 }
 
-TEST(Writing, AFullWriterIsPassedOver) {
-  Driver d(settings());
-  d.list(fleet());
-  readOne(d, 1);
-  const auto first = d.sentTo(1);
-  d.end(1, Outcome::rejected);
-  EXPECT_NE(d.sentTo(1), first);
-  EXPECT_EQ(d.count<Send>(1), 3);
+TEST(DecodeSelection, TriesAnotherEndpointWhenOneIsFull) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  prefillOne(driver, 1);
+  const auto first = driver.lastEndpoint(1);
+  driver.endAttempt(1, Outcome::rejected);
+  EXPECT_NE(driver.lastEndpoint(1), first);
+  EXPECT_EQ(driver.count<Send>(1), 3);
 }
 
-// A hundred routers that know nothing of equal writers must not all choose the same.
-TEST(Writing, RoutersThatKnowNothingSpreadOverEqualWriters) {
-  auto s = settings();
-  s.routers = 100;
+// A hundred routers that know nothing of equal decode endpoints must not all choose the same.
+TEST(DecodeSelection, SpreadsRoutersThatKnowNothingOverEqualEndpoints) {
+  Settings custom = settings();
+  custom.routers = 100;
   std::map<std::uint64_t, int> chosen;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    Driver d(s, seed);
-    d.list({endpoint(1, kReader), endpoint(11, kWriter), endpoint(12, kWriter), endpoint(13, kWriter),
-            endpoint(14, kWriter)});
-    readOne(d, 1);
-    ++chosen[d.sentTo(1)];
+    PolicyDriver driver(custom, seed);
+    driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode), endpoint(12, kDecode),
+                         endpoint(13, kDecode), endpoint(14, kDecode)});
+    prefillOne(driver, 1);
+    ++chosen[driver.lastEndpoint(1)];
   }
   for (std::uint64_t id = 11; id <= 14; ++id) EXPECT_LE(chosen[id], 40) << id;
 }
 
-// One own stream at a writer is no sign of one at each of a hundred routers.
-TEST(Writing, OneStreamOfManyRoutersIsNoFullWriter) {
-  auto s = settings();
-  s.routers = 100;
-  Driver d(s);
-  d.list({endpoint(1, kReader, 0), endpoint(11, kWriter, 0), endpoint(12, kWriter, 1),
-          endpoint(13, kWriter, 1), endpoint(14, kWriter, 1), endpoint(15, kWriter, 1)});
+// One own stream at an endpoint is no sign of one at each of a hundred routers.
+TEST(DecodeSelection, DoesNotTakeOneOwnStreamForOneOfEachRouter) {
+  Settings custom = settings();
+  custom.routers = 100;
+  PolicyDriver driver(custom);
+  driver.setEndpoints({endpoint(1, kPrefill, 0), endpoint(11, kDecode, 0), endpoint(12, kDecode, 1),
+                       endpoint(13, kDecode, 1), endpoint(14, kDecode, 1), endpoint(15, kDecode, 1)});
   for (std::uint64_t id = 1; id <= 2; ++id) {
-    readOne(d, id, 2000);
-    EXPECT_EQ(d.sentTo(id), 11u);
-    d.pass(20 * kMs);
-    d.give(StreamStarted{{id}, 1});
-    d.pass(kSec);
+    prefillOne(driver, id, 2000);
+    EXPECT_EQ(driver.lastEndpoint(id), 11u);
+    driver.advanceTime(20 * kMs);
+    driver.deliver(StreamStarted{{id}, 1});
+    driver.advanceTime(kSec);
   }
 }
 
-// Reading between answers slows them: where answers stream for long, fewer requests go whole.
-TEST(Mixed, AnswersThatStreamForLongEarnASmallerShare) {
-  const auto whole = [](Micros atMixed) {
-    Driver d(settings());
-    d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(11, kWriter), endpoint(21, kMixed)});
+// Prefills between answers slow them: where answers stream for long, fewer requests are executed whole.
+TEST(CombinedShare, IsSmallerWhenAnswersOfCombinedEndpointsStreamForLong) {
+  const auto sentWhole = [](Micros streamTimeAtCombined) {
+    PolicyDriver driver(settings());
+    driver.setEndpoints(
+        {endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(11, kDecode), endpoint(21, kCombined)});
     int count = 0;
     for (std::uint64_t id = 1; id <= 200; ++id) {
-      d.give(d.request(id));
-      const bool mixed = d.sentTo(id) == 21;
-      count += mixed && id > 100 ? 1 : 0;
-      d.pass(50 * kMs);
-      if (!mixed) d.end(id, Outcome::prefillDone);
-      d.give(StreamStarted{{id}, d.count<Send>(id) - 1});
-      d.pass(d.sentTo(id) == 21 ? atMixed : 500 * kMs);
-      d.end(id, Outcome::completed);
+      driver.deliver(driver.newRequest(id));
+      const bool isCombined = driver.lastEndpoint(id) == 21;
+      count += isCombined && id > 100 ? 1 : 0;
+      driver.advanceTime(50 * kMs);
+      if (!isCombined) driver.endAttempt(id, Outcome::prefillDone);
+      driver.deliver(StreamStarted{{id}, driver.count<Send>(id) - 1});
+      driver.advanceTime(driver.lastEndpoint(id) == 21 ? streamTimeAtCombined : 500 * kMs);
+      driver.endAttempt(id, Outcome::completed);
     }
     return count;
   };
-  const int usual = whole(500 * kMs);
-  const int slow = whole(3 * kSec);
-  EXPECT_GT(usual, 30);  // half of the answering memory is there
+  const int usual = sentWhole(500 * kMs);
+  const int slow = sentWhole(3 * kSec);
+  EXPECT_GT(usual, 30);  // half of the decode memory is there
   EXPECT_GT(slow, 0);
   EXPECT_LT(2 * slow, usual);
 }
--- a/tests/policy/endpoint_registry_test.cpp
+++ b/tests/policy/endpoint_registry_test.cpp
@@ -119,35 +119,35 @@
 }
 
 struct SizeResult {
-  double served = 0;
-  std::size_t serversUsed = 0;
+  double servedShare = 0;
+  std::size_t endpointsUsed = 0;
 };
 
 // 80 requests a second for 8 s, as one router of a platform may see.
-SizeResult playAt(std::size_t servers, double errors) {
+SizeResult playAt(std::size_t endpoints, double errors) {
   BusyOptions options;
-  options.servers = servers;
+  options.endpoints = endpoints;
   options.perSecond = 80;
   options.seconds = 8;
   options.errors = errors;
   BusyWorld world(options);
   std::set<EndpointId> used;
   world.play([&](auto, const auto&, const auto& actions) {
-    for (const Action& a : actions)
-      if (const auto* send = std::get_if<Send>(&a)) used.insert(send->endpoint);
+    for (const Action& action : actions)
+      if (const auto* send = std::get_if<Send>(&action)) used.insert(send->endpoint);
   });
   return {static_cast<double>(world.served) / static_cast<double>(world.requests), used.size()};
 }
 
-// The servers that a router meets bound its connections; what it serves must not suffer by it.
-TEST(LargeFleet, OfThousandsARouterMeetsABoundedPartAndServesAsMuch) {
+// The endpoints that a router uses bound its connections; what it serves must not suffer by that.
+TEST(LargeFleet, IsServedThroughABoundedSetWithoutLoss) {
   for (const double errors : {0.0, 0.05}) {
     const SizeResult usual = playAt(200, errors);
     const SizeResult large = playAt(3200, errors);
-    EXPECT_LE(large.serversUsed, usual.serversUsed * 5 / 2 + 40);
-    EXPECT_GE(large.served, 0.97 * usual.served);
-    std::cout << "served " << usual.served << " and " << large.served << ", servers met " << usual.serversUsed
-              << " and " << large.serversUsed << "\n";
+    EXPECT_LE(large.endpointsUsed, usual.endpointsUsed * 5 / 2 + 40);
+    EXPECT_GE(large.servedShare, 0.97 * usual.servedShare);
+    std::cout << "served " << usual.servedShare << " and " << large.servedShare << ", endpoints used "
+              << usual.endpointsUsed << " and " << large.endpointsUsed << "\n";
   }
 }
 
--- a/tests/policy/prefill_selection_test.cpp
+++ b/tests/policy/prefill_selection_test.cpp
@@ -1,4 +1,4 @@
-// Where a prompt is read: the table, the curve, the queue.
+// Where a prompt is prefilled: cached prefixes, the cost model, the queue.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -9,314 +9,317 @@
 namespace {
 
 std::vector<EndpointEntry> fleet() {
-  return {endpoint(1, kReader, 0),  endpoint(2, kReader, 0),  endpoint(3, kReader, 1),
-          endpoint(11, kWriter, 0), endpoint(12, kWriter, 0), endpoint(13, kWriter, 1)};
+  return {endpoint(1, kPrefill, 0), endpoint(2, kPrefill, 0), endpoint(3, kPrefill, 1),
+          endpoint(11, kDecode, 0), endpoint(12, kDecode, 0), endpoint(13, kDecode, 1)};
 }
 
-TEST(Reading, UnknownKeysMeetAtOneReaderWhateverTheSeed) {
-  std::set<std::uint64_t> readers;
+TEST(PrefillSelection, SendsAnUnknownPrefixToTheSameEndpointWhateverTheSeed) {
+  std::set<std::uint64_t> prefillEndpoints;
   for (std::uint64_t key = 1; key <= 20; ++key) {
-    Driver a(settings(), 1);
-    Driver b(settings(), 99);
-    for (Driver* d : {&a, &b}) {
-      d->list(fleet());
-      auto request = d->request(1);
+    PolicyDriver a(settings(), 1);
+    PolicyDriver b(settings(), 99);
+    for (PolicyDriver* driver : {&a, &b}) {
+      driver->setEndpoints(fleet());
+      auto request = driver->newRequest(1);
       request.sharedPrefix = {key};
       request.sharedPrefixTokens = 800;
-      d->give(request);
+      driver->deliver(request);
     }
-    EXPECT_EQ(a.sentTo(1), b.sentTo(1));
-    readers.insert(a.sentTo(1));
+    EXPECT_EQ(a.lastEndpoint(1), b.lastEndpoint(1));
+    prefillEndpoints.insert(a.lastEndpoint(1));
   }
-  EXPECT_EQ(readers, (std::set<std::uint64_t>{1, 2, 3}));
+  EXPECT_EQ(prefillEndpoints, (std::set<std::uint64_t>{1, 2, 3}));
 }
 
-TEST(Reading, GoesBackToWhereTheSessionIsCached) {
-  Driver d(settings());
-  d.list(fleet());
-  auto first = d.request(1);
+TEST(PrefillSelection, ReturnsToWhereTheSessionIsCached) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  auto first = driver.newRequest(1);
   first.promptTokens = 4000;
-  const auto reader = d.run(first, 240 * kMs);
-  auto next = d.request(2);
+  const auto endpointOfFirst = driver.serve(first, 240 * kMs);
+  auto next = driver.newRequest(2);
   next.session = first.session;
   next.promptTokens = 4400;
-  d.give(next);
-  EXPECT_EQ(d.sentTo(2), reader);
+  driver.deliver(next);
+  EXPECT_EQ(driver.lastEndpoint(2), endpointOfFirst);
 }
 
-TEST(Reading, SharedBeginningIsFoundByOtherSessions) {
-  Driver d(settings());
-  d.list(fleet());
-  auto first = d.request(1);
+TEST(PrefillSelection, FindsASharedPrefixForOtherSessions) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  auto first = driver.newRequest(1);
   first.sharedPrefix = {5};
   first.sharedPrefixTokens = 3500;
   first.promptTokens = 4000;
-  const auto reader = d.run(first, 240 * kMs);
-  auto other = d.request(2);
+  const auto endpointOfFirst = driver.serve(first, 240 * kMs);
+  auto other = driver.newRequest(2);
   other.sharedPrefix = first.sharedPrefix;
   other.sharedPrefixTokens = 3500;
   other.promptTokens = 3900;
-  d.give(other);
-  EXPECT_EQ(d.sentTo(2), reader);
+  driver.deliver(other);
+  EXPECT_EQ(driver.lastEndpoint(2), endpointOfFirst);
 }
 
-TEST(Reading, QueueOutweighsASmallCachedPart) {
-  Driver d(settings());
-  d.list(fleet());
-  auto first = d.request(1);
+TEST(PrefillSelection, PrefersAnotherEndpointWhenTheQueueOutweighsTheCache) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  auto first = driver.newRequest(1);
   first.promptTokens = 4000;
-  const auto reader = d.run(first, 240 * kMs);
-  for (std::uint64_t id = 2; id <= 3; ++id) {  // two long reads of the same session fill that reader
-    auto busy = d.request(id);
+  const auto endpointOfFirst = driver.serve(first, 240 * kMs);
+  for (std::uint64_t id = 2; id <= 3; ++id) {  // two long prefills of the same session queue there
+    auto busy = driver.newRequest(id);
     busy.session = first.session;
     busy.promptTokens = 9000;
-    d.give(busy);
+    driver.deliver(busy);
   }
-  auto next = d.request(9);
+  auto next = driver.newRequest(9);
   next.session = first.session;
   next.promptTokens = 4100;
-  d.give(next);
-  EXPECT_NE(d.sentTo(9), reader);
+  driver.deliver(next);
+  EXPECT_NE(driver.lastEndpoint(9), endpointOfFirst);
 }
 
-TEST(Reading, TableEntriesEndWithTheirLife) {
-  Driver d(settings());
-  d.list(fleet());
-  auto request = d.request(1);
+TEST(PrefillSelection, ForgetsACachedPrefixAfterItsLifetime) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  auto request = driver.newRequest(1);
   request.promptTokens = 4000;
   request.session = {77};
-  d.give(request);
-  const auto home = d.sentTo(1);
-  d.end(1, Outcome::connectFailed);  // read elsewhere, so the table names another reader than the hash
-  const auto other = d.sentTo(1);
-  ASSERT_NE(home, other);
-  d.pass(240 * kMs);
-  d.end(1, Outcome::prefillDone);
-  d.end(1, Outcome::completed);
-  d.pass(2 * kSec);
-  auto soon = d.request(2);
+  driver.deliver(request);
+  const auto affinityEndpoint = driver.lastEndpoint(1);
+  driver.endAttempt(
+      1, Outcome::connectFailed);  // prefilled elsewhere, so the index lists another endpoint than the hash
+  const auto other = driver.lastEndpoint(1);
+  ASSERT_NE(affinityEndpoint, other);
+  driver.advanceTime(240 * kMs);
+  driver.endAttempt(1, Outcome::prefillDone);
+  driver.endAttempt(1, Outcome::completed);
+  driver.advanceTime(2 * kSec);
+  auto soon = driver.newRequest(2);
   soon.session = {77};
-  d.run(soon);
-  d.pass(11 * kSec);
-  auto late = d.request(3);
+  driver.serve(soon);
+  driver.advanceTime(11 * kSec);
+  auto late = driver.newRequest(3);
   late.session = {77};
-  d.give(late);
-  EXPECT_EQ(d.sentTo(3), home);
+  driver.deliver(late);
+  EXPECT_EQ(driver.lastEndpoint(3), affinityEndpoint);
 }
 
-TEST(Reading, ARestartEmptiesWhatIsKnownOfAServer) {
-  Driver d(settings());
-  d.list(fleet());
-  auto request = d.request(1);
+TEST(PrefillSelection, ForgetsTheCacheOfAnEndpointThatRestarts) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  auto request = driver.newRequest(1);
   request.session = {77};
   request.promptTokens = 6000;
-  const auto reader = d.run(request, 300 * kMs);
+  const auto endpointOfFirst = driver.serve(request, 300 * kMs);
   auto restarted = fleet();
-  for (auto& s : restarted)
-    if (s.id.value == reader) s.startedAt = d.now;
-  d.list(restarted);
-  auto filler = d.request(2);  // spends what a cold server may get, so that only its cache could attract
+  for (EndpointEntry& entry : restarted)
+    if (entry.id.value == endpointOfFirst) entry.startedAt = driver.now;
+  driver.setEndpoints(restarted);
+  auto filler = driver.newRequest(2);  // uses up the slow-start budget, so that only a cache could attract
   filler.session = {77};
-  d.give(filler);
-  auto next = d.request(3);
+  driver.deliver(filler);
+  auto next = driver.newRequest(3);
   next.session = {77};
-  d.give(next);
-  EXPECT_NE(d.sentTo(3), reader);
+  driver.deliver(next);
+  EXPECT_NE(driver.lastEndpoint(3), endpointOfFirst);
 }
 
-TEST(Reading, TwoBrokenPromisesVoidTheTable) {
-  auto s = settings();
-  Driver d(s);
-  d.list(fleet());
+TEST(PrefillSelection, ServesARequestAfterRepeatedCacheMisses) {
+  Settings custom = settings();
+  PolicyDriver driver(custom);
+  driver.setEndpoints(fleet());
   for (std::uint64_t id = 1; id <= 3; ++id) {
-    auto request = d.request(id);
+    auto request = driver.newRequest(id);
     request.session = {id};
     request.sharedPrefix = {500};
     request.sharedPrefixTokens = 3000;
     request.promptTokens = 3200;
-    d.run(request, 200 * kMs, 0);  // finds nothing although the table promised the beginning
+    driver.serve(request, 200 * kMs, 0);  // finds nothing although the index lists the prefix
   }
-  auto next = d.request(9);
+  auto next = driver.newRequest(9);
   next.sharedPrefix = {500};
   next.sharedPrefixTokens = 3000;
   next.promptTokens = 3200;
-  d.give(next);
-  EXPECT_NE(d.sentTo(9), 0u);  // still served: by the hash, as for an unknown key
+  driver.deliver(next);
+  EXPECT_NE(driver.lastEndpoint(9), 0u);  // still served, by the hash as for an unknown prefix
 }
 
-TEST(Reading, ReportedQueueSendsElsewhere) {
-  Driver d(settings());
-  d.list(fleet());
-  auto request = d.request(1);
+TEST(PrefillSelection, AvoidsAnEndpointThatReportsALongQueue) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  auto request = driver.newRequest(1);
   request.session = {77};
-  d.give(request);
-  const auto reader = d.sentTo(1);
-  d.pass(60 * kMs);
-  AttemptEnded done{.id = {1}, .attempt = 0, .endpoint = {reader}, .outcome = Outcome::prefillDone};
+  driver.deliver(request);
+  const auto endpointOfFirst = driver.lastEndpoint(1);
+  driver.advanceTime(60 * kMs);
+  AttemptEnded done{.id = {1}, .attempt = 0, .endpoint = {endpointOfFirst}, .outcome = Outcome::prefillDone};
   done.report = LoadReport{.memoryShare = 0.5, .queuedKiloTokens = 60};
-  d.give(done);
-  auto next = d.request(2);
+  driver.deliver(done);
+  auto next = driver.newRequest(2);
   next.session = {77};
-  d.give(next);
-  EXPECT_NE(d.sentTo(2), reader);
+  driver.deliver(next);
+  EXPECT_NE(driver.lastEndpoint(2), endpointOfFirst);
 }
 
-TEST(Reading, MixedServersAnswerAPartWhole) {
-  Driver d(settings());
-  auto servers = fleet();
-  servers.push_back(endpoint(21, kMixed, 0));
-  d.list(servers);
-  int whole = 0;
+TEST(PrefillSelection, SendsAShareOfRequestsWholeToCombinedEndpoints) {
+  PolicyDriver driver(settings());
+  auto endpoints = fleet();
+  endpoints.push_back(endpoint(21, kCombined, 0));
+  driver.setEndpoints(endpoints);
+  int sentWhole = 0;
   for (std::uint64_t id = 1; id <= 200; ++id) {
-    d.give(d.request(id));
-    if (d.sentTo(id) == 21) {
-      ++whole;
-      d.give(StreamStarted{{id}, 0});
+    driver.deliver(driver.newRequest(id));
+    if (driver.lastEndpoint(id) == 21) {
+      ++sentWhole;
+      driver.deliver(StreamStarted{{id}, 0});
     } else {
-      d.pass(50 * kMs);
-      d.end(id, Outcome::prefillDone);
-      d.give(StreamStarted{{id}, 1});
+      driver.advanceTime(50 * kMs);
+      driver.endAttempt(id, Outcome::prefillDone);
+      driver.deliver(StreamStarted{{id}, 1});
     }
-    d.pass(500 * kMs);
-    d.end(id, Outcome::completed);
+    driver.advanceTime(500 * kMs);
+    driver.endAttempt(id, Outcome::completed);
   }
-  EXPECT_GT(whole, 5);
-  EXPECT_LT(whole, 60);
+  EXPECT_GT(sentWhole, 5);
+  EXPECT_LT(sentWhole, 60);
 }
 
-TEST(Reading, WritersReadWhereTheyMayAndNoReaderIsLeft) {
-  auto s = settings();
-  s.decodeEndpointsPrefill = true;
-  Driver d(s);
-  d.list({endpoint(11, kWriter)});
-  d.give(d.request(1));
-  EXPECT_EQ(d.sentTo(1), 11u);
+TEST(PrefillSelection, UsesDecodeEndpointsWhenAllowedAndNoPrefillEndpointIsLeft) {
+  Settings custom = settings();
+  custom.decodeEndpointsPrefill = true;
+  PolicyDriver driver(custom);
+  driver.setEndpoints({endpoint(11, kDecode)});
+  driver.deliver(driver.newRequest(1));
+  EXPECT_EQ(driver.lastEndpoint(1), 11u);
 }
 
-TEST(Reading, TheLongestWaitNowTellsOfAQueueThatNobodyReports) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
-  d.give(d.request(1));
-  d.pass(50 * kMs);
-  d.give(d.request(2));  // a sign between, so that the server is busy, not silent
-  d.pass(850 * kMs);
-  d.end(2, Outcome::prefillDone);
-  d.give(d.request(3));  // the first read waits for 900 ms by now
-  EXPECT_EQ(d.count<Send>(3), 0);
-  EXPECT_EQ(d.count<Reject>(3), 1);
+TEST(PrefillSelection, RejectsWhenAnEarlierPrefillHasWaitedLong) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+  driver.deliver(driver.newRequest(1));
+  driver.advanceTime(50 * kMs);
+  driver.deliver(
+      driver.newRequest(2));  // answered in between, so that the endpoint is busy, not unresponsive
+  driver.advanceTime(850 * kMs);
+  driver.endAttempt(2, Outcome::prefillDone);
+  driver.deliver(driver.newRequest(3));  // the first prefill has waited for 900 ms by now
+  EXPECT_EQ(driver.count<Send>(3), 0);
+  EXPECT_EQ(driver.count<Reject>(3), 1);
 }
 
-TEST(Reading, AWaitingFirstTokenHoldsNewRequestsBack) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
-  d.give(d.request(1));
-  d.pass(50 * kMs);
-  d.end(1, Outcome::prefillDone);
-  ASSERT_EQ(d.sentTo(1), 11u);
-  d.pass(950 * kMs);
-  d.give(d.request(2));
-  EXPECT_EQ(d.count<Reject>(2), 1);
+TEST(PrefillSelection, RejectsWhenAFirstTokenIsLate) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+  driver.deliver(driver.newRequest(1));
+  driver.advanceTime(50 * kMs);
+  driver.endAttempt(1, Outcome::prefillDone);
+  ASSERT_EQ(driver.lastEndpoint(1), 11u);
+  driver.advanceTime(950 * kMs);
+  driver.deliver(driver.newRequest(2));
+  EXPECT_EQ(driver.count<Reject>(2), 1);
 }
 
-TEST(Reading, ReportedTokensCostTheSlopeNotAnAverageRead) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
+TEST(PrefillSelection, PricesReportedTokensByTheModelsSlope) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
   for (std::uint64_t id = 100; id < 190; ++id) {  // nearly all cached: 30 ms for 100 new tokens
-    auto request = d.request(id);
+    auto request = driver.newRequest(id);
     request.session = {7};
     request.promptTokens = 3000;
-    d.run(request, 30 * kMs, 2900);
+    driver.serve(request, 30 * kMs, 2900);
   }
-  auto request = d.request(50);
+  auto request = driver.newRequest(50);
   request.session = {7};
   request.promptTokens = 3000;
-  d.give(request);
-  d.pass(30 * kMs);
+  driver.deliver(request);
+  driver.advanceTime(30 * kMs);
   AttemptEnded done{
       .id = {50}, .attempt = 0, .endpoint = {1}, .outcome = Outcome::prefillDone, .cachedTokens = 2900};
   done.report = LoadReport{.memoryShare = 0.3, .queuedKiloTokens = 4};
-  d.give(done);
+  driver.deliver(done);
   request.id = {51};
-  d.give(request);  // 4,000 tokens at the average read's time a token would take 0.9 s
-  EXPECT_EQ(d.sentTo(51), 1u);
+  driver.deliver(request);  // 4,000 tokens at the mean prefill's time for each would take 0.9 s
+  EXPECT_EQ(driver.lastEndpoint(51), 1u);
 }
 
-TEST(Reading, WithoutHopeItRefusesAtOnce) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
+TEST(PrefillSelection, RejectsAtOnceWhatCannotBeInTime) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
   std::uint64_t id = 1;
-  for (; id < 200 && d.count<Reject>(id - 1) == 0; ++id) {
-    auto request = d.request(id);
+  for (; id < 200 && driver.count<Reject>(id - 1) == 0; ++id) {
+    auto request = driver.newRequest(id);
     request.promptTokens = 5000;
-    d.give(request);
+    driver.deliver(request);
   }
   EXPECT_GT(id, 3u);
   EXPECT_LT(id, 20u);
 }
 
-// A cell with one writer to many readers would get more states than it can answer.
-TEST(Reading, TheHashSparesCellsWithLittleAnsweringMemory) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader, 0), endpoint(2, kReader, 0), endpoint(3, kReader, 0), endpoint(4, kReader, 1),
-          endpoint(5, kReader, 1), endpoint(11, kWriter, 0), endpoint(12, kWriter, 1),
-          endpoint(13, kWriter, 1), endpoint(14, kWriter, 1)});
+// A cell with one decode endpoint for many prefill endpoints would get more KV states than it can decode.
+TEST(PrefillSelection, SendsLessToCellsWithLittleDecodeMemory) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(1, kPrefill, 0), endpoint(2, kPrefill, 0), endpoint(3, kPrefill, 0),
+                       endpoint(4, kPrefill, 1), endpoint(5, kPrefill, 1), endpoint(11, kDecode, 0),
+                       endpoint(12, kDecode, 1), endpoint(13, kDecode, 1), endpoint(14, kDecode, 1)});
   int skewed = 0;
   for (std::uint64_t id = 1; id <= 100; ++id) {
-    skewed += d.run(d.request(id)) <= 3 ? 1 : 0;  // an unweighted hash: 60 of 100
-    d.pass(kSec);
+    skewed += driver.serve(driver.newRequest(id)) <= 3 ? 1 : 0;  // an unweighted hash: 60 of 100
+    driver.advanceTime(kSec);
   }
   EXPECT_GT(skewed, 0);
   EXPECT_LT(skewed, 45);
 }
 
-// With every reader gone, reads that go on after their cancel jammed the writers for the rest of the day.
-TEST(Reading, WritersReadOnlyWhatIsTimelyAndAtFirstTries) {
-  auto s = settings();
-  s.decodeEndpointsPrefill = true;
-  Driver d(s);
-  d.list({endpoint(11, kWriter)});
+// With every prefill endpoint gone, prefills that went on after a cancel kept the decode endpoints busy for
+// good.
+TEST(PrefillSelection, PrefillsAtDecodeEndpointsOnlyInTimeAndOnTheFirstAttempt) {
+  Settings custom = settings();
+  custom.decodeEndpointsPrefill = true;
+  PolicyDriver driver(custom);
+  driver.setEndpoints({endpoint(11, kDecode)});
   int sends = 0;
   for (std::uint64_t id = 1; id <= 40; ++id) {
-    d.give(d.request(id));
-    sends += d.count<Send>(id);
+    driver.deliver(driver.newRequest(id));
+    sends += driver.count<Send>(id);
   }
   EXPECT_GT(sends, 0);
   EXPECT_LT(sends, 30);
-  d.end(1, Outcome::error);
-  EXPECT_EQ(d.count<Send>(1), 1);
+  driver.endAttempt(1, Outcome::error);
+  EXPECT_EQ(driver.count<Send>(1), 1);
 }
 
-// Fewer writers than cells: readers without a writer beside them got a tenth of a reader's part, and half of
-// the fleet's reading lay idle. They get less than others, as their states cross links, but a true part.
-TEST(Reading, ACellWithoutWritersReadsItsPart) {
-  Driver d(settings());
+// With fewer decode endpoints than cells, prefill endpoints of a cell without one must not be left idle. They
+// get less than others, as their KV states cross links, but a real share.
+TEST(PrefillSelection, SendsAShareToACellWithoutDecodeEndpoints) {
+  PolicyDriver driver(settings());
   std::vector<EndpointEntry> fleet;
-  for (std::uint64_t id = 1; id <= 4; ++id) fleet.push_back(endpoint(id, kReader, 0));
-  for (std::uint64_t id = 5; id <= 8; ++id) fleet.push_back(endpoint(id, kReader, 1));
-  fleet.push_back(endpoint(11, kWriter, 0));
-  d.list(fleet);
+  for (std::uint64_t id = 1; id <= 4; ++id) fleet.push_back(endpoint(id, kPrefill, 0));
+  for (std::uint64_t id = 5; id <= 8; ++id) fleet.push_back(endpoint(id, kPrefill, 1));
+  fleet.push_back(endpoint(11, kDecode, 0));
+  driver.setEndpoints(fleet);
   int bare = 0;
   for (std::uint64_t id = 1; id <= 200; ++id) {
-    bare += d.run(d.request(id)) >= 5 ? 1 : 0;
-    d.pass(500 * kMs);
+    bare += driver.serve(driver.newRequest(id)) >= 5 ? 1 : 0;
+    driver.advanceTime(500 * kMs);
   }
   EXPECT_GT(bare, 200 * 0.2);  // 0.6 of 2.0 is 60; a tenth was 13
   EXPECT_LT(bare, 200 * 0.45);
 }
 
-// The room that is left for what may go wrong was taken of the own read too, so long prompts were refused at
-// idle readers though their aim grows with their length.
-TEST(Reading, ALongPromptIsNotRefusedForItsOwnReadAlone) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
-  auto request = d.request(1);
-  request.promptTokens = 45'000;  // read in 2.7 s of the 3.7 s to its aim
-  d.give(request);
-  EXPECT_EQ(d.sentTo(1), 1u);
-  auto second = d.request(2);  // waits for the first
+// The margin applies to the wait, not to the own prefill: a long prompt has a later objective, and an idle
+// endpoint serves it in time.
+TEST(PrefillSelection, DoesNotRejectALongPromptForItsOwnPrefillAlone) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+  auto request = driver.newRequest(1);
+  request.promptTokens = 45'000;  // prefilled in 2.7 s of the 3.7 s to its objective
+  driver.deliver(request);
+  EXPECT_EQ(driver.lastEndpoint(1), 1u);
+  auto second = driver.newRequest(2);  // waits for the first
   second.promptTokens = 45'000;
-  d.give(second);
-  EXPECT_EQ(d.count<Reject>(2), 1);
+  driver.deliver(second);
+  EXPECT_EQ(driver.count<Reject>(2), 1);
 }
 
 }  // namespace
--- a/tests/policy/random_events_test.cpp
+++ b/tests/policy/random_events_test.cpp
@@ -1,4 +1,4 @@
-// Seeded random days under an independent checker of the rules; and that equal events give equal actions.
+// Seeded random events under an independent checker of the rules; and that equal events give equal actions.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -13,23 +13,23 @@
 namespace {
 
 // Checks what is sent against the rules, knowing only events and actions.
-class Checker {
+class RuleChecker {
  public:
   struct Known {
     void drop() {
-      state = false;
+      hasKvState = false;
       heldSince.reset();
     }
     RequestArrived request;
     Micros deadline = 0;
     Idempotency idempotency = Idempotency::idempotent;
     int sends = 0;
-    bool out = false;
-    bool readOut = false;
+    bool inFlight = false;
+    bool isPrefill = false;
     bool started = false;
     bool ended = false;
     bool possiblyExecuted = false;
-    bool state = false;  // read, and neither streamed nor released
+    bool hasKvState = false;  // prefilled, and neither streamed nor released
     std::optional<Micros> heldSince;
   };
 
@@ -37,7 +37,7 @@
 
   void action(Micros now, const Action& action, const std::map<std::uint64_t, Role>& running) {
     if (const auto* send = std::get_if<Send>(&action)) return sent(*send, running);
-    if (const auto* refuse = std::get_if<Reject>(&action)) return final(now, refuse->id.value, true);
+    if (const auto* reject = std::get_if<Reject>(&action)) return final(now, reject->id.value, true);
     if (const auto* fail = std::get_if<Fail>(&action)) return final(now, fail->id.value, false);
     if (const auto* release = std::get_if<Release>(&action)) known[release->id.value].drop();
   }
@@ -45,7 +45,7 @@
   void time(Micros now) {
     for (auto& [id, k] : known) {
       if (!k.ended && !k.started && now > k.deadline + 8 * kMs) breach("late answer");
-      if (k.heldSince && !k.out && now > *k.heldSince + 500 * kMs) breach("pinned state");
+      if (k.heldSince && !k.inFlight && now > *k.heldSince + 500 * kMs) breach("KV state held too long");
     }
   }
 
@@ -56,29 +56,30 @@
   void sent(const Send& send, const std::map<std::uint64_t, Role>& running) {
     Known& k = known[send.id.value];
     if (k.ended) breach("sent after the end");
-    if (k.out) breach("two attempts out");
-    if (k.possiblyExecuted && k.idempotency == Idempotency::nonIdempotent) breach("unsafe repeated");
-    if (!running.contains(send.endpoint.value)) breach("sent to a drained server");
+    if (k.inFlight) breach("two attempts in flight");
+    if (k.possiblyExecuted && k.idempotency == Idempotency::nonIdempotent)
+      breach("non-idempotent request retried");
+    if (!running.contains(send.endpoint.value)) breach("sent to a drained endpoint");
     if (++k.sends > settings().maxAttempts) breach("too many attempts");
-    k.out = true;
+    k.inFlight = true;
     const auto role = running.find(send.endpoint.value);
-    k.readOut = role != running.end() && role->second == Role::prefill;
-    if (!k.readOut) k.heldSince.reset();
+    k.isPrefill = role != running.end() && role->second == Role::prefill;
+    if (!k.isPrefill) k.heldSince.reset();
   }
 
   void final(Micros now, std::uint64_t id, bool rejected) {
     Known& k = known[id];
     if (k.ended) breach("two answers");
-    if (rejected && k.idempotency == Idempotency::nonIdempotent && (k.possiblyExecuted || k.out))
-      breach("unsafe refused");
+    if (rejected && k.idempotency == Idempotency::nonIdempotent && (k.possiblyExecuted || k.inFlight))
+      breach("non-idempotent request rejected");
     if (now > k.deadline + 8 * kMs) breach("late answer");
     k.ended = true;
   }
 };
 
-class RandomDay {
+class RandomScenario {
  public:
-  explicit RandomDay(std::uint32_t seed) : random_(seed), driver_(settings(), seed) {
+  explicit RandomScenario(std::uint32_t seed) : random_(seed), driver_(settings(), seed) {
     for (std::uint64_t id = 1; id <= 12; ++id)
       entries_.push_back(endpoint(id, static_cast<KindIndex>(id % 3), id % 2, id % 2));
     relist();
@@ -89,8 +90,8 @@
     for (int i = 0; i < 200; ++i) pass(50 * kMs);
   }
 
-  Checker checker;
-  const Driver& driver() const { return driver_; }
+  RuleChecker checker;
+  const PolicyDriver& driver() const { return driver_; }
 
  private:
   std::uint64_t below(std::uint64_t n) { return random_() % n; }
@@ -100,7 +101,7 @@
     if (dice < 30) return arrive();
     if (dice < 75) return endOne();
     if (dice < 80) return startOne();
-    if (dice < 82) return leaveOne();
+    if (dice < 82) return cancelOne();
     if (dice < 85) return change();
     pass(static_cast<Micros>(below(40)) * kMs);
   }
@@ -111,13 +112,13 @@
   }
   void give(const Event& event) {
     const auto from = driver_.log.size();
-    driver_.give(event);
+    driver_.deliver(event);
     note(from);
   }
   void pass(Micros time) {
     for (Micros left = time; left > 0; left -= 2 * kMs) {
       const auto from = driver_.log.size();
-      driver_.pass(2 * kMs);
+      driver_.advanceTime(2 * kMs);
       note(from);
       checker.time(driver_.now);
     }
@@ -137,7 +138,7 @@
   }
 
   void arrive() {
-    auto request = driver_.request(++last_, static_cast<ClassIndex>(below(3)));
+    auto request = driver_.newRequest(++last_, static_cast<ClassIndex>(below(3)));
     request.session = {below(20)};
     request.sharedPrefix = {below(6)};
     request.promptTokens = static_cast<double>(below(9000));
@@ -152,7 +153,7 @@
   std::optional<std::uint64_t> pick() {
     std::vector<std::uint64_t> out;
     for (const auto& [id, k] : checker.known)
-      if (k.out) out.push_back(id);
+      if (k.inFlight) out.push_back(id);
     if (out.empty()) return std::nullopt;
     return out[below(out.size())];
   }
@@ -162,20 +163,20 @@
     if (!id) return;
     auto& k = checker.known[*id];
     auto outcome = static_cast<Outcome>(below(9));
-    if (below(2) == 0) outcome = k.readOut ? Outcome::prefillDone : Outcome::completed;
-    if (k.readOut && outcome == Outcome::completed) outcome = Outcome::prefillDone;
-    if (!k.readOut && outcome == Outcome::prefillDone) outcome = Outcome::completed;
-    const bool proven = outcome == Outcome::rejected || outcome == Outcome::connectFailed ||
-                        outcome == Outcome::notSent || k.readOut;
-    k.possiblyExecuted = k.possiblyExecuted || !proven;
-    k.out = false;
+    if (below(2) == 0) outcome = k.isPrefill ? Outcome::prefillDone : Outcome::completed;
+    if (k.isPrefill && outcome == Outcome::completed) outcome = Outcome::prefillDone;
+    if (!k.isPrefill && outcome == Outcome::prefillDone) outcome = Outcome::completed;
+    const bool notExecuted = outcome == Outcome::rejected || outcome == Outcome::connectFailed ||
+                             outcome == Outcome::notSent || k.isPrefill;
+    k.possiblyExecuted = k.possiblyExecuted || !notExecuted;
+    k.inFlight = false;
     if (outcome == Outcome::completed || k.started) k.ended = true;
-    if (outcome == Outcome::prefillDone) k.state = true;
+    if (outcome == Outcome::prefillDone) k.hasKvState = true;
     if (outcome == Outcome::completed) k.drop();
-    if (k.state) k.heldSince = driver_.now;
+    if (k.hasKvState) k.heldSince = driver_.now;
     AttemptEnded event{.id = {*id},
                        .attempt = k.sends - 1,
-                       .endpoint = {driver_.sentTo(*id)},
+                       .endpoint = {driver_.lastEndpoint(*id)},
                        .outcome = outcome,
                        .requestEnded = k.ended};
     event.cachedTokens = static_cast<double>(below(2000));
@@ -187,13 +188,13 @@
 
   void startOne() {
     const auto id = pick();
-    if (!id || checker.known[*id].readOut || checker.known[*id].ended) return;
+    if (!id || checker.known[*id].isPrefill || checker.known[*id].ended) return;
     checker.known[*id].started = true;
     checker.known[*id].drop();
     give(StreamStarted{{*id}, checker.known[*id].sends - 1});
   }
 
-  void leaveOne() {
+  void cancelOne() {
     const auto id = pick();
     if (!id || checker.known[*id].started || checker.known[*id].ended) return;
     checker.known[*id].ended = true;
@@ -201,43 +202,43 @@
   }
 
   std::mt19937 random_;
-  Driver driver_;
+  PolicyDriver driver_;
   std::vector<EndpointEntry> entries_;
   std::map<std::uint64_t, Role> running_;
   std::uint64_t last_ = 0;
 };
 
-TEST(RandomDays, KeepTheRules) {
+TEST(RandomEvents, KeepTheRules) {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
-    RandomDay day(seed);
-    day.run(1800);
-    EXPECT_EQ(day.checker.breaches, std::set<std::string>{}) << "seed " << seed;
-    EXPECT_GT(day.driver().log.size(), 2000u);
+    RandomScenario scenario(seed);
+    scenario.run(1800);
+    EXPECT_EQ(scenario.checker.breaches, std::set<std::string>{}) << "seed " << seed;
+    EXPECT_GT(scenario.driver().log.size(), 2000u);
   }
 }
 
-TEST(RandomDays, EqualEventsGiveEqualActions) {
-  RandomDay a(5);
-  RandomDay b(5);
-  a.run(800);
-  b.run(800);
-  const auto& first = a.driver().log;
-  const auto& second = b.driver().log;
-  ASSERT_EQ(first.size(), second.size());
-  for (std::size_t i = 0; i < first.size(); ++i) {
-    ASSERT_EQ(first[i].second.index(), second[i].second.index());
-    if (const auto* send = std::get_if<Send>(&first[i].second)) {
-      EXPECT_EQ(send->endpoint, std::get<Send>(second[i].second).endpoint);
-      EXPECT_EQ(send->timeout, std::get<Send>(second[i].second).timeout);
+TEST(RandomEvents, GiveEqualActionsWhenRepeated) {
+  RandomScenario first(5);
+  RandomScenario second(5);
+  first.run(800);
+  second.run(800);
+  const auto& firstLog = first.driver().log;
+  const auto& secondLog = second.driver().log;
+  ASSERT_EQ(firstLog.size(), secondLog.size());
+  for (std::size_t i = 0; i < firstLog.size(); ++i) {
+    ASSERT_EQ(firstLog[i].second.index(), secondLog[i].second.index());
+    if (const auto* send = std::get_if<Send>(&firstLog[i].second)) {
+      EXPECT_EQ(send->endpoint, std::get<Send>(secondLog[i].second).endpoint);
+      EXPECT_EQ(send->timeout, std::get<Send>(secondLog[i].second).timeout);
     }
   }
 }
 
-// That the checker sees each breach.
-TEST(TheChecker, CatchesEachBreach) {
+// The checker must see each breach.
+TEST(RuleChecker, CatchesEachBreach) {
   const std::map<std::uint64_t, Role> running{{1, Role::prefill}, {11, Role::decode}};
   const auto after = [&](auto script) {
-    Checker checker;
+    RuleChecker checker;
     auto& k = checker.known[1];
     k.deadline = 1000 * kMs;
     k.idempotency = Idempotency::nonIdempotent;
@@ -245,36 +246,36 @@
     return checker.breaches;
   };
   using Set = std::set<std::string>;
-  EXPECT_EQ(after([&](Checker& c, auto&) { c.time(1010 * kMs); }), Set{"late answer"});
-  EXPECT_EQ(after([&](Checker& c, auto&) {
+  EXPECT_EQ(after([&](RuleChecker& c, auto&) { c.time(1010 * kMs); }), Set{"late answer"});
+  EXPECT_EQ(after([&](RuleChecker& c, auto&) {
               c.action(0, Fail{{1}}, running);
               c.action(0, Fail{{1}}, running);
             }),
             Set{"two answers"});
-  EXPECT_EQ(after([&](Checker& c, auto& k) {
+  EXPECT_EQ(after([&](RuleChecker& c, auto& k) {
               k.possiblyExecuted = true;
               c.action(0, Send{{1}, {11}}, running);
             }),
-            Set{"unsafe repeated"});
-  EXPECT_EQ(after([&](Checker& c, auto& k) {
+            Set{"non-idempotent request retried"});
+  EXPECT_EQ(after([&](RuleChecker& c, auto& k) {
               k.possiblyExecuted = true;
               c.action(0, Reject{{1}}, running);
             }),
-            Set{"unsafe refused"});
-  EXPECT_EQ(after([&](Checker& c, auto&) {
+            Set{"non-idempotent request rejected"});
+  EXPECT_EQ(after([&](RuleChecker& c, auto&) {
               c.action(0, Send{{1}, {5}}, running);
             }),
-            Set{"sent to a drained server"});
-  EXPECT_EQ(after([&](Checker& c, auto& k) {
+            Set{"sent to a drained endpoint"});
+  EXPECT_EQ(after([&](RuleChecker& c, auto& k) {
               k.heldSince = 0;
               c.time(600 * kMs);
             }),
-            Set{"pinned state"});
-  EXPECT_EQ(after([&](Checker& c, auto&) {
+            Set{"KV state held too long"});
+  EXPECT_EQ(after([&](RuleChecker& c, auto&) {
               c.action(0, Send{{1}, {1}}, running);
               c.action(0, Send{{1}, {1}}, running);
             }),
-            Set{"two attempts out"});
+            Set{"two attempts in flight"});
 }
 
 }  // namespace
--- a/tests/policy/recorded_stream_test.cpp
+++ b/tests/policy/recorded_stream_test.cpp
@@ -1,7 +1,5 @@
-// The module must make the same calls as before wherever only its speed was worked on. The digests are those
-// of the module since half of a request's own read is taken for certain, with restarts since routers take
-// turns at cold servers, with troubles since a request leaves the cell of a slow writer; a change of
-// decisions on purpose changes them, and says so in its commit.
+// The policy must make the same decisions as before wherever only its code or speed has changed. A change of
+// decisions on purpose changes the digests, and says so in its commit.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -24,7 +22,7 @@
   void operator()(const SetTimer& a) { put(6, a.id.value, a.delay); }
   void operator()(const Probe& a) { put(7, a.endpoint.value); }
   void operator()(const Subscribe&) { put(8); }
-  // That there is a line, not its words, which are for people: LogText tests them.
+  // Counts the line, not its words, which are for people: LogText tests them.
   void operator()(const Log&) { put(9); }
   std::uint64_t value = 1469598103934665603ULL;
 
@@ -39,57 +37,57 @@
   void byte(std::uint8_t o) { value = (value ^ o) * 1099511628211ULL; }
 };
 
-struct Case {
-  std::size_t servers, mixed;
+struct RecordedCase {
+  std::size_t endpoints, combined;
   double perSecond, errors;
   bool reports, restarts;
   std::uint64_t seed;
   std::uint64_t expected;
 };
 
-class RecordedStream : public testing::TestWithParam<Case> {};
+class RecordedStream : public testing::TestWithParam<RecordedCase> {};
 
-TEST_P(RecordedStream, GivesTheActionsItGaveBefore) {
-  const Case c = GetParam();
-  BusyOptions o;
-  o.servers = c.servers;
-  o.mixed = c.mixed;
-  o.perSecond = c.perSecond;
-  o.errors = c.errors;
-  o.reports = c.reports;
-  o.restarts = c.restarts;
-  o.seconds = 14;
-  o.beginnings = c.seed % 2 ? 200 : 3;
-  o.seed = c.seed;
-  BusyWorld world(o);
+TEST_P(RecordedStream, GivesTheSameActionsAsWhenItWasRecorded) {
+  const RecordedCase recorded = GetParam();
+  BusyOptions options;
+  options.endpoints = recorded.endpoints;
+  options.combined = recorded.combined;
+  options.perSecond = recorded.perSecond;
+  options.errors = recorded.errors;
+  options.reports = recorded.reports;
+  options.restarts = recorded.restarts;
+  options.seconds = 14;
+  options.sharedPrefixes = recorded.seed % 2 ? 200 : 3;
+  options.seed = recorded.seed;
+  BusyWorld world(options);
   Digest digest;
   world.play([&](Micros, const Event&, const std::vector<Action>& actions) {
-    for (const Action& a : actions) std::visit(digest, a);
+    for (const Action& action : actions) std::visit(digest, action);
   });
   EXPECT_GT(world.served, world.requests / 2);
-  EXPECT_EQ(digest.value, c.expected) << std::hex << digest.value;
+  EXPECT_EQ(digest.value, recorded.expected) << std::hex << digest.value;
 }
 
 INSTANTIATE_TEST_SUITE_P(Streams, RecordedStream,
-                         testing::Values(Case{10, 0, 300, 0, true, false, 1, 0x83811ca359965a8d},
-                                         Case{10, 2, 300, 0.1, false, true, 2, 0xcc0185bfb59273d9},
-                                         Case{40, 8, 200, 0.3, true, true, 3, 0x975505fc2c272dfe},
-                                         Case{40, 0, 200, 0.05, false, false, 4, 0x1f76d856542a0b15},
-                                         Case{100, 20, 150, 0.2, true, true, 5, 0xa53c262f884ec0ed}));
+                         testing::Values(RecordedCase{10, 0, 300, 0, true, false, 1, 0x83811ca359965a8d},
+                                         RecordedCase{10, 2, 300, 0.1, false, true, 2, 0xcc0185bfb59273d9},
+                                         RecordedCase{40, 8, 200, 0.3, true, true, 3, 0x975505fc2c272dfe},
+                                         RecordedCase{40, 0, 200, 0.05, false, false, 4, 0x1f76d856542a0b15},
+                                         RecordedCase{100, 20, 150, 0.2, true, true, 5, 0xa53c262f884ec0ed}));
 
-// What on-call reads when a server is set aside and when it is taken back.
-TEST(LogText, NamesTheServerWhatBecameOfItAndWhy) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader), endpoint(2, kWriter)});
+// What on-call reads when an endpoint is ejected and when it is reinstated.
+TEST(LogText, NamesTheEndpointTheChangeAndTheReason) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(2, kDecode)});
   std::vector<std::string> lines;
   const auto collect = [&](const std::vector<Action>& actions) {
-    for (const Action& a : actions)
-      if (const auto* line = std::get_if<Log>(&a)) lines.push_back(line->text);
+    for (const Action& action : actions)
+      if (const auto* line = std::get_if<Log>(&action)) lines.push_back(line->text);
   };
-  d.give(d.request(1));
-  collect(d.end(1, Outcome::connectFailed));
+  driver.deliver(driver.newRequest(1));
+  collect(driver.endAttempt(1, Outcome::connectFailed));
   ASSERT_EQ(lines, std::vector<std::string>{"endpoint 1 ejected: connection failed"});
-  collect(d.end(1, Outcome::prefillDone));
+  collect(driver.endAttempt(1, Outcome::prefillDone));
   EXPECT_EQ(lines.back(), "endpoint 1 reinstated: it answered");
   EXPECT_EQ(lines.size(), 2U);
 }
--- a/tests/policy/request_rules_test.cpp
+++ b/tests/policy/request_rules_test.cpp
@@ -1,4 +1,4 @@
-// The five rules, and events that come late or for nothing.
+// The five rules that every request is served by, and events that come late or refer to nothing.
 #include <gtest/gtest.h>
 
 #include "policy/policy_driver.h"
@@ -7,316 +7,330 @@
 namespace {
 
 std::vector<EndpointEntry> fleet() {
-  return {endpoint(1, kReader), endpoint(2, kReader), endpoint(11, kWriter), endpoint(12, kWriter)};
+  return {endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(11, kDecode), endpoint(12, kDecode)};
+}
+int finalAnswers(const PolicyDriver& driver, std::uint64_t id) {
+  return driver.count<Reject>(id) + driver.count<Fail>(id);
 }
-int finals(const Driver& d, std::uint64_t id) { return d.count<Reject>(id) + d.count<Fail>(id); }
 
-void readOne(Driver& d, std::uint64_t id, ClassIndex kind) {
-  d.give(d.request(id, kind));
-  d.pass(50 * kMs);
-  d.end(id, Outcome::prefillDone);
+void prefillOne(PolicyDriver& driver, std::uint64_t id, ClassIndex kind) {
+  driver.deliver(driver.newRequest(id, kind));
+  driver.advanceTime(50 * kMs);
+  driver.endAttempt(id, Outcome::prefillDone);
 }
 
-class WithoutServers : public testing::TestWithParam<std::vector<EndpointEntry>> {};
-TEST_P(WithoutServers, EachRequestGetsOneTimelyAnswer) {
-  Driver d(settings());
-  d.list(GetParam());
-  for (const auto kind : {kSafe, kKeyed, kUnsafe}) d.give(d.request(10 + kind, kind));
-  d.pass(100 * kMs);
+class IncompleteFleet : public testing::TestWithParam<std::vector<EndpointEntry>> {};
+TEST_P(IncompleteFleet, AnswersEachRequestOnceInTime) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(GetParam());
+  for (const auto kind : {kIdempotent, kIdempotentWithKey, kNonIdempotent})
+    driver.deliver(driver.newRequest(10 + kind, kind));
+  driver.advanceTime(100 * kMs);
   for (std::uint64_t id = 10; id <= 12; ++id)
-    if (d.count<Send>(id) == 1 && d.sentTo(id) == 1) d.end(id, Outcome::prefillDone);
-  d.pass(5 * kSec);
+    if (driver.count<Send>(id) == 1 && driver.lastEndpoint(id) == 1)
+      driver.endAttempt(id, Outcome::prefillDone);
+  driver.advanceTime(5 * kSec);
   for (std::uint64_t id = 10; id <= 12; ++id) {
-    EXPECT_EQ(finals(d, id), 1);
-    EXPECT_GE(d.count<Release>(id), 1);
+    EXPECT_EQ(finalAnswers(driver, id), 1);
+    EXPECT_GE(driver.count<Release>(id), 1);
   }
 }
 EndpointEntry draining(EndpointEntry entry) {
   entry.state = EndpointState::draining;
   return entry;
 }
-INSTANTIATE_TEST_SUITE_P(Lists, WithoutServers,
-                         testing::Values(std::vector<EndpointEntry>{}, std::vector{endpoint(1, kReader)},
-                                         std::vector{endpoint(11, kWriter)},
-                                         std::vector{draining(endpoint(1, kReader)),
-                                                     draining(endpoint(11, kWriter))}));
+INSTANTIATE_TEST_SUITE_P(Lists, IncompleteFleet,
+                         testing::Values(std::vector<EndpointEntry>{}, std::vector{endpoint(1, kPrefill)},
+                                         std::vector{endpoint(11, kDecode)},
+                                         std::vector{draining(endpoint(1, kPrefill)),
+                                                     draining(endpoint(11, kDecode))}));
 
-TEST(Answers, AtTheDeadlineWithAnAttemptOut) {
-  for (const auto kind : {kSafe, kKeyed, kUnsafe}) {
-    auto s = settings();
-    s.canCancel = false;
-    Driver d(s);
-    d.list(fleet());
-    readOne(d, 1, kind);
-    ASSERT_EQ(d.count<Send>(1), 2);
-    d.pass(5 * kSec);
-    EXPECT_EQ(finals(d, 1), 1);
-    EXPECT_EQ(d.count<Fail>(1), kind == kSafe ? 0 : 1);
-    const int released = d.count<Release>(1);
-    d.end(1, Outcome::timedOut);  // may leave a state behind
-    EXPECT_GT(d.count<Release>(1), released);
-    EXPECT_EQ(d.count<Send>(1), 2);
+TEST(FinalAnswer, ComesAtTheDeadlineWhenAnAttemptIsInFlight) {
+  for (const auto kind : {kIdempotent, kIdempotentWithKey, kNonIdempotent}) {
+    Settings custom = settings();
+    custom.canCancel = false;
+    PolicyDriver driver(custom);
+    driver.setEndpoints(fleet());
+    prefillOne(driver, 1, kind);
+    ASSERT_EQ(driver.count<Send>(1), 2);
+    driver.advanceTime(5 * kSec);
+    EXPECT_EQ(finalAnswers(driver, 1), 1);
+    EXPECT_EQ(driver.count<Fail>(1), kind == kIdempotent ? 0 : 1);
+    const int released = driver.count<Release>(1);
+    driver.endAttempt(1, Outcome::timedOut);  // may leave a KV state behind
+    EXPECT_GT(driver.count<Release>(1), released);
+    EXPECT_EQ(driver.count<Send>(1), 2);
   }
 }
 
-TEST(Answers, NoneIsOwedOnceTheStreamHasStarted) {
-  Driver d(settings());
-  d.list(fleet());
-  readOne(d, 1, kSafe);
-  d.give(StreamStarted{{1}, 1});
-  d.pass(20 * kSec);
-  EXPECT_EQ(finals(d, 1), 0);
-  d.end(1, Outcome::completed);
-  EXPECT_EQ(finals(d, 1), 0);
+TEST(FinalAnswer, IsNotGivenWhenTheStreamHasStarted) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  prefillOne(driver, 1, kIdempotent);
+  driver.deliver(StreamStarted{{1}, 1});
+  driver.advanceTime(20 * kSec);
+  EXPECT_EQ(finalAnswers(driver, 1), 0);
+  driver.endAttempt(1, Outcome::completed);
+  EXPECT_EQ(finalAnswers(driver, 1), 0);
 }
 
-TEST(Answers, AnUnknownClassFailsAtOnce) {
-  Driver d(settings());
-  d.list(fleet());
-  auto request = d.request(1);
+TEST(FinalAnswer, IsAFailureAtOnceWhenTheClassIsUnknown) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  auto request = driver.newRequest(1);
   request.requestClass.reset();
-  d.give(request);
-  EXPECT_EQ(d.count<Fail>(1), 1);
-  EXPECT_EQ(d.count<Send>(1), 0);
+  driver.deliver(request);
+  EXPECT_EQ(driver.count<Fail>(1), 1);
+  EXPECT_EQ(driver.count<Send>(1), 0);
 }
 
-class Unproven : public testing::TestWithParam<Outcome> {};
-TEST_P(Unproven, UnsafeWorkIsNeitherRepeatedNorRefused) {
-  Driver d(settings());
-  d.list(fleet());
-  readOne(d, 1, kUnsafe);
-  ASSERT_GE(d.sentTo(1), 11u);
-  d.end(1, GetParam());
-  EXPECT_EQ(d.count<Send>(1), 2);
-  EXPECT_EQ(d.count<Fail>(1), 1);
-  EXPECT_EQ(d.count<Reject>(1), 0);
+class PossiblyExecuted : public testing::TestWithParam<Outcome> {};
+TEST_P(PossiblyExecuted, FailsANonIdempotentRequestWithoutRetryOrRejection) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  prefillOne(driver, 1, kNonIdempotent);
+  ASSERT_GE(driver.lastEndpoint(1), 11u);
+  driver.endAttempt(1, GetParam());
+  EXPECT_EQ(driver.count<Send>(1), 2);
+  EXPECT_EQ(driver.count<Fail>(1), 1);
+  EXPECT_EQ(driver.count<Reject>(1), 0);
 }
-INSTANTIATE_TEST_SUITE_P(Outcomes, Unproven,
+INSTANTIATE_TEST_SUITE_P(Outcomes, PossiblyExecuted,
                          testing::Values(Outcome::error, Outcome::timedOut, Outcome::connectionReset,
                                          Outcome::cancelled));
 
-class Proven : public testing::TestWithParam<Outcome> {};
-TEST_P(Proven, UnsafeWorkMayGoToAnotherWriter) {
-  Driver d(settings());
-  d.list(fleet());
-  readOne(d, 1, kUnsafe);
-  const auto first = d.sentTo(1);
-  d.end(1, GetParam());
-  EXPECT_EQ(d.count<Send>(1), 3);
-  EXPECT_NE(d.sentTo(1), first);
+class NotExecuted : public testing::TestWithParam<Outcome> {};
+TEST_P(NotExecuted, RetriesANonIdempotentRequestElsewhere) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  prefillOne(driver, 1, kNonIdempotent);
+  const auto first = driver.lastEndpoint(1);
+  driver.endAttempt(1, GetParam());
+  EXPECT_EQ(driver.count<Send>(1), 3);
+  EXPECT_NE(driver.lastEndpoint(1), first);
 }
-INSTANTIATE_TEST_SUITE_P(Outcomes, Proven, testing::Values(Outcome::rejected, Outcome::connectFailed));
+INSTANTIATE_TEST_SUITE_P(Outcomes, NotExecuted, testing::Values(Outcome::rejected, Outcome::connectFailed));
 
-class ReadEnds : public testing::TestWithParam<Outcome> {};
-TEST_P(ReadEnds, ReadsAreRepeatableInEveryClass) {
-  for (const auto kind : {kSafe, kKeyed, kUnsafe}) {
-    Driver d(settings());
-    d.list(fleet());
-    d.give(d.request(1, kind));
-    const auto first = d.sentTo(1);
-    d.end(1, GetParam());
-    EXPECT_EQ(d.count<Send>(1), 2);
-    EXPECT_NE(d.sentTo(1), first);
+class FailedPrefill : public testing::TestWithParam<Outcome> {};
+TEST_P(FailedPrefill, IsRetriedInEveryClass) {
+  for (const auto kind : {kIdempotent, kIdempotentWithKey, kNonIdempotent}) {
+    PolicyDriver driver(settings());
+    driver.setEndpoints(fleet());
+    driver.deliver(driver.newRequest(1, kind));
+    const auto first = driver.lastEndpoint(1);
+    driver.endAttempt(1, GetParam());
+    EXPECT_EQ(driver.count<Send>(1), 2);
+    EXPECT_NE(driver.lastEndpoint(1), first);
   }
 }
-INSTANTIATE_TEST_SUITE_P(Outcomes, ReadEnds,
+INSTANTIATE_TEST_SUITE_P(Outcomes, FailedPrefill,
                          testing::Values(Outcome::error, Outcome::timedOut, Outcome::connectionReset,
                                          Outcome::rejected, Outcome::connectFailed));
 
-TEST(Keyed, RepeatsStayInTheGroupAndItsTime) {
-  Driver d(settings());
-  d.list({endpoint(1, kReader, 0, 0), endpoint(11, kWriter, 0, 0), endpoint(12, kWriter, 0, 1)});
-  readOne(d, 1, kKeyed);
-  const auto first = d.sentTo(1);
-  d.end(1, Outcome::connectionReset);
-  d.pass(5 * kSec);  // to its deadline, as a repeat is out at the first writer
-  for (const auto& [at, action] : d.log)
+TEST(IdempotencyKey, KeepsRetriesInTheDeduplicationScopeAndWindow) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(
+      {endpoint(1, kPrefill, 0, 0), endpoint(11, kDecode, 0, 0), endpoint(12, kDecode, 0, 1)});
+  prefillOne(driver, 1, kIdempotentWithKey);
+  const auto first = driver.lastEndpoint(1);
+  driver.endAttempt(1, Outcome::connectionReset);
+  driver.advanceTime(5 * kSec);  // to its deadline, as a retry is in flight at the first endpoint
+  for (const auto& [at, action] : driver.log)
     if (const auto* send = std::get_if<Send>(&action); send && send->endpoint.value >= 11) {
-      EXPECT_EQ(send->endpoint.value, first);  // the other writer is in another zone
+      EXPECT_EQ(send->endpoint.value, first);  // the other endpoint is in another zone
     }
-  EXPECT_EQ(d.count<Reject>(1), 0);
-  EXPECT_EQ(finals(d, 1), 1);
+  EXPECT_EQ(driver.count<Reject>(1), 0);
+  EXPECT_EQ(finalAnswers(driver, 1), 1);
 }
 
-// A read is a further send too: other engines would not drop what comes of it.
-TEST(Keyed, ReadsAnewStayInTheGroup) {
+// A prefill is an attempt too: other endpoints would not deduplicate what follows it.
+TEST(IdempotencyKey, KeepsRepeatedPrefillsInTheDeduplicationScope) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Driver d(settings(), seed);
-    d.list({endpoint(1, kReader, 0, 0), endpoint(2, kReader, 1, 1), endpoint(11, kWriter, 0, 0),
-            endpoint(12, kWriter, 1, 1)});
-    readOne(d, 1, kKeyed);
-    const bool firstZone = d.sentTo(1) == 11;
-    ASSERT_TRUE(firstZone || d.sentTo(1) == 12);
-    const auto before = d.log.size();
-    d.end(1, Outcome::connectionReset);
-    d.end(1, Outcome::rejected, 0, true);  // the state is gone: the prompt has to be read anew
-    d.pass(5 * kSec);
-    for (auto at = before; at < d.log.size(); ++at)
-      if (const auto* send = std::get_if<Send>(&d.log[at].second)) {
+    PolicyDriver driver(settings(), seed);
+    driver.setEndpoints({endpoint(1, kPrefill, 0, 0), endpoint(2, kPrefill, 1, 1),
+                         endpoint(11, kDecode, 0, 0), endpoint(12, kDecode, 1, 1)});
+    prefillOne(driver, 1, kIdempotentWithKey);
+    const bool firstZone = driver.lastEndpoint(1) == 11;
+    ASSERT_TRUE(firstZone || driver.lastEndpoint(1) == 12);
+    const auto before = driver.log.size();
+    driver.endAttempt(1, Outcome::connectionReset);
+    driver.endAttempt(1, Outcome::rejected, 0,
+                      true);  // the KV state is gone: the prompt has to be prefilled again
+    driver.advanceTime(5 * kSec);
+    for (auto at = before; at < driver.log.size(); ++at)
+      if (const auto* send = std::get_if<Send>(&driver.log[at].second)) {
         EXPECT_EQ(send->endpoint.value == 1 || send->endpoint.value == 11, firstZone);
       }
-    EXPECT_GE(d.count<Send>(1), 4);  // it was read anew
-    EXPECT_EQ(d.count<Reject>(1), 0);
-    EXPECT_EQ(finals(d, 1), 1);
+    EXPECT_GE(driver.count<Send>(1), 4);  // it was prefilled again
+    EXPECT_EQ(driver.count<Reject>(1), 0);
+    EXPECT_EQ(finalAnswers(driver, 1), 1);
   }
 }
 
-// Engines have forgotten the first try by then, and would run the repeat as work of its own.
-TEST(Keyed, NoRepeatBeginsBehindTheWindow) {
+// Endpoints have forgotten the first attempt by then, and would execute the retry as a new request.
+TEST(IdempotencyKey, AllowsNoRetryAfterTheDeduplicationWindow) {
   for (const bool late : {false, true}) {
-    Driver d(settings());
-    d.list({endpoint(1, kReader, 0, 0), endpoint(11, kWriter, 0, 0), endpoint(12, kWriter, 0, 0)});
-    readOne(d, 1, kKeyed);
-    const int sends = d.count<Send>(1);
-    d.pass(settings().classes[kKeyed].deduplicationWindow + (late ? 10 * kMs : -10 * kMs));
-    d.end(1, Outcome::connectionReset);
-    EXPECT_EQ(d.count<Send>(1), late ? sends : sends + 1);
-    d.pass(5 * kSec);
-    EXPECT_EQ(d.count<Reject>(1), 0);
-    EXPECT_EQ(finals(d, 1), 1);
+    PolicyDriver driver(settings());
+    driver.setEndpoints(
+        {endpoint(1, kPrefill, 0, 0), endpoint(11, kDecode, 0, 0), endpoint(12, kDecode, 0, 0)});
+    prefillOne(driver, 1, kIdempotentWithKey);
+    const int sends = driver.count<Send>(1);
+    driver.advanceTime(settings().classes[kIdempotentWithKey].deduplicationWindow +
+                       (late ? 10 * kMs : -10 * kMs));
+    driver.endAttempt(1, Outcome::connectionReset);
+    EXPECT_EQ(driver.count<Send>(1), late ? sends : sends + 1);
+    driver.advanceTime(5 * kSec);
+    EXPECT_EQ(driver.count<Reject>(1), 0);
+    EXPECT_EQ(finalAnswers(driver, 1), 1);
   }
 }
 
-TEST(Attempts, NeverMoreThanAllowed) {
-  Driver d(settings());
-  d.list(fleet());
-  d.give(d.request(1));
-  for (int i = 0; i < 10 && finals(d, 1) == 0; ++i) d.end(1, Outcome::error);
-  EXPECT_EQ(d.count<Send>(1), settings().maxAttempts);
-  EXPECT_EQ(finals(d, 1), 1);
+TEST(Attempts, AreNeverMoreThanAllowed) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  driver.deliver(driver.newRequest(1));
+  for (int i = 0; i < 10 && finalAnswers(driver, 1) == 0; ++i) driver.endAttempt(1, Outcome::error);
+  EXPECT_EQ(driver.count<Send>(1), settings().maxAttempts);
+  EXPECT_EQ(finalAnswers(driver, 1), 1);
 }
 
-TEST(Drains, AreObeyedAtOnce) {
-  Driver d(settings());
-  d.list(fleet());
-  d.list({draining(endpoint(1, kReader)), draining(endpoint(11, kWriter))}, EndpointUpdate::Kind::delta);
+TEST(EndpointUpdate, StopsSendsAtOnceWhenAnEndpointDrains) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  driver.setEndpoints({draining(endpoint(1, kPrefill)), draining(endpoint(11, kDecode))},
+                      EndpointUpdate::Kind::delta);
   for (std::uint64_t id = 1; id <= 20; ++id) {
-    readOne(d, id, kSafe);
-    EXPECT_EQ(d.sentTo(id), 12u);
-    d.end(id, Outcome::completed);
+    prefillOne(driver, id, kIdempotent);
+    EXPECT_EQ(driver.lastEndpoint(id), 12u);
+    driver.endAttempt(id, Outcome::completed);
   }
-  d.list({endpoint(2, kReader), endpoint(12, kWriter)});  // a complete list: the others are gone
-  readOne(d, 30, kSafe);
-  EXPECT_EQ(d.sentTo(30), 12u);
+  driver.setEndpoints({endpoint(2, kPrefill), endpoint(12, kDecode)});  // a snapshot: the others are gone
+  prefillOne(driver, 30, kIdempotent);
+  EXPECT_EQ(driver.lastEndpoint(30), 12u);
 }
 
-TEST(Cold, AFreshServerGetsItsBudgetAndNoBurst) {
-  auto s = settings();
-  Driver d(s);
-  d.list(fleet());
+TEST(SlowStart, KeepsAFreshEndpointWithinItsBudget) {
+  Settings custom = settings();
+  PolicyDriver driver(custom);
+  driver.setEndpoints(fleet());
   for (std::uint64_t id = 1; id <= 60; ++id) {
-    readOne(d, id, kSafe);
-    d.end(id, Outcome::completed);
-    d.pass(50 * kMs);
+    prefillOne(driver, id, kIdempotent);
+    driver.endAttempt(id, Outcome::completed);
+    driver.advanceTime(50 * kMs);
   }
-  auto fresh = endpoint(3, kReader);
-  fresh.startedAt = d.now;
-  d.list({fresh}, EndpointUpdate::Kind::delta);
-  int cold = 0;
+  auto fresh = endpoint(3, kPrefill);
+  fresh.startedAt = driver.now;
+  driver.setEndpoints({fresh}, EndpointUpdate::Kind::delta);
+  int sendsToFresh = 0;
   for (std::uint64_t id = 100; id <= 119; ++id) {  // a window of 2 s
-    readOne(d, id, kSafe);
-    for (const auto& [at, action] : d.log)
+    prefillOne(driver, id, kIdempotent);
+    for (const auto& [at, action] : driver.log)
       if (const auto* send = std::get_if<Send>(&action);
           send && send->id.value == id && send->endpoint.value == 3)
-        ++cold;
-    d.end(id, Outcome::completed);
-    d.pass(50 * kMs);
+        ++sendsToFresh;
+    driver.endAttempt(id, Outcome::completed);
+    driver.advanceTime(50 * kMs);
   }
-  // Two warm readers finished 10 a second: 10 in a window each, of which 0.3 x 2.5 may come at once.
-  EXPECT_LE(cold, 7);
+  // Two warm endpoints completed 10 a second: 10 in a window each, of which 0.3 x 2.5 may come at once.
+  EXPECT_LE(sendsToFresh, 7);
 }
 
-// Each of a hundred routers finds an empty fresh server; together they must stay within its budget.
-TEST(Cold, AHundredRoutersTogetherKeepTheBudget) {
-  auto s = settings();
-  s.routers = 100;
+// Each of a hundred routers finds an empty fresh endpoint; together they must stay within its budget.
+TEST(SlowStart, KeepsAHundredRoutersTogetherWithinTheBudget) {
+  Settings custom = settings();
+  custom.routers = 100;
   int sends = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    Driver d(s, seed);
-    d.list(fleet());
+    PolicyDriver driver(custom, seed);
+    driver.setEndpoints(fleet());
     for (std::uint64_t id = 1; id <= 6; ++id) {
-      readOne(d, id, kSafe);
-      d.end(id, Outcome::completed);
-      d.pass(kSec);
+      prefillOne(driver, id, kIdempotent);
+      driver.endAttempt(id, Outcome::completed);
+      driver.advanceTime(kSec);
     }
-    auto fresh = endpoint(3, kReader);
-    fresh.startedAt = d.now;
-    d.list({fresh}, EndpointUpdate::Kind::delta);
+    auto fresh = endpoint(3, kPrefill);
+    fresh.startedAt = driver.now;
+    driver.setEndpoints({fresh}, EndpointUpdate::Kind::delta);
     for (std::uint64_t id = 100; id <= 101; ++id) {  // a window of 2 s
-      readOne(d, id, kSafe);
-      for (const auto& [at, action] : d.log)
+      prefillOne(driver, id, kIdempotent);
+      for (const auto& [at, action] : driver.log)
         if (const auto* send = std::get_if<Send>(&action); send && send->id.value == id)
           sends += send->endpoint.value == 3 ? 1 : 0;
-      d.end(id, Outcome::completed);
-      d.pass(kSec);
+      driver.endAttempt(id, Outcome::completed);
+      driver.advanceTime(kSec);
     }
   }
-  // Warm readers finish about 100 in a window; 0.3 x 2.5 of that may come.
+  // Warm endpoints complete about 100 in a window; 0.3 x 2.5 of that may come.
   EXPECT_LE(sends, 75);
 }
 
-TEST(Pinned, EveryEndReleases) {
-  Driver d(settings());
-  d.list(fleet());
-  readOne(d, 1, kUnsafe);
-  d.end(1, Outcome::connectionReset);
-  EXPECT_GE(d.count<Release>(1), 1);
-  d.give(d.request(2));
-  d.give(RequestCancelled{{2}});
-  const int before = d.count<Release>(2);
-  d.end(2, Outcome::prefillDone);  // the state came after the client had left
-  EXPECT_GT(d.count<Release>(2), before);
-  EXPECT_EQ(finals(d, 2), 0);
+TEST(KvState, IsReleasedAtEveryEndOfARequest) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  prefillOne(driver, 1, kNonIdempotent);
+  driver.endAttempt(1, Outcome::connectionReset);
+  EXPECT_GE(driver.count<Release>(1), 1);
+  driver.deliver(driver.newRequest(2));
+  driver.deliver(RequestCancelled{{2}});
+  const int before = driver.count<Release>(2);
+  driver.endAttempt(2, Outcome::prefillDone);  // the KV state came after the client had cancelled
+  EXPECT_GT(driver.count<Release>(2), before);
+  EXPECT_EQ(finalAnswers(driver, 2), 0);
 }
 
-TEST(Stray, EventsForNothingDoNothing) {
-  Driver d(settings());
-  d.list(fleet());
-  EXPECT_TRUE(d.give(StreamStarted{{99}, 0}).empty());
-  EXPECT_TRUE(d.give(AttemptEnded{.id = {99}, .attempt = 0, .endpoint = {1}}).empty());
-  EXPECT_TRUE(d.give(RequestCancelled{{99}}).empty());
-  EXPECT_TRUE(d.give(TimerFired{{99 * 4}}).empty());
-  EXPECT_TRUE(d.give(ProbeEnded{.endpoint = {99}, .ok = true}).empty());
-  d.run(d.request(1));
-  EXPECT_TRUE(d.give(TimerFired{{1 * 4}}).empty());
-  EXPECT_TRUE(d.give(TimerFired{{1 * 4 + 1}}).empty());
+TEST(StrayEvent, CausesNoAction) {
+  PolicyDriver driver(settings());
+  driver.setEndpoints(fleet());
+  EXPECT_TRUE(driver.deliver(StreamStarted{{99}, 0}).empty());
+  EXPECT_TRUE(driver.deliver(AttemptEnded{.id = {99}, .attempt = 0, .endpoint = {1}}).empty());
+  EXPECT_TRUE(driver.deliver(RequestCancelled{{99}}).empty());
+  EXPECT_TRUE(driver.deliver(TimerFired{{99 * 4}}).empty());
+  EXPECT_TRUE(driver.deliver(ProbeEnded{.endpoint = {99}, .ok = true}).empty());
+  driver.serve(driver.newRequest(1));
+  EXPECT_TRUE(driver.deliver(TimerFired{{1 * 4}}).empty());
+  EXPECT_TRUE(driver.deliver(TimerFired{{1 * 4 + 1}}).empty());
 }
 
-TEST(Settings, WhatCannotWorkIsRejectedByName) {
+TEST(Settings, AreRejectedByNameWhenTheyCannotBeUsed) {
   const auto errorOf = [](auto change) -> std::string {
-    auto s = settings();
-    change(s);
+    Settings custom = settings();
+    change(custom);
     try {
-      const RoutingPolicy brain(s, 1);
+      const RoutingPolicy policy(custom, 1);
     } catch (const std::invalid_argument& error) { return error.what(); }
     return "";
   };
   EXPECT_EQ(errorOf([](Settings&) {}), "");
-  EXPECT_NE(errorOf([](Settings& s) { s.kinds.clear(); }).find("kinds"), std::string::npos);
-  EXPECT_NE(errorOf([](Settings& s) { s.routers = 0; }).find("routers"), std::string::npos);
-  EXPECT_NE(errorOf([](Settings& s) { s.ownZone = 7; }).find("ownZone"), std::string::npos);
-  EXPECT_NE(errorOf([](Settings& s) { s.maxAttempts = 0; }).find("maxAttempts"), std::string::npos);
-  EXPECT_NE(errorOf([](Settings& s) { s.warmUpMinCapacity = 2; }).find("warmUpMinCapacity (coldFrom)"),
+  EXPECT_NE(errorOf([](Settings& changed) { changed.kinds.clear(); }).find("kinds"), std::string::npos);
+  EXPECT_NE(errorOf([](Settings& changed) { changed.routers = 0; }).find("routers"), std::string::npos);
+  EXPECT_NE(errorOf([](Settings& changed) { changed.ownZone = 7; }).find("ownZone"), std::string::npos);
+  EXPECT_NE(errorOf([](Settings& changed) { changed.maxAttempts = 0; }).find("maxAttempts"),
+            std::string::npos);
+  EXPECT_NE(
+      errorOf([](Settings& changed) { changed.warmUpMinCapacity = 2; }).find("warmUpMinCapacity (coldFrom)"),
+      std::string::npos);
+  EXPECT_NE(errorOf([](Settings& changed) {
+              changed.kvReleaseTimeout = -1;
+            }).find("kvReleaseTimeout (releaseWithin)"),
             std::string::npos);
-  EXPECT_NE(errorOf([](Settings& s) { s.kvReleaseTimeout = -1; }).find("kvReleaseTimeout (releaseWithin)"),
+  EXPECT_NE(errorOf([](Settings& changed) { changed.maxRetryAfter = -1; }).find("maxRetryAfter"),
             std::string::npos);
-  EXPECT_NE(errorOf([](Settings& s) { s.maxRetryAfter = -1; }).find("maxRetryAfter"), std::string::npos);
 }
 
-TEST(Settings, OddButLegalOnesWork) {
-  auto s = settings();
-  s.zones = 1;
-  s.routers = 1;
-  s.overloadMultiple = 0;
-  s.kvReleaseTimeout = 0;
-  Driver d(s);
-  d.list({endpoint(1, kReader), endpoint(11, kWriter)});
-  auto request = d.request(1);
+TEST(Settings, AreAcceptedWhenUnusualButValid) {
+  Settings custom = settings();
+  custom.zones = 1;
+  custom.routers = 1;
+  custom.overloadMultiple = 0;
+  custom.kvReleaseTimeout = 0;
+  PolicyDriver driver(custom);
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
+  auto request = driver.newRequest(1);
   request.promptTokens = 0;
   request.sharedPrefix = {4};
   request.sharedPrefixTokens = 500;  // longer than the prompt
-  d.run(request);
-  EXPECT_EQ(d.sentTo(1), 11u);
+  driver.serve(request);
+  EXPECT_EQ(driver.lastEndpoint(1), 11u);
 }
 
 }  // namespace
--- a/tests/policy/sparse_traffic_test.cpp
+++ b/tests/policy/sparse_traffic_test.cpp
@@ -1,4 +1,4 @@
-// A router that sees little of the traffic: what it has not met is neither idle nor empty.
+// A router that sees little of the traffic: endpoints that it has not used lately are neither idle nor empty.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -8,171 +8,183 @@
 namespace garnethook::test {
 namespace {
 
-Settings many() {
-  auto s = settings();
-  s.routers = 200;
-  return s;
+Settings settingsOfManyRouters() {
+  Settings custom = settings();
+  custom.routers = 200;
+  return custom;
 }
 
-RequestArrived begun(const Driver& d, std::uint64_t id, std::uint64_t beginning, double tokens) {
-  auto request = d.request(id);
-  request.sharedPrefix = {beginning};
+RequestArrived requestWithPrefix(const PolicyDriver& driver, std::uint64_t id, std::uint64_t prefix,
+                                 double tokens) {
+  auto request = driver.newRequest(id);
+  request.sharedPrefix = {prefix};
   request.sharedPrefixTokens = tokens;
   request.promptTokens = tokens + 100;
   return request;
 }
 
-// The read of a request ends with a report of what waits at its reader; then it is answered.
-void readAndAnswered(Driver& d, std::uint64_t id, double queuedKiloTokens, double found = 0) {
-  AttemptEnded done{.id = {id}, .attempt = 0, .endpoint = {d.sentTo(id)}, .outcome = Outcome::prefillDone};
+// The prefill of a request ends with a report of the queue there; then it is answered.
+void completeWithReport(PolicyDriver& driver, std::uint64_t id, double queuedKiloTokens, double found = 0) {
+  AttemptEnded done{
+      .id = {id}, .attempt = 0, .endpoint = {driver.lastEndpoint(id)}, .outcome = Outcome::prefillDone};
   done.cachedTokens = found;
   done.report = LoadReport{.memoryShare = 0.3, .queuedKiloTokens = queuedKiloTokens};
-  d.give(done);
-  d.give(StreamStarted{{id}, 1});
-  d.end(id, Outcome::completed);
+  driver.deliver(done);
+  driver.deliver(StreamStarted{{id}, 1});
+  driver.endAttempt(id, Outcome::completed);
 }
 
-// Each beginning is new to this router, but its home has it: the other routers sent it there.
-TEST(LittleSeen, AHomeIsExpectedToKeepWhatSuchReadsFound) {
-  Driver d(many());
-  d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(3, kReader), endpoint(11, kWriter)});
+// Each prefix is new to this router, but cached at its affinity endpoint: the other routers sent it there.
+TEST(SparseTraffic, ExpectsAtAffinityEndpointsWhatSuchPrefillsFound) {
+  PolicyDriver driver(settingsOfManyRouters());
+  driver.setEndpoints(
+      {endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(3, kPrefill), endpoint(11, kDecode)});
   for (std::uint64_t id = 1; id <= 20; ++id) {
-    d.run(begun(d, id, 500 + id, 3000), 40 * kMs, 3000);
-    d.pass(400 * kMs);
+    driver.serve(requestWithPrefix(driver, id, 500 + id, 3000), 40 * kMs, 3000);
+    driver.advanceTime(400 * kMs);
   }
-  const auto request = begun(d, 100, 900, 11'000);  // cold at 60 us a token: past the hope of 0.7 x 1.67 s
-  d.give(request);
-  EXPECT_EQ(d.count<Reject>(100), 0);
-  EXPECT_EQ(d.count<Send>(100), 1);
+  const auto request =
+      requestWithPrefix(driver, 100, 900, 11'000);  // uncached at 60 us a token it would be late
+  driver.deliver(request);
+  EXPECT_EQ(driver.count<Reject>(100), 0);
+  EXPECT_EQ(driver.count<Send>(100), 1);
 }
 
-TEST(LittleSeen, AHomeThatFoundNothingIsPricedAsEmpty) {
-  Driver d(many());
-  d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(3, kReader), endpoint(11, kWriter)});
+TEST(SparseTraffic, ExpectsNothingCachedWhenSuchPrefillsFoundNothing) {
+  PolicyDriver driver(settingsOfManyRouters());
+  driver.setEndpoints(
+      {endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(3, kPrefill), endpoint(11, kDecode)});
   for (std::uint64_t id = 1; id <= 20; ++id) {
-    d.run(begun(d, id, 500 + id, 3000), 230 * kMs, 0);
-    d.pass(400 * kMs);
+    driver.serve(requestWithPrefix(driver, id, 500 + id, 3000), 230 * kMs, 0);
+    driver.advanceTime(400 * kMs);
   }
-  d.give(begun(d, 100, 900, 25'000));
-  EXPECT_EQ(d.count<Reject>(100), 1);
+  driver.deliver(requestWithPrefix(driver, 100, 900, 25'000));
+  EXPECT_EQ(driver.count<Reject>(100), 1);
 }
 
-// Readers tell of long queues, and yet each read there comes back at once: what waits is kept, or read side
-// by side.
-TEST(LittleSeen, ReportedQueuesThatNoReadMetRefuseNothing) {
-  Driver d(many());
-  d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(3, kReader), endpoint(11, kWriter)});
+// Endpoints report long queues, and yet each prefill there completes at once: the queued prompts are cached
+// or computed side by side.
+TEST(SparseTraffic, RejectsNothingForReportedQueuesThatPrefillsDoNotWaitFor) {
+  PolicyDriver driver(settingsOfManyRouters());
+  driver.setEndpoints(
+      {endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(3, kPrefill), endpoint(11, kDecode)});
   for (std::uint64_t id = 1; id <= 60; ++id) {
-    d.give(begun(d, id, 500 + id, 3000));
-    if (d.count<Send>(id) == 0) continue;
-    d.pass(30 * kMs);
-    readAndAnswered(d, id, 20, 3000);
-    d.pass(300 * kMs);
+    driver.deliver(requestWithPrefix(driver, id, 500 + id, 3000));
+    if (driver.count<Send>(id) == 0) continue;
+    driver.advanceTime(30 * kMs);
+    completeWithReport(driver, id, 20, 3000);
+    driver.advanceTime(300 * kMs);
   }
   int rejected = 0;
-  for (std::uint64_t id = 30; id <= 60; ++id) rejected += d.count<Reject>(id);
+  for (std::uint64_t id = 30; id <= 60; ++id) rejected += driver.count<Reject>(id);
   EXPECT_EQ(rejected, 0);
 }
 
-// Where reads do wait as long as was told, they are held back.
-TEST(LittleSeen, ReportedQueuesThatReadsMetAreBelieved) {
-  Driver d(many());
-  d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(3, kReader), endpoint(11, kWriter)});
+// Where prefills do wait as long as reported, requests are rejected.
+TEST(SparseTraffic, BelievesReportedQueuesThatPrefillsWaitedFor) {
+  PolicyDriver driver(settingsOfManyRouters());
+  driver.setEndpoints(
+      {endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(3, kPrefill), endpoint(11, kDecode)});
   for (std::uint64_t id = 1; id <= 30; ++id) {
-    d.give(begun(d, id, 500 + id, 3000));
-    if (d.count<Send>(id) == 0) continue;
-    d.pass(700 * kMs);
-    readAndAnswered(d, id, 10, 3000);
+    driver.deliver(requestWithPrefix(driver, id, 500 + id, 3000));
+    if (driver.count<Send>(id) == 0) continue;
+    driver.advanceTime(700 * kMs);
+    completeWithReport(driver, id, 10, 3000);
   }
-  d.give(begun(d, 100, 900, 3000));
-  d.pass(700 * kMs);
-  if (d.count<Send>(100) == 1) readAndAnswered(d, 100, 60, 3000);
-  d.give(begun(d, 101, 901, 3000));
-  EXPECT_EQ(d.count<Reject>(101), 1);
+  driver.deliver(requestWithPrefix(driver, 100, 900, 3000));
+  driver.advanceTime(700 * kMs);
+  if (driver.count<Send>(100) == 1) completeWithReport(driver, 100, 60, 3000);
+  driver.deliver(requestWithPrefix(driver, 101, 901, 3000));
+  EXPECT_EQ(driver.count<Reject>(101), 1);
 }
 
-// Reader A was idle when it was met last; what was met since is jammed.
-TEST(LittleSeen, AReaderNotMetOfLateIsTakenForTheMeanNotForIdle) {
-  Driver d(many());
-  d.list({endpoint(1, kReader), endpoint(2, kReader), endpoint(11, kWriter)});
-  const auto meet = [&](RequestArrived request, double queued) {
-    d.give(request);
-    const auto reader = d.sentTo(request.id.value);
-    d.pass(20 * kMs);
-    readAndAnswered(d, request.id.value, queued);
-    return reader;
+// One endpoint was idle when it was used last; what was used since is jammed.
+TEST(SparseTraffic, TakesAnEndpointNotUsedLatelyForTheMeanNotForIdle) {
+  PolicyDriver driver(settingsOfManyRouters());
+  driver.setEndpoints({endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(11, kDecode)});
+  const auto use = [&](RequestArrived request, double queued) {
+    driver.deliver(request);
+    const auto endpointOfFirst = driver.lastEndpoint(request.id.value);
+    driver.advanceTime(20 * kMs);
+    completeWithReport(driver, request.id.value, queued);
+    return endpointOfFirst;
   };
-  const auto idle = meet(d.request(1), 0);
+  const auto idle = use(driver.newRequest(1), 0);
   std::uint64_t id = 2;
-  while (id < 40 && meet(d.request(id), 0) == idle) ++id;
+  while (id < 40 && use(driver.newRequest(id), 0) == idle) ++id;
   ASSERT_LT(id, 40u);
-  d.pass(8 * kSec);
-  auto again = d.request(100);  // the session of the latest, so the same reader
+  driver.advanceTime(8 * kSec);
+  auto again = driver.newRequest(100);  // the session of the latest, so the same endpoint
   again.session = {id + 1000};
-  ASSERT_NE(meet(again, 60), idle);
-  d.pass(300 * kMs);
-  d.give(d.request(101));
-  EXPECT_EQ(d.count<Reject>(101), 1);
+  ASSERT_NE(use(again, 60), idle);
+  driver.advanceTime(300 * kMs);
+  driver.deliver(driver.newRequest(101));
+  EXPECT_EQ(driver.count<Reject>(101), 1);
 }
 
-// First tokens of whole requests bring no report; what they waited beyond their own work still tells.
-TEST(LittleSeen, LateAnswersOfMixedServersHoldWholeRequestsBack) {
-  Driver d(many());
-  d.list({endpoint(21, kMixed), endpoint(22, kMixed), endpoint(23, kMixed), endpoint(24, kMixed)});
+// First tokens of combined attempts bring no report; their wait beyond their own time still shows a queue.
+TEST(SparseTraffic, HoldsRequestsBackWhenAnswersOfCombinedEndpointsAreLate) {
+  PolicyDriver driver(settingsOfManyRouters());
+  driver.setEndpoints(
+      {endpoint(21, kCombined), endpoint(22, kCombined), endpoint(23, kCombined), endpoint(24, kCombined)});
   for (std::uint64_t id = 1; id <= 3; ++id) {
-    d.give(d.request(id));
-    ASSERT_GE(d.sentTo(id), 21u);
+    driver.deliver(driver.newRequest(id));
+    ASSERT_GE(driver.lastEndpoint(id), 21u);
   }
-  d.pass(1500 * kMs);
+  driver.advanceTime(1500 * kMs);
   for (std::uint64_t id = 1; id <= 3; ++id) {
-    d.give(StreamStarted{{id}, 0});
-    d.end(id, Outcome::completed);
+    driver.deliver(StreamStarted{{id}, 0});
+    driver.endAttempt(id, Outcome::completed);
   }
-  d.pass(300 * kMs);
-  d.give(d.request(50));
-  EXPECT_EQ(d.count<Send>(50), 0);
+  driver.advanceTime(300 * kMs);
+  driver.deliver(driver.newRequest(50));
+  EXPECT_EQ(driver.count<Send>(50), 0);
 }
 
-// One report of a full writer, however old, stood for the whole fleet: such a router refused all it got for
-// good.
-TEST(LittleSeen, AnOldReportOfOneFullWriterDoesNotFillTheFleet) {
-  Driver d(many());
-  d.list({endpoint(1, kReader), endpoint(11, kWriter), endpoint(12, kWriter), endpoint(13, kWriter)});
-  d.give(d.request(1));
-  d.pass(60 * kMs);
-  AttemptEnded done{.id = {1}, .attempt = 0, .endpoint = {d.sentTo(1)}, .outcome = Outcome::prefillDone};
-  d.give(done);
+// One old report of a full decode endpoint must not stand for the whole fleet: the router would reject all
+// that it gets for good.
+TEST(SparseTraffic, AdmitsAgainWhenTheReportOfOneFullDecodeEndpointIsOld) {
+  PolicyDriver driver(settingsOfManyRouters());
+  driver.setEndpoints(
+      {endpoint(1, kPrefill), endpoint(11, kDecode), endpoint(12, kDecode), endpoint(13, kDecode)});
+  driver.deliver(driver.newRequest(1));
+  driver.advanceTime(60 * kMs);
+  AttemptEnded done{
+      .id = {1}, .attempt = 0, .endpoint = {driver.lastEndpoint(1)}, .outcome = Outcome::prefillDone};
+  driver.deliver(done);
   AttemptEnded served{.id = {1},
                       .attempt = 1,
-                      .endpoint = {d.sentTo(1)},
+                      .endpoint = {driver.lastEndpoint(1)},
                       .outcome = Outcome::completed,
                       .requestEnded = true};
   served.report = LoadReport{.memoryShare = 0.97};
-  d.give(StreamStarted{{1}, 1});
-  d.give(served);
-  d.pass(20'000 * kMs);
-  d.give(d.request(2));
-  EXPECT_EQ(d.count<Send>(2), 1);
+  driver.deliver(StreamStarted{{1}, 1});
+  driver.deliver(served);
+  driver.advanceTime(20'000 * kMs);
+  driver.deliver(driver.newRequest(2));
+  EXPECT_EQ(driver.count<Send>(2), 1);
 }
 
-// A beginning that makes up most of the reading is expected at several homes: a queue at one that is shorter
-// than a cold read elsewhere is passed by all the same.
-TEST(LittleSeen, AHotBeginningHasSeveralHomes) {
-  Driver d(many());
-  std::vector<EndpointEntry> fleet{endpoint(11, kWriter)};
-  for (std::uint64_t id = 1; id <= 4; ++id) fleet.push_back(endpoint(id, kReader));
-  d.list(fleet);
-  for (std::uint64_t id = 20; id < 30; ++id) d.run(begun(d, id, id, 300), 20 * kMs, 300);
-  const auto first = d.run(begun(d, 1, 7, 3000), 30 * kMs, 3000);
-  for (std::uint64_t id = 40; id < 50; ++id) EXPECT_EQ(d.run(begun(d, id, 7, 3000), 30 * kMs, 3000), first);
-  d.pass(500 * kMs);
-  d.give(begun(d, 3, 7, 3000));
-  ASSERT_EQ(d.sentTo(3), first);
-  d.pass(30 * kMs);
-  readAndAnswered(d, 3, 2.5, 3000);
-  d.give(begun(d, 4, 7, 3000));
-  EXPECT_NE(d.sentTo(4), first);
-  EXPECT_EQ(d.count<Send>(4), 1);
+// A prefix that makes up most of the prefill load has several affinity endpoints: a queue at one of them is
+// avoided although it is shorter than an uncached prefill would be.
+TEST(SparseTraffic, GivesAHotPrefixSeveralAffinityEndpoints) {
+  PolicyDriver driver(settingsOfManyRouters());
+  std::vector<EndpointEntry> fleet{endpoint(11, kDecode)};
+  for (std::uint64_t id = 1; id <= 4; ++id) fleet.push_back(endpoint(id, kPrefill));
+  driver.setEndpoints(fleet);
+  for (std::uint64_t id = 20; id < 30; ++id)
+    driver.serve(requestWithPrefix(driver, id, id, 300), 20 * kMs, 300);
+  const auto first = driver.serve(requestWithPrefix(driver, 1, 7, 3000), 30 * kMs, 3000);
+  for (std::uint64_t id = 40; id < 50; ++id)
+    EXPECT_EQ(driver.serve(requestWithPrefix(driver, id, 7, 3000), 30 * kMs, 3000), first);
+  driver.advanceTime(500 * kMs);
+  driver.deliver(requestWithPrefix(driver, 3, 7, 3000));
+  ASSERT_EQ(driver.lastEndpoint(3), first);
+  driver.advanceTime(30 * kMs);
+  completeWithReport(driver, 3, 2.5, 3000);
+  driver.deliver(requestWithPrefix(driver, 4, 7, 3000));
+  EXPECT_NE(driver.lastEndpoint(4), first);
+  EXPECT_EQ(driver.count<Send>(4), 1);
 }
 
 }  // namespace
