--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -8,34 +8,38 @@
 
 template <class Test>
 bool AdmissionController::anyListed(Test test) const {
-  const auto& all = with_.registry.all();
+  const auto& all = collaborators_.registry.all();
   return std::any_of(all.begin(), all.end(),
                      [&](const auto& item) { return item.second.isListed && test(item.second); });
 }
 
 bool AdmissionController::mayPrefillLater(const TrackedRequest& request) const {
-  const double allowed = kTimeShare * asDouble(firstTokenDueAt(request) - with_.context.now());
+  const EstimatedTime allowed =
+      kTimeShare * toEstimate(firstTokenDueAt(request) - collaborators_.context.now());
   return anyListed([&](const Endpoint& endpoint) {
-    const bool prefills = endpoint.role != Role::decode || with_.settings.decodeEndpointsPrefill;
-    return prefills && !with_.candidates.isUsable(endpoint) && RetryPolicy::isInScope(request, endpoint) &&
-           with_.prefills.prefillTime(request, endpoint) + with_.firstTokens.baselineTime() <= allowed;
+    const bool prefills = endpoint.role != Role::decode || collaborators_.settings.decodeEndpointsPrefill;
+    return prefills && !collaborators_.candidates.isUsable(endpoint) &&
+           RetryPolicy::isInScope(request, endpoint) &&
+           collaborators_.prefills.prefillTime(request, endpoint) +
+                   collaborators_.firstTokens.baselineTime() <=
+               allowed;
   });
 }
 
 bool AdmissionController::mayDecodeLater(const TrackedRequest& request) const {
-  const double left = asDouble(request.deadline - with_.context.now());
-  return left > with_.firstTokens.baselineTime() && anyListed([&](const Endpoint& endpoint) {
+  const EstimatedTime left = toEstimate(request.deadline - collaborators_.context.now());
+  return left > collaborators_.firstTokens.baselineTime() && anyListed([&](const Endpoint& endpoint) {
            return endpoint.role != Role::prefill && RetryPolicy::isInScope(request, endpoint);
          });
 }
 
 Micros AdmissionController::retryAfter(const TrackedRequest& request) const {
-  const Settings& settings = with_.settings;
+  const Settings& settings = collaborators_.settings;
   if (!settings.passesRetryAfter) return 0;
   const Micros longest = settings.maxRetryAfter > 0 ? settings.maxRetryAfter : request.requestClass.deadline;
-  const double wait =
-      std::min(asDouble(longest), std::max(request.excessTime, kMinRetryAfter * smallestObjective_));
-  return std::max<Micros>(1000, asMicros(wait * (1 - kRetryAfterSpread * with_.context.uniform())));
+  const EstimatedTime wait =
+      std::min(toEstimate(longest), std::max(request.excessTime, kMinRetryAfter * smallestObjective_));
+  return std::max<Micros>(1000, toMicros(wait * (1 - kRetryAfterSpread * collaborators_.context.uniform())));
 }
 
 }  // namespace garnethook::policy
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -27,9 +27,9 @@
     const PrefillEstimator& prefills;        ///< What a prefill costs.
     const FirstTokenEstimator& firstTokens;  ///< Time to a first token.
   };
-  /// `smallestObjective`: the smallest TTFT objective of all classes, in microseconds.
-  AdmissionController(const Collaborators& collaborators, double smallestObjective)
-      : with_(collaborators), smallestObjective_(smallestObjective) {}
+  /// `smallestObjective`: the smallest TTFT objective of all classes.
+  AdmissionController(const Collaborators& collaborators, EstimatedTime smallestObjective)
+      : collaborators_(collaborators), smallestObjective_(smallestObjective) {}
 
   /// When a first token is due for the next attempt: at the objective at first, then at the deadline.
   static Micros firstTokenDueAt(const TrackedRequest& request) {
@@ -37,11 +37,12 @@
   }
   /// Whether a first token after `time`, of which the own prefill takes `prefillTime`, is expected by
   /// `dueAt`; notes the excess in the request.
-  bool isExpectedInTime(TrackedRequest& request, double time, double prefillTime, Micros dueAt) const {
-    const double certain = kCertainShare * prefillTime;
-    const double left = asDouble(dueAt - with_.context.now());
+  bool isExpectedInTime(TrackedRequest& request, EstimatedTime time, EstimatedTime prefillTime,
+                        Micros dueAt) const {
+    const EstimatedTime certain = kCertainShare * prefillTime;
+    const EstimatedTime left = toEstimate(dueAt - collaborators_.context.now());
     request.excessTime = time - certain - kTimeShare * (left - certain);
-    return request.excessTime <= 0;
+    return request.excessTime <= EstimatedTime::zero();
   }
 
   /// Whether a request without a usable endpoint is kept for a while: only an endpoint that is full or
@@ -51,7 +52,7 @@
   /// Whether a KV state is kept for a while until an endpoint has room to decode it.
   bool mayDecodeLater(const TrackedRequest& request) const;
   /// Time between two tries of a request that is kept without KV state.
-  Micros reevaluationInterval() const { return asMicros(smallestObjective_ / kReevaluations); }
+  Micros reevaluationInterval() const { return toMicros(smallestObjective_ / kReevaluations); }
 
   /// When the client of a rejected request should come back; 0: it can't be told. That is when what was in
   /// the way, as far as it was seen, is over. Up to half of it is taken off at random, so that clients
@@ -68,8 +69,8 @@
   template <class Test>
   bool anyListed(Test test) const;
 
-  Collaborators with_;
-  double smallestObjective_;
+  Collaborators collaborators_;
+  EstimatedTime smallestObjective_;
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/affinity_hashing.cpp
+++ b/src/policy/affinity_hashing.cpp
@@ -5,7 +5,7 @@
 
 namespace garnethook::policy {
 
-void PrefillLoad::add(PrefixKey key, Micros sentAt, double time) {
+void PrefillLoad::add(PrefixKey key, Micros sentAt, EstimatedTime time) {
   prefills_.push_back({key, sentAt, time});
   count(prefills_.back());
 }
@@ -13,7 +13,7 @@
 void PrefillLoad::expire(Micros before) {
   if (prefills_.empty() || prefills_.front().sentAt >= before) return;
   while (!prefills_.empty() && prefills_.front().sentAt < before) prefills_.pop_front();
-  total_ = 0;
+  total_ = EstimatedTime::zero();
   byKey_.clear();
   for (const SentPrefill& prefill : prefills_) count(prefill);
 }
@@ -27,7 +27,7 @@
 void AffinityHashing::addOfRole(TrackedRequest& request, Role role) {
   const RequestArrived& arrival = request.arrival;
   const PrefixKey key = arrival.sharedPrefix.value != 0 ? arrival.sharedPrefix : arrival.session;
-  const double share = load_.of(key) / std::max(1.0, load_.total());
+  const double share = load_.of(key) / std::max(EstimatedTime(1), load_.total());
   const double endpointShares = share * countAsDouble(registry_.listedCount(role));
   const std::size_t count =
       std::min(registry_.listedCount(role), 1 + static_cast<std::size_t>(endpointShares));
@@ -47,8 +47,9 @@
   request.affinityEndpoints.insert(request.affinityEndpoints.end(), all.begin(), ownEnd);
 }
 
-void AffinityHashing::recordSend(const TrackedRequest& request, double prefillTime) {
-  if (prefillTime > 0) load_.add(request.arrival.sharedPrefix, context_.now(), prefillTime);
+void AffinityHashing::recordSend(const TrackedRequest& request, EstimatedTime prefillTime) {
+  if (prefillTime > EstimatedTime::zero())
+    load_.add(request.arrival.sharedPrefix, context_.now(), prefillTime);
 }
 
 // The weight of a prefill endpoint is the decode memory for each prefill endpoint of its cell, over the
--- a/src/policy/affinity_hashing.h
+++ b/src/policy/affinity_hashing.h
@@ -18,15 +18,15 @@
 /// order of the sends, oldest first, so the sums are to the last bit what walking all of them gives.
 class PrefillLoad {
  public:
-  /// Sum of all, in microseconds.
-  double total() const { return total_; }
-  /// Sum of those with that prefix, in microseconds.
-  double of(PrefixKey key) const {
+  /// Sum of all.
+  EstimatedTime total() const { return total_; }
+  /// Sum of those with that prefix.
+  EstimatedTime of(PrefixKey key) const {
     const auto at = byKey_.find(key.value);
-    return at == byKey_.end() ? 0 : at->second;
+    return at == byKey_.end() ? EstimatedTime::zero() : at->second;
   }
   /// Adds a prefill that is sent.
-  void add(PrefixKey key, Micros sentAt, double time);
+  void add(PrefixKey key, Micros sentAt, EstimatedTime time);
   /// Drops what was sent before that time.
   void expire(Micros before);
 
@@ -34,16 +34,16 @@
   struct SentPrefill {
     PrefixKey key;
     Micros sentAt = 0;
-    double time = 0;
+    EstimatedTime time = EstimatedTime::zero();
   };
   void count(const SentPrefill& prefill) {
     total_ += prefill.time;
-    byKey_[prefill.key.value] += prefill.time;
+    byKey_.try_emplace(prefill.key.value, EstimatedTime::zero()).first->second += prefill.time;
   }
 
   std::deque<SentPrefill> prefills_;
-  std::unordered_map<std::uint64_t, double> byKey_;
-  double total_ = 0;
+  std::unordered_map<std::uint64_t, EstimatedTime> byKey_;
+  EstimatedTime total_ = EstimatedTime::zero();
 };
 
 /// Chooses the endpoints to which a prefix is hashed.
@@ -61,8 +61,8 @@
   void assign(TrackedRequest& request);
   /// Adds affinity endpoints of one role.
   void addOfRole(TrackedRequest& request, Role role);
-  /// Takes in a prefill that is sent, with its predicted time in microseconds.
-  void recordSend(const TrackedRequest& request, double prefillTime);
+  /// Takes in a prefill that is sent, with its predicted time.
+  void recordSend(const TrackedRequest& request, EstimatedTime prefillTime);
   /// Drops old load.
   void expire() { load_.expire(context_.now() - PrefixCacheIndex::kLifetime); }
   /// Sets the endpoints' weights and brings the registry's hash index up to date, after the list has changed.
--- a/src/policy/attempt_timeouts.h
+++ b/src/policy/attempt_timeouts.h
@@ -17,14 +17,14 @@
   /// Share of its usual timeout after which silence of an endpoint counts.
   static constexpr double kSilenceShare = 0.4;
 
-  /// `smallestObjective`: the smallest TTFT objective of all classes, in microseconds.
-  AttemptTimeouts(const DecisionContext& context, double smallestObjective)
+  /// `smallestObjective`: the smallest TTFT objective of all classes.
+  AttemptTimeouts(const DecisionContext& context, EstimatedTime smallestObjective)
       : context_(context), smallestObjective_(smallestObjective) {}
 
-  /// Part of every timeout that does not depend on the prediction, in microseconds.
-  double floor() const { return kFloor * smallestObjective_; }
-  /// The usual timeout of an attempt, in microseconds.
-  double usualTimeout(const InFlightAttempt& attempt) const {
+  /// Part of every timeout that does not depend on the prediction.
+  EstimatedTime floor() const { return kFloor * smallestObjective_; }
+  /// The usual timeout of an attempt.
+  EstimatedTime usualTimeout(const InFlightAttempt& attempt) const {
     return multipleFor(attempt.phase) * attempt.predictedTime + floor();
   }
   /// Whether an attempt is over that share of its usual timeout while later ones to the same endpoint, that
@@ -44,7 +44,7 @@
   }
 
   const DecisionContext& context_;
-  double smallestObjective_;
+  EstimatedTime smallestObjective_;
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -6,65 +6,65 @@
 
 void AttemptTracker::recordSend(TrackedRequest& request, InFlightAttempt attempt) {
   const RequestId id = request.arrival.id;
-  Endpoint& endpoint = with_.registry.at(attempt.endpoint);
-  with_.registry.markContacted(attempt.endpoint, endpoint);
+  Endpoint& endpoint = collaborators_.registry.at(attempt.endpoint);
+  collaborators_.registry.markContacted(attempt.endpoint, endpoint);
   attempt.number = request.attempts++;
-  attempt.sentAt = with_.context.now();
+  attempt.sentAt = collaborators_.context.now();
   KvMemoryEstimator::add(endpoint, attempt.kvTokens);
   endpoint.awaiting.set(id, attempt);
-  with_.outliers.recordSend(endpoint, id);
-  with_.slowStart.recordSend(endpoint);
-  with_.affinity.recordSend(request, attempt.prefillTime);
+  collaborators_.outliers.recordSend(endpoint, id);
+  collaborators_.slowStart.recordSend(endpoint);
+  collaborators_.affinity.recordSend(request, attempt.prefillTime);
   request.attempt = attempt;
 }
 
 void AttemptTracker::recordStart(TrackedRequest& request) {
   InFlightAttempt& attempt = *request.attempt;
   attempt.started = true;
-  attempt.startedAt = with_.context.now();
+  attempt.startedAt = collaborators_.context.now();
   request.kvStateAt.reset();
-  Endpoint& endpoint = with_.registry.at(attempt.endpoint);
+  Endpoint& endpoint = collaborators_.registry.at(attempt.endpoint);
   recordResponse(endpoint, request.arrival.id, attempt);
-  const double took = with_.context.elapsedSince(attempt.sentAt);
-  with_.speeds.learn(endpoint, took / std::max(1.0, attempt.predictedTime));
+  const EstimatedTime took = collaborators_.context.elapsedSince(attempt.sentAt);
+  collaborators_.speeds.learn(endpoint, took / std::max(EstimatedTime(1), attempt.predictedTime));
   if (attempt.phase == Phase::combined) {
-    const double alone = attempt.prefillTime + with_.firstTokens.baselineTime();
-    with_.queues.observeDelay(endpoint, took - alone * with_.speeds.factor(endpoint));
+    const EstimatedTime alone = attempt.prefillTime + collaborators_.firstTokens.baselineTime();
+    collaborators_.queues.observeDelay(endpoint, took - alone * collaborators_.speeds.factor(endpoint));
   }
-  if (attempt.phase == Phase::decode) with_.firstTokens.observe(endpoint, took);
+  if (attempt.phase == Phase::decode) collaborators_.firstTokens.observe(endpoint, took);
 }
 
 void AttemptTracker::recordEnd(TrackedRequest& request, const AttemptEnded& event) {
   const RequestId id = request.arrival.id;
   const InFlightAttempt attempt = *request.attempt;
   request.attempt.reset();
-  Endpoint& endpoint = with_.registry.at(attempt.endpoint);
+  Endpoint& endpoint = collaborators_.registry.at(attempt.endpoint);
   if (event.report) recordReport(endpoint, *event.report);
   KvMemoryEstimator::remove(endpoint, attempt.kvTokens);
   evaluate(request, endpoint, attempt, event);
   endpoint.awaiting.erase(id);
-  with_.outliers.recordEnd(endpoint, id);
-  if (event.reachedEndpoint) request.kvStateSince = with_.context.now();
+  collaborators_.outliers.recordEnd(endpoint, id);
+  if (event.reachedEndpoint) request.kvStateSince = collaborators_.context.now();
   if (event.outcome == Outcome::prefillDone || event.outcome == Outcome::completed)
-    with_.slowStart.recordCompletion(endpoint, request);
+    collaborators_.slowStart.recordCompletion(endpoint, request);
 }
 
 void AttemptTracker::recordReport(Endpoint& endpoint, const LoadReport& report) {
-  with_.memory.observeReport(endpoint, report);
-  with_.queues.observeReport(endpoint, report);
+  collaborators_.memory.observeReport(endpoint, report);
+  collaborators_.queues.observeReport(endpoint, report);
 }
 
 void AttemptTracker::recordResponse(Endpoint& endpoint, RequestId id, const InFlightAttempt& attempt) {
-  const bool isFirstResponse = !attempt.started || attempt.startedAt == with_.context.now();
-  if (isFirstResponse) with_.rejections.recordAcceptance(endpoint);
+  const bool isFirstResponse = !attempt.started || attempt.startedAt == collaborators_.context.now();
+  if (isFirstResponse) collaborators_.rejections.recordAcceptance(endpoint);
   endpoint.awaiting.erase(id);
   endpoint.awaiting.recordOvertaking(attempt);
-  with_.outliers.recordResponse(endpoint, id);
+  collaborators_.outliers.recordResponse(endpoint, id);
 }
 
 void AttemptTracker::evaluate(TrackedRequest& request, Endpoint& endpoint, const InFlightAttempt& attempt,
                               const AttemptEnded& event) {
-  OutlierDetector& outliers = with_.outliers;
+  OutlierDetector& outliers = collaborators_.outliers;
   switch (event.outcome) {
     case Outcome::prefillDone: return evaluatePrefill(request, endpoint, attempt, event.cachedTokens);
     case Outcome::completed: return evaluateAnswer(request, endpoint, attempt, event.cachedTokens);
@@ -81,7 +81,7 @@
     case Outcome::error: outliers.recordFailure(attempt.endpoint, FailureReason::error); break;
     case Outcome::cancelled:
       // A client that cancelled early tells nothing of the endpoint that had its request.
-      if (request.cancelled && with_.context.elapsedSince(attempt.sentAt) <
+      if (request.cancelled && collaborators_.context.elapsedSince(attempt.sentAt) <
                                    AttemptTimeouts::kPrefillMultiple * attempt.predictedTime)
         return;
       evaluateTimeout(request, endpoint, attempt);
@@ -94,18 +94,18 @@
 void AttemptTracker::evaluatePrefill(TrackedRequest& request, Endpoint& endpoint,
                                      const InFlightAttempt& attempt, double cachedTokens) {
   const double tokens = request.promptTokensAt(endpoint.entry);
-  const double speed = with_.speeds.factor(endpoint);
-  const double took = with_.context.elapsedSince(attempt.sentAt);
-  const double ownTime = with_.queues.ownPrefillTime(endpoint, attempt);
-  with_.queues.observeReportedWait(endpoint, attempt,
-                                   took - with_.costModel.predict(tokens, cachedTokens) * speed);
-  with_.costModel.learn(tokens, cachedTokens, ownTime / speed);
-  with_.queues.observeUnreportedWait(endpoint,
-                                     ownTime - with_.costModel.predict(tokens, cachedTokens) * speed);
-  with_.speeds.learn(endpoint, took / std::max(1.0, attempt.predictedTime / speed));
-  with_.queues.recordPrefillDone(endpoint, ownTime);
+  const double speed = collaborators_.speeds.factor(endpoint);
+  const EstimatedTime took = collaborators_.context.elapsedSince(attempt.sentAt);
+  const EstimatedTime ownTime = collaborators_.queues.ownPrefillTime(endpoint, attempt);
+  collaborators_.queues.observeReportedWait(
+      endpoint, attempt, took - collaborators_.costModel.predict(tokens, cachedTokens) * speed);
+  collaborators_.costModel.learn(tokens, cachedTokens, ownTime / speed);
+  collaborators_.queues.observeUnreportedWait(
+      endpoint, ownTime - collaborators_.costModel.predict(tokens, cachedTokens) * speed);
+  collaborators_.speeds.learn(endpoint, took / std::max(EstimatedTime(1), attempt.predictedTime / speed));
+  collaborators_.queues.recordPrefillDone(endpoint, ownTime);
   recordResponse(endpoint, request.arrival.id, attempt);
-  with_.prefixes.recordPrefill(request, endpoint, attempt, cachedTokens);
+  collaborators_.prefixes.recordPrefill(request, endpoint, attempt, cachedTokens);
   request.kvStateAt = endpoint.entry;
 }
 
@@ -113,9 +113,10 @@
                                     const InFlightAttempt& attempt, double cachedTokens) {
   recordResponse(endpoint, request.arrival.id, attempt);
   if (attempt.started)
-    with_.firstTokens.observeStream(endpoint.role, with_.context.elapsedSince(attempt.startedAt));
+    collaborators_.firstTokens.observeStream(endpoint.role,
+                                             collaborators_.context.elapsedSince(attempt.startedAt));
   if (attempt.phase == Phase::combined)
-    with_.prefixes.recordPrefill(request, endpoint, attempt, cachedTokens);
+    collaborators_.prefixes.recordPrefill(request, endpoint, attempt, cachedTokens);
 }
 
 // A rejection is an answer: the endpoint lives. Where it found no KV state, that state has failed, by the end
@@ -123,14 +124,14 @@
 // prefilled anew elsewhere.
 void AttemptTracker::evaluateRejection(TrackedRequest& request, Endpoint& endpoint,
                                        const InFlightAttempt& attempt, const AttemptEnded& event) {
-  if (event.reachedEndpoint) with_.outliers.recordActivity(endpoint);
-  with_.outliers.invalidateOutages();
+  if (event.reachedEndpoint) collaborators_.outliers.recordActivity(endpoint);
+  collaborators_.outliers.invalidateOutages();
   if (event.kvStateMissing && request.kvStateAt) {
     request.failedEndpoints.push_back(request.kvStateAt->id);
     request.kvStateAt.reset();
     return;
   }
-  with_.rejections.recordRejection(endpoint, attempt, with_.firstTokens.baselineTime());
+  collaborators_.rejections.recordRejection(endpoint, attempt, collaborators_.firstTokens.baselineTime());
   request.failedEndpoints.push_back(endpoint.entry.id);
 }
 
@@ -138,16 +139,17 @@
                                      const InFlightAttempt& attempt) {
   // An endpoint that gave a sign since is slow, not failing.
   if (!OutlierDetector::wasActiveAfter(endpoint, attempt.sentAt))
-    with_.outliers.recordFailure(attempt.endpoint, FailureReason::noResponse);
+    collaborators_.outliers.recordFailure(attempt.endpoint, FailureReason::noResponse);
   const InFlightAttempt* awaiting = endpoint.awaiting.find(request.arrival.id);
-  if (awaiting && with_.timeouts.isStalled(*awaiting, AttemptTimeouts::kSilenceShare)) return;
-  with_.speeds.learn(endpoint, SpeedEstimator::kMaxFactor);
-  const double waited = with_.context.elapsedSince(attempt.sentAt);
+  if (awaiting && collaborators_.timeouts.isStalled(*awaiting, AttemptTimeouts::kSilenceShare)) return;
+  collaborators_.speeds.learn(endpoint, SpeedEstimator::kMaxFactor);
+  const EstimatedTime waited = collaborators_.context.elapsedSince(attempt.sentAt);
   if (attempt.phase == Phase::decode) {
-    with_.firstTokens.observeFleet(waited);  // a bound from below
+    collaborators_.firstTokens.observeFleet(waited);  // a bound from below
     request.slowCells.push_back(endpoint.entry.cell);
   } else {
-    with_.queues.observeDelay(endpoint, waited - attempt.prefillTime * with_.speeds.factor(endpoint));
+    collaborators_.queues.observeDelay(endpoint,
+                                       waited - attempt.prefillTime * collaborators_.speeds.factor(endpoint));
   }
 }
 
@@ -155,7 +157,7 @@
   request.failedEndpoints.push_back(attempt.endpoint);
   const bool possiblyExecuted = attempt.phase != Phase::prefill && outcome != Outcome::connectFailed;
   if (!possiblyExecuted || request.possiblyExecutedAt) return;
-  request.possiblyExecutedAt = with_.registry.at(attempt.endpoint).entry;
+  request.possiblyExecutedAt = collaborators_.registry.at(attempt.endpoint).entry;
   request.possiblyExecutedSince = attempt.sentAt;
 }
 
--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -38,7 +38,7 @@
     SlowStart& slowStart;              ///< Counts sends and completions.
   };
   /// The collaborators must outlive the tracker.
-  explicit AttemptTracker(const Collaborators& collaborators) : with_(collaborators) {}
+  explicit AttemptTracker(const Collaborators& collaborators) : collaborators_(collaborators) {}
 
   /// Takes in an attempt that is sent now, and puts it in the request.
   void recordSend(TrackedRequest& request, InFlightAttempt attempt);
@@ -62,7 +62,7 @@
   void evaluateTimeout(TrackedRequest& request, Endpoint& endpoint, const InFlightAttempt& attempt);
   void noteFailure(TrackedRequest& request, const InFlightAttempt& attempt, Outcome outcome);
 
-  Collaborators with_;
+  Collaborators collaborators_;
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/candidate_finder.cpp
+++ b/src/policy/candidate_finder.cpp
@@ -6,7 +6,7 @@
 
 Candidates CandidateFinder::find(const TrackedRequest& request, Role role, const std::uint64_t* cell,
                                  std::size_t sampled) const {
-  if (with_.registry.isLarge(role)) {
+  if (collaborators_.registry.isLarge(role)) {
     Candidates found = boundedSet(request, role, cell, sampled);
     std::erase_if(found, [&](const Endpoint* endpoint) {
       return !fits(request, *endpoint, Strictness::trustedAndNotFailed);
@@ -15,7 +15,7 @@
   }
   for (const auto strictness : {Strictness::trustedAndNotFailed, Strictness::trusted, Strictness::usable}) {
     Candidates found;
-    for (const Endpoint* endpoint : with_.registry.ofRole(role))
+    for (const Endpoint* endpoint : collaborators_.registry.ofRole(role))
       if (fits(request, *endpoint, strictness)) found.push_back(endpoint);
     if (!found.empty()) return found;
   }
@@ -26,22 +26,22 @@
                            Strictness strictness) const {
   if (!isUsable(endpoint) || !RetryPolicy::isInScope(request, endpoint)) return false;
   if (strictness == Strictness::trustedAndNotFailed && request.hasFailedAt(endpoint.entry.id)) return false;
-  return strictness == Strictness::usable || with_.outliers.isTrusted(endpoint, request);
+  return strictness == Strictness::usable || collaborators_.outliers.isTrusted(endpoint, request);
 }
 
 Candidates CandidateFinder::boundedSet(const TrackedRequest& request, Role role, const std::uint64_t* cell,
                                        std::size_t sampled) const {
-  Candidates group = with_.registry.ownSubset(role, cell);
+  Candidates group = collaborators_.registry.ownSubset(role, cell);
   const auto add = [&](EndpointId id) {
-    const Endpoint* endpoint = with_.registry.find(id);
+    const Endpoint* endpoint = collaborators_.registry.find(id);
     if (endpoint != nullptr && endpoint->role == role) group.push_back(endpoint);
   };
   for (const EndpointId id : request.affinityEndpoints) add(id);
-  for (const auto* locations :
-       {with_.prefixes.sharedPrefixLocations(request), with_.prefixes.sessionLocations(request)})
+  for (const auto* locations : {collaborators_.prefixes.sharedPrefixLocations(request),
+                                collaborators_.prefixes.sessionLocations(request)})
     if (locations != nullptr)
       for (const CachedPrefix& prefix : *locations) add(prefix.endpoint);
-  const auto& all = with_.registry.ofRole(role);
+  const auto& all = collaborators_.registry.ofRole(role);
   const std::uint64_t requestDraws = request.arrival.id.value * kSampledWhenLate;
   for (std::size_t i = 1; i <= sampled; ++i)
     group.push_back(all[mixBits(ownOrder_.value ^ mixBits(requestDraws + i)) % all.size()]);
--- a/src/policy/candidate_finder.h
+++ b/src/policy/candidate_finder.h
@@ -24,7 +24,7 @@
 template <class Score>
 const Endpoint* lowestScore(const Candidates& candidates, PrefixKey tieKey, Score score) {
   const Endpoint* best = nullptr;
-  std::pair<double, std::uint64_t> lowest;
+  std::pair<decltype(score(std::declval<const Endpoint&>())), std::uint64_t> lowest;
   for (const Endpoint* endpoint : candidates) {
     const std::pair rank{score(*endpoint), ~rendezvousHash(tieKey, endpoint->entry.id)};
     if (best && rank >= lowest) continue;
@@ -52,12 +52,12 @@
   };
   /// `ownOrder`: this router's own order of the endpoints.
   CandidateFinder(const Collaborators& collaborators, PrefixKey ownOrder)
-      : with_(collaborators), ownOrder_(ownOrder) {}
+      : collaborators_(collaborators), ownOrder_(ownOrder) {}
 
   /// Whether an endpoint takes requests now.
   bool isUsable(const Endpoint& endpoint) const {
-    return endpoint.isListed && with_.slowStart.hasBudget(endpoint) &&
-           !with_.rejections.isBackingOff(endpoint);
+    return endpoint.isListed && collaborators_.slowStart.hasBudget(endpoint) &&
+           !collaborators_.rejections.isBackingOff(endpoint);
   }
 
   /// The endpoints of a role that may take the request: trusted ones where it has not failed; without those,
@@ -77,7 +77,7 @@
   Candidates boundedSet(const TrackedRequest& request, Role role, const std::uint64_t* cell,
                         std::size_t sampled) const;
 
-  Collaborators with_;
+  Collaborators collaborators_;
   PrefixKey ownOrder_;
 };
 
--- a/src/policy/combined_share.cpp
+++ b/src/policy/combined_share.cpp
@@ -8,17 +8,18 @@
   if (request.attempts > 0) return false;
   const double combined = capacityOf(Role::combined);
   const double decode = capacityOf(Role::decode);
-  if (combined <= 0 || with_.context.uniform() * (combined + decode) >= combined) return false;
-  const Endpoint* endpoint = with_.selector.select(request, Role::combined);
-  return endpoint &&
-         with_.prefills.prefillTime(request, *endpoint) <= kMaxPrefill * with_.queues.meanPrefillTime();
+  if (combined <= 0 || collaborators_.context.uniform() * (combined + decode) >= combined) return false;
+  const Endpoint* endpoint = collaborators_.selector.select(request, Role::combined);
+  return endpoint && collaborators_.prefills.prefillTime(request, *endpoint) <=
+                         kMaxPrefill * collaborators_.queues.meanPrefillTime();
 }
 
 double CombinedShare::capacityOf(Role role) const {
-  const double streamTime = with_.firstTokens.streamTime(role);
-  if (with_.registry.isLarge(role)) return with_.registry.listedMemoryTokens(role) / streamTime;
+  const double streamTime = collaborators_.firstTokens.streamTime(role).count();
+  if (collaborators_.registry.isLarge(role))
+    return collaborators_.registry.listedMemoryTokens(role) / streamTime;
   double capacity = 0;
-  for (const Endpoint* endpoint : with_.registry.ofRole(role))
+  for (const Endpoint* endpoint : collaborators_.registry.ofRole(role))
     if (endpoint->isListed) capacity += std::max(1.0, endpoint->memoryTokens) / streamTime;
   return capacity;
 }
--- a/src/policy/combined_share.h
+++ b/src/policy/combined_share.h
@@ -26,7 +26,7 @@
     const QueueEstimator& queues;            ///< What a mean prefill costs.
   };
   /// The collaborators must outlive the share.
-  explicit CombinedShare(const Collaborators& collaborators) : with_(collaborators) {}
+  explicit CombinedShare(const Collaborators& collaborators) : collaborators_(collaborators) {}
 
   /// Whether a request that was not sent yet should go to a combined endpoint. Only prompts up to about the
   /// mean prefill do. Draws a random number where there are such endpoints.
@@ -37,7 +37,7 @@
 
   double capacityOf(Role role) const;
 
-  Collaborators with_;
+  Collaborators collaborators_;
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/decision_context.h
+++ b/src/policy/decision_context.h
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "policy/actions.h"
+#include "policy/estimated_time.h"
 #include "policy/hash.h"
 #include "policy/ids.h"
 
@@ -19,12 +20,10 @@
 /// One second.
 constexpr Micros kSecond = 1'000'000;
 
-/// A time or span as a number that estimates can be computed with, in microseconds.
-inline double asDouble(Micros time) { return static_cast<double>(time); }
 /// A count as a number that estimates can be computed with.
-inline double countAsDouble(std::size_t count) { return asDouble(static_cast<Micros>(count)); }
-/// An estimate in microseconds, cut to whole ones.
-inline Micros asMicros(double time) { return static_cast<Micros>(time); }
+inline double countAsDouble(std::size_t count) {
+  return static_cast<double>(static_cast<std::int64_t>(count));
+}
 
 /// The event that is being handled.
 class DecisionContext {
@@ -40,11 +39,11 @@
 
   /// The time of the event.
   Micros now() const { return now_; }
-  /// The time that has passed since then, in microseconds.
-  double elapsedSince(Micros since) const { return asDouble(now_ - since); }
+  /// The time that has passed since then.
+  EstimatedTime elapsedSince(Micros since) const { return toEstimate(now_ - since); }
   /// Weight of an observation of that time, from 1 falling exponentially; 0 when there is none (`since` is
   /// 0).
-  double freshness(Micros since, double lifetime) const {
+  double freshness(Micros since, EstimatedTime lifetime) const {
     return since == 0 ? 0 : std::exp(-elapsedSince(since) / lifetime);
   }
 
--- a/src/policy/decode_selector.cpp
+++ b/src/policy/decode_selector.cpp
@@ -6,11 +6,11 @@
 
 const Endpoint* DecodeSelector::select(const TrackedRequest& request, std::uint64_t cell,
                                        double maxOccupancy) const {
-  const Candidates decode = with_.candidates.find(request, Role::decode, &cell);
-  const Candidates combined = with_.candidates.find(request, Role::combined, &cell);
+  const Candidates decode = collaborators_.candidates.find(request, Role::decode, &cell);
+  const Candidates combined = collaborators_.candidates.find(request, Role::combined, &cell);
   const auto score = [&](const Endpoint& endpoint) {
-    return occupancyWith(request, endpoint) * with_.speeds.factor(endpoint) +
-           with_.rejections.expectedTime(endpoint) / smallestObjective_;
+    return occupancyWith(request, endpoint) * collaborators_.speeds.factor(endpoint) +
+           collaborators_.rejections.expectedTime(endpoint) / smallestObjective_;
   };
   const auto best = [&](bool inCell) -> const Endpoint* {
     for (const Candidates* group : {&decode, &combined}) {
--- a/src/policy/decode_selector.h
+++ b/src/policy/decode_selector.h
@@ -33,9 +33,9 @@
     const SpeedEstimator& speeds;          ///< Speed of endpoints.
   };
   /// `ownOrder`: this router's own order of the endpoints; `smallestObjective`: the smallest TTFT objective
-  /// of all classes, in microseconds.
-  DecodeSelector(const Collaborators& collaborators, PrefixKey ownOrder, double smallestObjective)
-      : with_(collaborators), ownOrder_(ownOrder), smallestObjective_(smallestObjective) {}
+  /// of all classes.
+  DecodeSelector(const Collaborators& collaborators, PrefixKey ownOrder, EstimatedTime smallestObjective)
+      : collaborators_(collaborators), ownOrder_(ownOrder), smallestObjective_(smallestObjective) {}
 
   /// The endpoint that should decode, for a KV state of that cell, of those that stay within the occupancy;
   /// or nullptr.
@@ -43,12 +43,12 @@
 
  private:
   double occupancyWith(const TrackedRequest& request, const Endpoint& endpoint) const {
-    return with_.memory.occupancy(endpoint, KvMemoryEstimator::tokensNeeded(request, endpoint));
+    return collaborators_.memory.occupancy(endpoint, KvMemoryEstimator::tokensNeeded(request, endpoint));
   }
 
-  Collaborators with_;
+  Collaborators collaborators_;
   PrefixKey ownOrder_;
-  double smallestObjective_;
+  EstimatedTime smallestObjective_;
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -7,6 +7,7 @@
 #include <optional>
 #include <utility>
 
+#include "policy/estimated_time.h"
 #include "policy/events.h"
 #include "policy/request_state.h"
 #include "policy/settings.h"
@@ -37,7 +38,7 @@
 /// Queueing delay of an endpoint; written by QueueEstimator.
 class QueueRecord {
   friend class QueueEstimator;
-  double delay_ = 0;
+  EstimatedTime delay_ = EstimatedTime::zero();
   Micros observedAt_ = 0;  // 0: never
   Micros prefillDoneAt_ = 0;
   bool reportsQueue_ = false;
@@ -46,7 +47,7 @@
 /// Latest times to first token of a decode endpoint; written by FirstTokenEstimator.
 class FirstTokenRecord {
   friend class FirstTokenEstimator;
-  double time_ = 0;
+  EstimatedTime time_ = EstimatedTime::zero();
   Micros observedAt_ = 0;
 };
 
@@ -68,7 +69,7 @@
 class RejectionRecord {
   friend class RejectionEstimator;
   double share_ = 0;  // as of observedAt_
-  double time_ = 0;
+  EstimatedTime time_ = EstimatedTime::zero();
   Micros observedAt_ = 0;
   Micros fullUntil_ = 0;
 };
--- a/src/policy/first_token_estimator.h
+++ b/src/policy/first_token_estimator.h
@@ -13,7 +13,7 @@
 
 namespace garnethook::policy {
 
-/// Estimates of decode endpoints. All times are in microseconds.
+/// Estimates of decode endpoints.
 class FirstTokenEstimator {
  public:
   /// What the estimator works with.
@@ -23,45 +23,45 @@
     const TrafficSample& sample;     ///< Weight of own observations.
   };
   /// `smallestObjective`: the smallest TTFT objective of all classes.
-  FirstTokenEstimator(const Collaborators& collaborators, double smallestObjective)
-      : with_(collaborators),
+  FirstTokenEstimator(const Collaborators& collaborators, EstimatedTime smallestObjective)
+      : collaborators_(collaborators),
         smallestObjective_(smallestObjective),
         baselineTime_(kInitialShare * smallestObjective),
         streamTimes_{smallestObjective, smallestObjective, smallestObjective} {}
 
   /// Time without a jam.
-  double baselineTime() const { return baselineTime_; }
+  EstimatedTime baselineTime() const { return baselineTime_; }
   /// Time at one endpoint: the latest there, fading to the fleet's without news so that no rejection rests on
   /// old grounds, and no less than the longest wait there now, the freshest news.
-  double expectedTime(const Endpoint& endpoint) const {
-    return std::max(with_.queues.longestWait(endpoint), recentTime(endpoint));
+  EstimatedTime expectedTime(const Endpoint& endpoint) const {
+    return std::max(collaborators_.queues.longestWait(endpoint), recentTime(endpoint));
   }
   /// Latest time at all endpoints, as far as own streams are too few to tell of one: few jams are one
   /// endpoint's.
-  double fleetTime() const {
-    return baselineTime_ + (1 - with_.sample.evidence()) * (recentFleetTime() - baselineTime_);
+  EstimatedTime fleetTime() const {
+    return baselineTime_ + (1 - collaborators_.sample.evidence()) * (recentFleetTime() - baselineTime_);
   }
   /// Takes in the time to a first token that came.
-  void observe(Endpoint& endpoint, double time) {
-    const double before = recentTime(endpoint);
+  void observe(Endpoint& endpoint, EstimatedTime time) {
+    const EstimatedTime before = recentTime(endpoint);
     endpoint.firstToken.time_ = before + kSampleWeight * (time - before);
-    endpoint.firstToken.observedAt_ = with_.context.now();
+    endpoint.firstToken.observedAt_ = collaborators_.context.now();
     observeFleet(time);
-    const double sample = std::min(time, PrefillCostModel::kMaxDeviation * baselineTime_);
+    const EstimatedTime sample = std::min(time, PrefillCostModel::kMaxDeviation * baselineTime_);
     baselineTime_ += (time < baselineTime_ ? kFallWeight : kRiseWeight) * (sample - baselineTime_);
   }
   /// Takes in a time of the fleet, or a bound of it from below.
-  void observeFleet(double time) {
-    const double before = recentFleetTime();
+  void observeFleet(EstimatedTime time) {
+    const EstimatedTime before = recentFleetTime();
     fleetTime_ = before + kSampleWeight * (time - before);
-    fleetObservedAt_ = with_.context.now();
+    fleetObservedAt_ = collaborators_.context.now();
   }
 
   /// Usual time from the first to the last token at endpoints of a role.
-  double streamTime(Role role) const { return streamTimes_[roleIndex(role)]; }
+  EstimatedTime streamTime(Role role) const { return streamTimes_[roleIndex(role)]; }
   /// Takes in the time from the first to the last token of an answer.
-  void observeStream(Role role, double time) {
-    double& usual = streamTimes_[roleIndex(role)];
+  void observeStream(Role role, EstimatedTime time) {
+    EstimatedTime& usual = streamTimes_[roleIndex(role)];
     usual += kStreamWeight * (time - usual);
   }
 
@@ -74,20 +74,21 @@
   static constexpr double kLifetime = 2;  // of an observation: smallest objectives
   static constexpr double kStreamWeight = 0.1;
 
-  double recentTime(const Endpoint& endpoint) const {
+  EstimatedTime recentTime(const Endpoint& endpoint) const {
     return fade(endpoint.firstToken.time_, endpoint.firstToken.observedAt_, fleetTime());
   }
-  double recentFleetTime() const { return fade(fleetTime_, fleetObservedAt_, baselineTime_); }
-  double fade(double value, Micros observedAt, double rest) const {
-    return rest + (value - rest) * with_.context.freshness(observedAt, kLifetime * smallestObjective_);
+  EstimatedTime recentFleetTime() const { return fade(fleetTime_, fleetObservedAt_, baselineTime_); }
+  EstimatedTime fade(EstimatedTime value, Micros observedAt, EstimatedTime rest) const {
+    return rest +
+           (value - rest) * collaborators_.context.freshness(observedAt, kLifetime * smallestObjective_);
   }
 
-  Collaborators with_;
-  double smallestObjective_;
-  double baselineTime_;
-  double fleetTime_ = 0;
+  Collaborators collaborators_;
+  EstimatedTime smallestObjective_;
+  EstimatedTime baselineTime_;
+  EstimatedTime fleetTime_ = EstimatedTime::zero();
   Micros fleetObservedAt_ = 0;
-  std::array<double, kRoles> streamTimes_;
+  std::array<EstimatedTime, kRoles> streamTimes_;
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/initial_estimates.cpp
+++ b/src/policy/initial_estimates.cpp
@@ -15,22 +15,22 @@
 constexpr double kTypicalPromptShare = 0.25;
 constexpr double kTypicalPrompt = 4000;
 
-double initialTimePerKiloToken(const Settings& settings) {
-  double longest = 0;
+EstimatedTime initialTimePerKiloToken(const Settings& settings) {
+  EstimatedTime longest = EstimatedTime::zero();
   for (const RequestClass& requestClass : settings.classes)
-    longest = std::max(longest, asDouble(requestClass.ttftObjectivePerKiloToken));
-  if (longest > 0) return longest;
+    longest = std::max(longest, toEstimate(requestClass.ttftObjectivePerKiloToken));
+  if (longest > EstimatedTime::zero()) return longest;
   return kTypicalPromptShare * smallestTtftObjective(settings) * 1000 / kTypicalPrompt;
 }
 
 }  // namespace
 
-double smallestTtftObjective(const Settings& settings) {
-  if (settings.classes.empty()) return asDouble(kSecond);
+EstimatedTime smallestTtftObjective(const Settings& settings) {
+  if (settings.classes.empty()) return toEstimate(kSecond);
   Micros smallest = std::numeric_limits<Micros>::max();
   for (const RequestClass& requestClass : settings.classes)
     smallest = std::min(smallest, std::max(requestClass.ttftObjective, kMinObjective));
-  return asDouble(smallest);
+  return toEstimate(smallest);
 }
 
 PrefillCostModel initialCostModel(const Settings& settings) {
--- a/src/policy/initial_estimates.h
+++ b/src/policy/initial_estimates.h
@@ -7,9 +7,9 @@
 
 namespace garnethook::policy {
 
-/// The smallest TTFT objective of all classes in microseconds, the unit of many estimates; one second without
+/// The smallest TTFT objective of all classes, the unit of many estimates; one second without
 /// classes.
-double smallestTtftObjective(const Settings& settings);
+EstimatedTime smallestTtftObjective(const Settings& settings);
 
 /// A cost model that fits the objectives.
 PrefillCostModel initialCostModel(const Settings& settings);
--- a/src/policy/kv_hold_policy.h
+++ b/src/policy/kv_hold_policy.h
@@ -10,11 +10,11 @@
 /// Keeps the rule that a KV state is not held beyond the release timeout.
 class KvHoldPolicy {
  public:
-  /// `smallestObjective`: the smallest TTFT objective of all classes, in microseconds; it stands for a
+  /// `smallestObjective`: the smallest TTFT objective of all classes; it stands for a
   /// release timeout that is not set.
-  KvHoldPolicy(const DecisionContext& context, const Settings& settings, double smallestObjective)
+  KvHoldPolicy(const DecisionContext& context, const Settings& settings, EstimatedTime smallestObjective)
       : context_(context),
-        limit_(settings.kvReleaseTimeout > 0 ? settings.kvReleaseTimeout : asMicros(smallestObjective)) {}
+        limit_(settings.kvReleaseTimeout > 0 ? settings.kvReleaseTimeout : toMicros(smallestObjective)) {}
 
   /// Whether the state's time is over, used up by attempts that never arrived. It is then released and the
   /// prompt prefilled anew: connections to decode endpoints may fail one after another.
@@ -23,7 +23,7 @@
   }
   /// Whether the next attempt is the last that the state's time allows.
   bool isLastAttempt(const TrackedRequest& request) const {
-    return context_.elapsedSince(request.kvStateSince) >= kWaitShare * asDouble(limit_);
+    return context_.elapsedSince(request.kvStateSince) >= kWaitShare * toEstimate(limit_);
   }
   /// Time between two looks for an endpoint with room.
   Micros reevaluationInterval() const { return limit_ / kReevaluations; }
--- a/src/policy/kv_memory_estimator.h
+++ b/src/policy/kv_memory_estimator.h
@@ -21,8 +21,9 @@
   /// KV cache tokens that a request takes at an endpoint until its answer is complete.
   static double tokensNeeded(const TrackedRequest& request, const Endpoint& endpoint) {
     const RequestArrived& arrival = request.arrival;
-    const double perToken = std::max(1.0, asDouble(request.requestClass.timePerOutputTokenObjective));
-    const double output = arrival.expectedOutput > 0 ? asDouble(arrival.expectedOutput) / perToken
+    const EstimatedTime perToken =
+        std::max(EstimatedTime(1), toEstimate(request.requestClass.timePerOutputTokenObjective));
+    const double output = arrival.expectedOutput > 0 ? toEstimate(arrival.expectedOutput) / perToken
                                                      : kUnknownOutputShare * arrival.maxOutput;
     return request.promptTokensAt(endpoint.entry) + output;
   }
@@ -77,7 +78,7 @@
   }
 
  private:
-  static constexpr double kReportLifetime = 4e6;      // microseconds
+  static constexpr EstimatedTime kReportLifetime = std::chrono::seconds(4);
   static constexpr double kMinReports = 1;            // fresh reports that may stand for the whole fleet
   static constexpr double kUnknownOutputShare = 0.5;  // of the maximum output, where no length is expected
   static constexpr double kUnknownCapacity = 1e5;     // tokens
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -27,13 +27,14 @@
 
 void OutlierDetector::recordFailure(EndpointId id, FailureReason reason) {
   const FailureKind failure = kindOf(reason);
-  Endpoint& endpoint = with_.registry.at(id);
-  with_.registry.markContacted(id, endpoint);
+  Endpoint& endpoint = collaborators_.registry.at(id);
+  collaborators_.registry.markContacted(id, endpoint);
   invalidateOutages();
-  const Micros now = with_.context.now();
+  const Micros now = collaborators_.context.now();
   HealthRecord& health = endpoint.health;
   health.failureScore_ =
-      health.failureScore_ * std::exp(-with_.context.elapsedSince(health.scoredAt_) / kScoreLifetime) +
+      health.failureScore_ *
+          std::exp(-collaborators_.context.elapsedSince(health.scoredAt_) / kScoreLifetime) +
       failure.score;
   health.scoredAt_ = now;
   if (health.failureScore_ < kScoreToEject) return;
@@ -44,8 +45,9 @@
   health.ejected_ = true;
   ejected_.insert(id);
   health.probeSucceeded_ = false;
-  health.trialAt_ = now + health.trialDelay_ +
-                    asMicros(asDouble(health.trialDelay_) * kTrialDelayJitter * with_.context.uniform());
+  health.trialAt_ =
+      now + health.trialDelay_ +
+      toMicros(toEstimate(health.trialDelay_) * kTrialDelayJitter * collaborators_.context.uniform());
 }
 
 void OutlierDetector::recordResponse(Endpoint& endpoint, RequestId request) {
@@ -81,52 +83,53 @@
 }
 
 void OutlierDetector::sendProbes() {
-  if (!with_.settings.canProbe) return;
-  for (const auto& [id, endpoint] : with_.registry.contacted()) {
+  if (!collaborators_.settings.canProbe) return;
+  for (const auto& [id, endpoint] : collaborators_.registry.contacted()) {
     if (!needsProbe(*endpoint)) continue;
     endpoint->health.probing_ = true;
-    with_.context.emit(Probe{id});
+    collaborators_.context.emit(Probe{id});
   }
 }
 
 void OutlierDetector::forgetRemoved() {
-  std::erase_if(ejected_, [this](EndpointId id) { return with_.registry.find(id) == nullptr; });
+  std::erase_if(ejected_, [this](EndpointId id) { return collaborators_.registry.find(id) == nullptr; });
 }
 
 bool OutlierDetector::mayTry(const Endpoint& endpoint, const TrackedRequest& request) const {
   const HealthRecord& health = endpoint.health;
-  const bool isProbed = !with_.settings.canProbe || health.probeSucceeded_;
-  return isProbed && !health.trialRequest_ && with_.context.now() >= health.trialAt_ &&
+  const bool isProbed = !collaborators_.settings.canProbe || health.probeSucceeded_;
+  return isProbed && !health.trialRequest_ && collaborators_.context.now() >= health.trialAt_ &&
          request.requestClass.idempotency == Idempotency::idempotent && request.attempts == 0;
 }
 
 bool OutlierDetector::isUnresponsive(const Endpoint& endpoint) const {
-  const DecisionContext& context = with_.context;
+  const DecisionContext& context = collaborators_.context;
   const Micros activeAt = endpoint.health.lastActivityAt_;
   const auto& awaiting = endpoint.awaiting;
   constexpr double kShare = AttemptTimeouts::kSilenceShare;
-  if (awaiting.empty() || context.elapsedSince(activeAt) <= kShare * with_.timeouts.floor()) return false;
+  if (awaiting.empty() || context.elapsedSince(activeAt) <= kShare * collaborators_.timeouts.floor())
+    return false;
   return std::any_of(awaiting.begin(), awaiting.end(), [&](const auto& item) {
     const InFlightAttempt& attempt = item.second;
     return activeAt <= attempt.sentAt &&
-           context.elapsedSince(attempt.sentAt) > kShare * with_.timeouts.usualTimeout(attempt);
+           context.elapsedSince(attempt.sentAt) > kShare * collaborators_.timeouts.usualTimeout(attempt);
   });
 }
 
 bool OutlierDetector::hasOutage(std::size_t zone) const {
-  if (zone == with_.settings.ownZone || with_.settings.zones < 2) return false;
+  if (zone == collaborators_.settings.ownZone || collaborators_.settings.zones < 2) return false;
   const auto [at, isNew] = outages_.try_emplace(zone, false);
   if (isNew) at->second = measureOutage(zone);
   return at->second;
 }
 
 bool OutlierDetector::measureOutage(std::size_t zone) const {
-  const double needed = kOutageShare * countAsDouble(with_.registry.listedCountInZone(zone));
+  const double needed = kOutageShare * countAsDouble(collaborators_.registry.listedCountInZone(zone));
   // An unresponsive endpoint has an attempt in flight, so there can't be more than this.
-  const double possible = asDouble(std::ssize(ejected_) + std::ssize(with_.requests));
-  if (possible < std::max(asDouble(kOutageEndpoints), needed)) return false;
+  const double possible = countAsDouble(ejected_.size() + collaborators_.requests.size());
+  if (possible < std::max(static_cast<double>(kOutageEndpoints), needed)) return false;
   int failing = 0;
-  for (const auto& [id, endpoint] : with_.registry.contacted())
+  for (const auto& [id, endpoint] : collaborators_.registry.contacted())
     if (endpoint->isListed && endpoint->entry.zone == zone)
       failing += endpoint->health.ejected_ || isUnresponsive(*endpoint) ? 1 : 0;
   return failing >= kOutageEndpoints && failing >= needed;
@@ -135,11 +138,11 @@
 bool OutlierDetector::needsProbe(const Endpoint& endpoint) const {
   const HealthRecord& health = endpoint.health;
   return health.ejected_ && endpoint.isListed && !health.probing_ && !health.probeSucceeded_ &&
-         with_.context.now() >= health.trialAt_;
+         collaborators_.context.now() >= health.trialAt_;
 }
 
 void OutlierDetector::log(EndpointId id, const char* change, const char* reason) {
-  with_.context.emit(Log{"endpoint " + std::to_string(id.value) + " " + change + ": " + reason});
+  collaborators_.context.emit(Log{"endpoint " + std::to_string(id.value) + " " + change + ": " + reason});
 }
 
 }  // namespace garnethook::policy
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -38,7 +38,7 @@
     const Settings& settings;         ///< Zones, and whether probes are allowed.
   };
   /// All endpoints are trusted at first.
-  explicit OutlierDetector(const Collaborators& collaborators) : with_(collaborators) {}
+  explicit OutlierDetector(const Collaborators& collaborators) : collaborators_(collaborators) {}
 
   /// Whether the request may be sent there.
   bool isTrusted(const Endpoint& endpoint, const TrackedRequest& request) const {
@@ -55,7 +55,9 @@
   /// Takes in a response to an attempt: the endpoint is well.
   void recordResponse(Endpoint& endpoint, RequestId request);
   /// Takes in a sign of activity that does not reinstate the endpoint.
-  void recordActivity(Endpoint& endpoint) const { endpoint.health.lastActivityAt_ = with_.context.now(); }
+  void recordActivity(Endpoint& endpoint) const {
+    endpoint.health.lastActivityAt_ = collaborators_.context.now();
+  }
   /// Takes in an attempt that is sent; to an ejected endpoint it is a trial.
   void recordSend(Endpoint& endpoint, RequestId request);
   /// Takes in the end of an attempt.
@@ -74,7 +76,7 @@
 
  private:
   static constexpr double kScoreToEject = 1;
-  static constexpr double kScoreLifetime = 5e6;  // microseconds
+  static constexpr EstimatedTime kScoreLifetime = std::chrono::seconds(5);
   static constexpr Micros kMinTrialDelay = kSecond / 2;
   static constexpr Micros kMaxTrialDelay = 4 * kSecond;
   static constexpr double kTrialDelayJitter = 0.2;
@@ -93,7 +95,7 @@
   bool needsProbe(const Endpoint& endpoint) const;
   void log(EndpointId id, const char* change, const char* reason);
 
-  Collaborators with_;
+  Collaborators collaborators_;
   std::set<EndpointId> ejected_;                 // some may have left the list
   mutable std::map<std::size_t, bool> outages_;  // zones judged since anything that counts has changed
 };
--- a/src/policy/prefill_cost_model.h
+++ b/src/policy/prefill_cost_model.h
@@ -6,11 +6,13 @@
 #include <array>
 #include <cstddef>
 
+#include "policy/estimated_time.h"
+
 namespace garnethook::policy {
 
 /// time(x, y) = d + c x (1 - y) + a x^2 (1 - y^2), with x in thousands of tokens, y the cached share and the
-/// time in microseconds. Fitted online by least squares with forgetting; coordinate descent keeps every
-/// coefficient at 0 or above.
+/// coefficients in microseconds. Fitted online by least squares with forgetting; coordinate descent keeps
+/// every coefficient at 0 or above.
 class PrefillCostModel {
  public:
   /// Samples that still count.
@@ -21,23 +23,23 @@
   static constexpr double kMaxDeviation = 3;
 
   /// Initial coefficients: a fixed time, and the time for 1,000 tokens.
-  PrefillCostModel(double fixedTime, double timePerKiloToken)
-      : prior_{fixedTime, timePerKiloToken, 0}, coefficients_(prior_) {}
+  PrefillCostModel(EstimatedTime fixedTime, EstimatedTime timePerKiloToken)
+      : prior_{fixedTime.count(), timePerKiloToken.count(), 0}, coefficients_(prior_) {}
 
-  /// Predicted time of a prefill in microseconds; tokens beyond the prompt's do not count as cached.
-  double predict(double tokens, double cachedTokens) const {
+  /// Predicted time of a prefill; tokens beyond the prompt's do not count as cached.
+  EstimatedTime predict(double tokens, double cachedTokens) const {
     const Triple x = features(tokens, cachedTokens);
-    return coefficients_[0] * x[0] + coefficients_[1] * x[1] + coefficients_[2] * x[2];
+    return EstimatedTime(coefficients_[0] * x[0] + coefficients_[1] * x[1] + coefficients_[2] * x[2]);
   }
 
-  /// Takes in the observed time of a prefill in microseconds.
-  void learn(double tokens, double cachedTokens, double time) {
+  /// Takes in the observed time of a prefill.
+  void learn(double tokens, double cachedTokens, EstimatedTime time) {
     const Triple x = features(tokens, cachedTokens);
-    const double expected = predict(tokens, cachedTokens);
+    const EstimatedTime expected = predict(tokens, cachedTokens);
     time = std::clamp(time, expected / kMaxDeviation, expected * kMaxDeviation);
     for (std::size_t i = 0; i < 3; ++i) {
       for (std::size_t j = 0; j < 3; ++j) normal_[i][j] += x[i] * x[j] - normal_[i][j] / kMemory;
-      right_[i] += x[i] * time - right_[i] / kMemory;
+      right_[i] += x[i] * time.count() - right_[i] / kMemory;
     }
     for (int sweep = 0; sweep < kSweeps; ++sweep) descend();
   }
--- a/src/policy/prefill_estimator.h
+++ b/src/policy/prefill_estimator.h
@@ -12,7 +12,7 @@
 
 namespace garnethook::policy {
 
-/// Puts the estimates of one prefill together. All times are in microseconds.
+/// Puts the estimates of one prefill together.
 class PrefillEstimator {
  public:
   /// What the estimator works with.
@@ -24,25 +24,28 @@
     const TrafficSample& sample;        ///< Weight of own observations.
   };
   /// The collaborators must outlive the estimator.
-  explicit PrefillEstimator(const Collaborators& collaborators) : with_(collaborators) {}
+  explicit PrefillEstimator(const Collaborators& collaborators) : collaborators_(collaborators) {}
 
   /// Time of the prefill itself at usual speed.
-  double prefillTime(const TrackedRequest& request, const Endpoint& endpoint) const {
-    const double weight = 1 - with_.sample.evidence();
-    return with_.costModel.predict(request.promptTokensAt(endpoint.entry),
-                                   with_.prefixes.expectedCachedTokens(request, endpoint, weight));
+  EstimatedTime prefillTime(const TrackedRequest& request, const Endpoint& endpoint) const {
+    const double weight = 1 - collaborators_.sample.evidence();
+    return collaborators_.costModel.predict(
+        request.promptTokensAt(endpoint.entry),
+        collaborators_.prefixes.expectedCachedTokens(request, endpoint, weight));
   }
   /// Time until the prefill is complete: queue and prefill at the endpoint's speed. The longest wait of an
   /// own attempt there bounds the queue from below: where nobody reports, others' load shows in nothing else
   /// so early.
-  double totalTime(const TrackedRequest& request, const Endpoint& endpoint) const {
-    const double speed = with_.speeds.factor(endpoint);
-    const double queue = (with_.queues.ownBacklog(endpoint) + with_.queues.delay(endpoint)) * speed;
-    return std::max(queue, with_.queues.longestWait(endpoint)) + prefillTime(request, endpoint) * speed;
+  EstimatedTime totalTime(const TrackedRequest& request, const Endpoint& endpoint) const {
+    const double speed = collaborators_.speeds.factor(endpoint);
+    const EstimatedTime queue =
+        (collaborators_.queues.ownBacklog(endpoint) + collaborators_.queues.delay(endpoint)) * speed;
+    return std::max(queue, collaborators_.queues.longestWait(endpoint)) +
+           prefillTime(request, endpoint) * speed;
   }
 
  private:
-  Collaborators with_;
+  Collaborators collaborators_;
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/prefill_selector.cpp
+++ b/src/policy/prefill_selector.cpp
@@ -8,17 +8,19 @@
                                             const Candidates& candidates) const {
   if (candidates.empty()) return nullptr;
   const auto cost = [&](const Endpoint& endpoint) {
-    return with_.prefills.totalTime(request, endpoint) + with_.rejections.expectedTime(endpoint);
+    return collaborators_.prefills.totalTime(request, endpoint) +
+           collaborators_.rejections.expectedTime(endpoint);
   };
   const bool isCached = std::any_of(candidates.begin(), candidates.end(), [&](const Endpoint* endpoint) {
-    return with_.prefixes.cachedTokens(request, *endpoint) > 0;
+    return collaborators_.prefixes.cachedTokens(request, *endpoint) > 0;
   });
   if (!isCached) {
     Candidates withAffinity = candidates;
     std::erase_if(withAffinity,
                   [&](const Endpoint* endpoint) { return !request.hasAffinityTo(endpoint->entry.id); });
     const Endpoint* best = lowestScore(withAffinity, ownOrder_, cost);
-    if (best && with_.rejections.expectedTime(*best) <= kAffinityRejectionShare * smallestObjective_ &&
+    if (best &&
+        collaborators_.rejections.expectedTime(*best) <= kAffinityRejectionShare * smallestObjective_ &&
         isQuick(request, *best))
       return best;
   }
--- a/src/policy/prefill_selector.h
+++ b/src/policy/prefill_selector.h
@@ -24,17 +24,17 @@
     const RejectionEstimator& rejections;  ///< What rejections cost.
   };
   /// `ownOrder`: this router's own order of the endpoints; `smallestObjective`: the smallest TTFT objective
-  /// of all classes, in microseconds.
-  PrefillSelector(const Collaborators& collaborators, PrefixKey ownOrder, double smallestObjective)
-      : with_(collaborators), ownOrder_(ownOrder), smallestObjective_(smallestObjective) {}
+  /// of all classes.
+  PrefillSelector(const Collaborators& collaborators, PrefixKey ownOrder, EstimatedTime smallestObjective)
+      : collaborators_(collaborators), ownOrder_(ownOrder), smallestObjective_(smallestObjective) {}
 
   /// The endpoint of a role that should execute the prefill, or nullptr.
   const Endpoint* select(const TrackedRequest& request, Role role) const {
-    const Endpoint* selected = selectFrom(request, with_.candidates.find(request, role));
+    const Endpoint* selected = selectFrom(request, collaborators_.candidates.find(request, role));
     // Where the usual candidates of a large role are late, more of them are considered.
-    if (!selected || !with_.registry.isLarge(role) || isQuick(request, *selected)) return selected;
-    return selectFrom(request,
-                      with_.candidates.find(request, role, nullptr, CandidateFinder::kSampledWhenLate));
+    if (!selected || !collaborators_.registry.isLarge(role) || isQuick(request, *selected)) return selected;
+    return selectFrom(
+        request, collaborators_.candidates.find(request, role, nullptr, CandidateFinder::kSampledWhenLate));
   }
 
  private:
@@ -44,14 +44,14 @@
   static constexpr double kAffinityRejectionShare = 0.1;
 
   bool isQuick(const TrackedRequest& request, const Endpoint& endpoint) const {
-    const double left = asDouble(request.objectiveAt - with_.context.now());
-    return with_.prefills.totalTime(request, endpoint) <= kAffinityTimeShare * left;
+    const EstimatedTime left = toEstimate(request.objectiveAt - collaborators_.context.now());
+    return collaborators_.prefills.totalTime(request, endpoint) <= kAffinityTimeShare * left;
   }
   const Endpoint* selectFrom(const TrackedRequest& request, const Candidates& candidates) const;
 
-  Collaborators with_;
+  Collaborators collaborators_;
   PrefixKey ownOrder_;
-  double smallestObjective_;
+  EstimatedTime smallestObjective_;
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/queue_estimator.h
+++ b/src/policy/queue_estimator.h
@@ -14,7 +14,7 @@
 
 namespace garnethook::policy {
 
-/// Estimates how long a new prefill waits at an endpoint. All times are in microseconds.
+/// Estimates how long a new prefill waits at an endpoint.
 class QueueEstimator {
  public:
   /// What the estimator works with.
@@ -27,46 +27,46 @@
     const SlowStart& slowStart;         ///< Which endpoints warm up.
   };
   /// `smallestObjective`: the smallest TTFT objective of all classes.
-  QueueEstimator(const Collaborators& collaborators, double smallestObjective)
-      : with_(collaborators), smallestObjective_(smallestObjective) {}
+  QueueEstimator(const Collaborators& collaborators, EstimatedTime smallestObjective)
+      : collaborators_(collaborators), smallestObjective_(smallestObjective) {}
 
   /// Time that this router's own unfinished prefills take there.
-  double ownBacklog(const Endpoint& endpoint) const;
+  EstimatedTime ownBacklog(const Endpoint& endpoint) const;
   /// How long the oldest own attempt there has waited for a response; stalled ones don't count.
-  double longestWait(const Endpoint& endpoint) const;
+  EstimatedTime longestWait(const Endpoint& endpoint) const;
 
   /// Others' load before a new prefill, as time: as last seen there (by report, or by waits beyond the own
   /// backlog), fading to the mean seen lately at its role. An endpoint that warms up and was not used has
   /// what its budget lets in, next to nothing. This guards against taking endpoints not used lately for idle
   /// in any jam; an idle one is passed over while all that were used are jammed.
-  double delay(const Endpoint& endpoint) const;
+  EstimatedTime delay(const Endpoint& endpoint) const;
   /// The part of that delay that reports alone claim, before it is weighed by believability().
-  double reportedDelay(const Endpoint& endpoint) const { return delay(endpoint) / believability(); }
+  EstimatedTime reportedDelay(const Endpoint& endpoint) const { return delay(endpoint) / believability(); }
   /// Mean time of a prefill, 0 before the first.
-  double meanPrefillTime() const { return meanPrefillTime_; }
+  EstimatedTime meanPrefillTime() const { return meanPrefillTime_; }
 
   /// Takes in an observed delay.
-  void observeDelay(Endpoint& endpoint, double time) const;
+  void observeDelay(Endpoint& endpoint, EstimatedTime time) const;
   /// Takes in an endpoint's report.
   void observeReport(Endpoint& endpoint, const LoadReport& report) const;
   /// Time of a prefill that completes now, less the wait for earlier prefills of this router.
-  double ownPrefillTime(const Endpoint& endpoint, const InFlightAttempt& attempt) const {
-    return with_.context.elapsedSince(std::max(attempt.sentAt, endpoint.queue.prefillDoneAt_));
+  EstimatedTime ownPrefillTime(const Endpoint& endpoint, const InFlightAttempt& attempt) const {
+    return collaborators_.context.elapsedSince(std::max(attempt.sentAt, endpoint.queue.prefillDoneAt_));
   }
   /// Takes in how much of the delay that the endpoint had reported a prefill did wait.
-  void observeReportedWait(const Endpoint& endpoint, const InFlightAttempt& attempt, double waited);
+  void observeReportedWait(const Endpoint& endpoint, const InFlightAttempt& attempt, EstimatedTime waited);
   /// Takes in a wait for others' prefills, unless the endpoint reports its queue.
-  void observeUnreportedWait(Endpoint& endpoint, double waited) const;
+  void observeUnreportedWait(Endpoint& endpoint, EstimatedTime waited) const;
   /// Notes that a prefill has completed, and how long it took without the wait for own earlier ones.
-  void recordPrefillDone(Endpoint& endpoint, double ownTime);
+  void recordPrefillDone(Endpoint& endpoint, EstimatedTime ownTime);
   /// Forgets what was known of an endpoint that restarted.
   static void reset(Endpoint& endpoint);
   /// Measures the mean delay of each role anew.
   void update();
 
  private:
-  static constexpr double kObservationLifetime = 1e6;  // microseconds
-  static constexpr double kMeanLifetime = 2;           // in the mean of a role: smallest objectives
+  static constexpr EstimatedTime kObservationLifetime = std::chrono::seconds(1);
+  static constexpr double kMeanLifetime = 2;  // in the mean of a role: smallest objectives
   // Weight, in smallest objectives, of the initial belief that reported tokens cost a prefill's full price.
   static constexpr double kReportPrior = 1;
   static constexpr double kMeanPrefillWeight = 0.05;
@@ -77,12 +77,12 @@
     return (kReportPrior * smallestObjective_ + waited_) / (kReportPrior * smallestObjective_ + reported_);
   }
 
-  Collaborators with_;
-  double smallestObjective_;
-  std::array<double, kRoles> meanDelay_{};
-  double meanPrefillTime_ = 0;
-  double reported_ = 0;  // delays reported where prefills were sent, lately ...
-  double waited_ = 0;    // ... and what of them was waited
+  Collaborators collaborators_;
+  EstimatedTime smallestObjective_;
+  std::array<EstimatedTime, kRoles> meanDelay_{};
+  EstimatedTime meanPrefillTime_ = EstimatedTime::zero();
+  EstimatedTime reported_ = EstimatedTime::zero();  // delays reported where prefills were sent, lately ...
+  EstimatedTime waited_ = EstimatedTime::zero();    // ... and what of them was waited
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/rejection_estimator.h
+++ b/src/policy/rejection_estimator.h
@@ -16,8 +16,8 @@
   /// Takes the time from `context`.
   explicit RejectionEstimator(const DecisionContext& context) : context_(context) {}
 
-  /// Expected time in microseconds until a request is taken there, by the latest rejections.
-  double expectedTime(const Endpoint& endpoint) const {
+  /// Expected time until a request is taken there, by the latest rejections.
+  EstimatedTime expectedTime(const Endpoint& endpoint) const {
     const double share = recentShare(endpoint);
     return endpoint.rejections.time_ * share / std::max(kMinAcceptance, 1 - share);
   }
@@ -26,13 +26,13 @@
     return context_.now() < endpoint.rejections.fullUntil_;
   }
 
-  /// Takes in a rejection; the endpoint is then left alone for `backOff` microseconds.
-  void recordRejection(Endpoint& endpoint, const InFlightAttempt& attempt, double backOff) const {
+  /// Takes in a rejection; the endpoint is then left alone for `backOff`.
+  void recordRejection(Endpoint& endpoint, const InFlightAttempt& attempt, EstimatedTime backOff) const {
     learn(endpoint, 1);
     RejectionRecord& record = endpoint.rejections;
-    const double took = context_.elapsedSince(attempt.sentAt);
-    record.time_ += record.time_ == 0 ? took : kSampleWeight * (took - record.time_);
-    record.fullUntil_ = context_.now() + asMicros(backOff);
+    const EstimatedTime took = context_.elapsedSince(attempt.sentAt);
+    record.time_ += record.time_ == EstimatedTime::zero() ? took : kSampleWeight * (took - record.time_);
+    record.fullUntil_ = context_.now() + toMicros(backOff);
   }
   /// Takes in an attempt that was accepted.
   void recordAcceptance(Endpoint& endpoint) const {
@@ -41,7 +41,7 @@
 
  private:
   static constexpr double kSampleWeight = 0.2;
-  static constexpr double kLifetime = 4e6;       // microseconds
+  static constexpr EstimatedTime kLifetime = std::chrono::seconds(4);
   static constexpr double kMinAcceptance = 0.1;  // least share of attempts that are thought to be accepted
 
   double recentShare(const Endpoint& endpoint) const {
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -8,6 +8,7 @@
 #include <utility>
 #include <vector>
 
+#include "policy/estimated_time.h"
 #include "policy/events.h"
 #include "policy/settings.h"
 
@@ -22,13 +23,15 @@
 
 /// An attempt that was sent and has not ended.
 struct InFlightAttempt {
-  int number = 0;                ///< Number among the request's attempts, from 0.
-  EndpointId endpoint;           ///< Where it was sent.
-  Phase phase = Phase::prefill;  ///< What it was sent for.
-  Micros sentAt = 0;             ///< When it was sent.
-  double prefillTime = 0;        ///< Predicted time of the prefill alone, in microseconds.
-  double predictedTime = 0;  ///< Predicted time to its first response, queueing included, in microseconds.
-  double reportedDelay = 0;  ///< Queueing delay there by reports alone when it was sent, in microseconds.
+  int number = 0;                                     ///< Number among the request's attempts, from 0.
+  EndpointId endpoint;                                ///< Where it was sent.
+  Phase phase = Phase::prefill;                       ///< What it was sent for.
+  Micros sentAt = 0;                                  ///< When it was sent.
+  EstimatedTime prefillTime = EstimatedTime::zero();  ///< Predicted time of the prefill alone.
+  EstimatedTime predictedTime =
+      EstimatedTime::zero();  ///< Predicted time to its first response, queueing included.
+  EstimatedTime reportedDelay =
+      EstimatedTime::zero();        ///< Queueing delay there by reports alone when it was sent.
   double expectedCachedTokens = 0;  ///< Tokens that the prefix cache index listed as cached there.
   double kvTokens = 0;              ///< KV cache tokens that it takes at a decode endpoint.
   Micros timeout = 0;               ///< How long silence is accepted; 0: until the deadline.
@@ -97,9 +100,10 @@
   std::vector<std::uint64_t> slowCells;       ///< Cells where a decode endpoint gave no first token in time.
   std::optional<EndpointEntry> possiblyExecutedAt;  ///< Where it was possibly executed ...
   Micros possiblyExecutedSince = 0;                 ///< ... and when it was first sent there.
-  double excessTime = 0;   ///< Predicted time over what admission allows, in microseconds; below 0: in time.
-  bool ended = false;      ///< It has its final answer.
-  bool cancelled = false;  ///< Its client cancelled it.
+  EstimatedTime excessTime =
+      EstimatedTime::zero();  ///< Predicted time over what admission allows; below 0: in time.
+  bool ended = false;         ///< It has its final answer.
+  bool cancelled = false;     ///< Its client cancelled it.
 
   /// Whether an attempt failed at that endpoint.
   bool hasFailedAt(EndpointId id) const {
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -5,15 +5,15 @@
 namespace garnethook::policy {
 
 bool RetryPolicy::mayTry(const TrackedRequest& request) const {
-  return with_.context.now() < request.deadline && request.attempts < with_.settings.maxAttempts &&
-         isRepeatable(request);
+  return collaborators_.context.now() < request.deadline &&
+         request.attempts < collaborators_.settings.maxAttempts && isRepeatable(request);
 }
 
 bool RetryPolicy::isRepeatable(const TrackedRequest& request) const {
   const RequestClass& requestClass = request.requestClass;
   if (!request.possiblyExecutedAt || requestClass.idempotency == Idempotency::idempotent) return true;
   return requestClass.idempotency == Idempotency::idempotentWithKey &&
-         with_.context.now() - request.possiblyExecutedSince < requestClass.deduplicationWindow;
+         collaborators_.context.now() - request.possiblyExecutedSince < requestClass.deduplicationWindow;
 }
 
 bool RetryPolicy::isInScope(const TrackedRequest& request, const Endpoint& endpoint) {
@@ -39,12 +39,12 @@
 Micros RetryPolicy::timeoutFor(const TrackedRequest& request, const InFlightAttempt& attempt) const {
   if (attempt.phase != Phase::prefill && request.requestClass.idempotency != Idempotency::idempotent)
     return 0;
-  const double left = asDouble(request.deadline - with_.context.now());
-  const double spare = left - attempt.predictedTime - with_.firstTokens.baselineTime();
-  const bool isLast = request.attempts + 1 >= with_.settings.maxAttempts;
-  const double limit =
-      isLast ? left : std::min(with_.timeouts.usualTimeout(attempt), std::max(spare, left / 2));
-  return std::max<Micros>(1, asMicros(std::min(limit, left)));
+  const EstimatedTime left = toEstimate(request.deadline - collaborators_.context.now());
+  const EstimatedTime spare = left - attempt.predictedTime - collaborators_.firstTokens.baselineTime();
+  const bool isLast = request.attempts + 1 >= collaborators_.settings.maxAttempts;
+  const EstimatedTime limit =
+      isLast ? left : std::min(collaborators_.timeouts.usualTimeout(attempt), std::max(spare, left / 2));
+  return std::max<Micros>(1, toMicros(std::min(limit, left)));
 }
 
 }  // namespace garnethook::policy
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -20,7 +20,7 @@
     const FirstTokenEstimator& firstTokens;  ///< Time that one more attempt needs.
   };
   /// The collaborators must outlive the policy.
-  explicit RetryPolicy(const Collaborators& collaborators) : with_(collaborators) {}
+  explicit RetryPolicy(const Collaborators& collaborators) : collaborators_(collaborators) {}
 
   /// Whether another attempt may be sent at all: the deadline, the number of attempts and the rule above
   /// allow it.
@@ -36,7 +36,7 @@
  private:
   bool isRepeatable(const TrackedRequest& request) const;
 
-  Collaborators with_;
+  Collaborators collaborators_;
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -116,9 +116,9 @@
     request.arrival = arrival;
     if (!arrival.requestClass || *arrival.requestClass >= settings_.classes.size()) return fail(request);
     request.requestClass = settings_.classes[*arrival.requestClass];
-    const double perKiloToken = asDouble(request.requestClass.ttftObjectivePerKiloToken);
+    const EstimatedTime perKiloToken = toEstimate(request.requestClass.ttftObjectivePerKiloToken);
     request.objectiveAt = context_.now() + request.requestClass.ttftObjective +
-                          asMicros(perKiloToken * arrival.promptTokens / 1000);
+                          toMicros(perKiloToken * arrival.promptTokens / 1000);
     request.deadline = context_.now() + arrival.remaining;
     slowStart_.recordArrival(request);
     context_.setTimer(timerFor(arrival.id, TimerPurpose::deadline), std::max<Micros>(0, arrival.remaining));
@@ -145,7 +145,7 @@
     attempt.reportedDelay = queues_.reportedDelay(endpoint);
     const Endpoint* next =
         decodeSelector_.select(request, endpoint.entry.cell, DecodeSelector::kMaxOccupancyToAdmit);
-    const double firstToken = next ? firstTokens_.expectedTime(*next) : firstTokens_.fleetTime();
+    const EstimatedTime firstToken = next ? firstTokens_.expectedTime(*next) : firstTokens_.fleetTime();
     const bool isInTime =
         admission_.isExpectedInTime(request, attempt.predictedTime + firstToken, attempt.prefillTime,
                                     AdmissionController::firstTokenDueAt(request));
@@ -335,7 +335,7 @@
   const Settings settings_;
   DecisionContext context_;
   const PrefixKey ownOrder_;  // this router's own order of the endpoints, where they are alike
-  const double smallestObjective_ = smallestTtftObjective(settings_);
+  const EstimatedTime smallestObjective_ = smallestTtftObjective(settings_);
   TrackedRequests requests_;
   EndpointRegistry registry_{ownOrder_};
   bool isSubscribed_ = false;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -23,9 +23,9 @@
                 [this](const Endpoint* endpoint) { return !isWarmingUp(*endpoint); });
   measureBaseline();
   // Without arrivals there is no demand, and no token.
-  const double arrived = asDouble(std::ssize(arrivals_));
+  const double arrived = countAsDouble(arrivals_.size());
   const double meanLoad = std::max(1.0, loadSince(arrivals_, 0) / std::max(1.0, arrived));
-  const double window = std::max(1.0, asDouble(settings_.overloadWindow));
+  const EstimatedTime window = std::max(EstimatedTime(1), toEstimate(settings_.overloadWindow));
   const double windows = arrived > 0 ? context_.elapsedSince(updatedAt_) / window : 0;
   for (Endpoint* endpoint : registry_.recentlyStarted()) grantTokens(*endpoint, windows, meanLoad);
   dropOldRecords();
@@ -57,7 +57,7 @@
       load[roleIndex(endpoint->role)] += loadSince(endpoint->slowStart.completed_, since);
   for (const Endpoint* endpoint : registry_.recentlyStarted())
     if (endpoint->isListed && isWarmingUp(*endpoint)) ++warmingUp[roleIndex(endpoint->role)];
-  const double window = asDouble(settings_.overloadWindow) / asDouble(kLoadHorizon);
+  const double window = toEstimate(settings_.overloadWindow) / toEstimate(kLoadHorizon);
   for (const Role role : {Role::prefill, Role::decode, Role::combined}) {
     const std::size_t at = roleIndex(role);
     const double listed = countAsDouble(registry_.listedCount(role));
--- a/src/policy/speed_estimator.h
+++ b/src/policy/speed_estimator.h
@@ -37,7 +37,7 @@
  private:
   static constexpr double kSampleWeight = 0.2;
   static constexpr double kMinFactor = 0.5;
-  static constexpr double kLifetime = 8e6;  // microseconds
+  static constexpr EstimatedTime kLifetime = std::chrono::seconds(8);
 
   const DecisionContext& context_;
 };
--- a/src/policy/traffic_sample.h
+++ b/src/policy/traffic_sample.h
@@ -24,9 +24,10 @@
 
   /// Measures anew, by the number of own attempts that take KV cache for an answer.
   void update() {
-    const double streams = asDouble(std::count_if(requests_.begin(), requests_.end(), [](const auto& item) {
-      return item.second.attempt && item.second.attempt->kvTokens > 0;
-    }));
+    const auto streams =
+        static_cast<double>(std::count_if(requests_.begin(), requests_.end(), [](const auto& item) {
+          return item.second.attempt && item.second.attempt->kvTokens > 0;
+        }));
     const double endpoints =
         countAsDouble(registry_.listedCount(Role::decode) + registry_.listedCount(Role::combined));
     const double perEndpoint = streams / std::max(1.0, endpoints);
