--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -18,6 +18,7 @@
 #include "client/channel.h"
 #include "engine/http_engine_client.h"
 #include "fake_engine/fleet.h"
+#include "membership/endpoint_list_merge.h"
 #include "server/router_server.h"
 
 namespace {
@@ -276,8 +277,9 @@
       for (const std::size_t atOnce : {1, 64, 512}) {
         const std::uint64_t n = atOnce == 1 ? total / 20 : total;
         net::Loop one;
-        std::vector<std::string> errors;
-        Straight straight(one, membership::readList(config::JsonFile::load(list), {}, errors), n, atOnce);
+        std::vector<membership::EndpointListError> errors;
+        Straight straight(one, membership::readEndpointList(config::JsonFile::load(list), {}, errors), n,
+                          atOnce);
         straight.start();
         one.run();
         net::Loop two;
--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -14,6 +14,7 @@
 #include "fake_engine/fleet.h"
 #include "fault_scenario/day_import.h"
 #include "fault_scenario/runner.h"
+#include "membership/endpoint_list_merge.h"
 #include "server/router_server.h"
 
 namespace garnethook::app {
@@ -133,9 +134,9 @@
     for (const auto& f : settings.counting.files)
       std::cout << f.path << ": " << counting::text(f.version) << ": "
                 << tokeniser::loadFile(f.path, f.options)->describe() << '\n';
-    std::vector<std::string> errors;
-    const auto list = membership::readList(config::JsonFile::load(settings.listPath), {}, errors);
-    for (const auto& error : errors) std::cerr << error << '\n';
+    std::vector<membership::EndpointListError> errors;
+    const auto list = membership::readEndpointList(config::JsonFile::load(settings.listPath), {}, errors);
+    for (const auto& error : errors) std::cerr << error.message << '\n';
     std::cout << settings.listPath << ": " << list.size() << " engines\n";
     return errors.empty() ? 0 : 1;
   } catch (const std::exception& e) { return printed(e); }
--- a/src/engine/pool.h
+++ b/src/engine/pool.h
@@ -14,7 +14,7 @@
 #include "engine/options.h"
 #include "engine/reuse_policy.h"
 #include "engine/word.h"
-#include "membership/endpoint_list_file.h"
+#include "membership/endpoint_spec.h"
 #include "routing/types.h"
 
 namespace garnethook::engine {
--- a/src/fake_engine/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -47,7 +47,7 @@
   server_->trickle = faults.trickle;
   port_ = server_->address().port();
   startedAt_ = loop_.now();
-  startedUnix_ = timing::unixNow();
+  startedUnix_ = timing::unixNow().sinceEpoch;
   fell_ = false;
   recorder_.note("engine.start", {{"engine", options_.name}});
 }
--- a/src/membership/endpoint_list_file.h
+++ b/src/membership/endpoint_list_file.h
@@ -1,84 +1,47 @@
-// The list of engines: its file format, what of a faulty list may be used, and the copy that survives a
-// restart. Parsing and merging are free of I/O; EndpointListFile reads and writes.
+/// The endpoint list file that an operator maintains, and the persisted copy of the last valid list, which
+/// serves a restart while the file is missing.
 #pragma once
 
-#include <map>
-#include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
-#include "config/json_file.h"
-#include "policy/routing_policy.h"
+#include "membership/endpoint_list_error.h"
+#include "membership/endpoint_spec.h"
 
 namespace garnethook::membership {
 
-struct EndpointSpec {
-  std::string name;
-  EndpointId id;  // from the name, equal at every router
-  std::string host;
-  std::uint16_t port = 0;
-  std::string kind;
-  std::string zone;
-  std::string cell;
-  EndpointState state = EndpointState::running;
-  double weight = 1;      // size beside other engines; lists that tell none leave 1
-  Micros startedAt = 0;   // since 1970; 0: long ago
-  std::string tokeniser;  // name; empty: the list tells none
-  std::string tokeniserVersion;
-  friend bool operator==(const EndpointSpec&, const EndpointSpec&) = default;
-};
-using EndpointMap = std::map<std::string, EndpointSpec>;  // by name
-
-EndpointId endpointId(std::string_view name);
-
-// The names that the settings know, to place kinds and zones.
-struct Names {
-  std::vector<std::string> kinds;
-  std::vector<std::string> zones;
-};
-
-// Reads one list: { "engines": [ { "name", "address": "HOST:PORT", "kind", "zone", "cell", "state",
-// "started_ms",
-// "tokeniser": { "name", "version" } } ] }. An entry that can't be used is told in `troubles` and keeps what
-// `before` holds under its name; a file that is no list throws config::Error, and `before` stands.
-EndpointMap readList(const std::shared_ptr<const config::JsonFile>& file, const EndpointMap& before,
-                     std::vector<std::string>& errors);
-
-// The same list for the decision module. A kind or zone that the settings don't know is left open there.
-EndpointUpdate toEndpointUpdate(const EndpointMap& engines, const Names& names, EndpointUpdate::Kind kind);
-
-// As a file that readList() takes.
-std::string writeList(const EndpointMap& engines);
-
-// A watched list file, and the last good list beside the router's own state.
+/// A list file that is polled, with its persisted copy. Reads and writes files while the caller waits.
 class EndpointListFile {
  public:
-  // `remembered`: path of the copy; empty: none is kept.
-  EndpointListFile(std::string path, std::string remembered);
+  /// `path`: the list file; `copyPath`: its persisted copy; empty: none is kept.
+  EndpointListFile(std::string path, std::string copyPath);
 
+  /// What a refresh brought.
   struct Change {
-    bool changed = false;  // `engines()` differs from before
-    std::vector<std::string> errors;
+    bool hasChanged = false;                ///< endpoints() differs from before.
+    std::vector<EndpointListError> errors;  ///< Each is reported once, not at every refresh.
   };
-  // Looks at the file, and reads it where it is another one than at the last look. Never throws: a file that
-  // is missing, cut short or no list leaves the engines as they were.
-  Change look();
-  // At start, where look() found nothing: the copy. False: there is none that can be used.
-  bool recall(std::vector<std::string>& errors);
-  const EndpointMap& engines() const { return engines_; }
+  /// Reads the file where its text differs from the last refresh. Never throws: a file that is missing, cut
+  /// short or not a list leaves the endpoints as they were.
+  Change refresh();
+  /// Loads the persisted copy, for a start where refresh() found nothing. False: there is none that can be
+  /// used.
+  bool loadCopy(std::vector<EndpointListError>& errors);
+  /// The endpoints of the last valid list.
+  const EndpointMap& endpoints() const { return endpoints_; }
 
  private:
-  void remember(std::vector<std::string>& errors);
+  void applyText(std::string_view text, Change& change);
+  void writeCopy(std::vector<EndpointListError>& errors);
+
   std::string path_;
-  std::string remembered_;
-  std::string last_;  // text of the latest look
-  bool missing_ = false;
-  bool unsaved_ = false;  // the copy is older than `engines_`, as writing it failed: tried again at each look
-  EndpointMap engines_;
+  std::string copyPath_;
+  std::string lastText_;
+  bool isMissing_ = false;
+  // Writing the copy failed: it is older than `endpoints_`, and is tried again at each refresh.
+  bool isCopyOutdated_ = false;
+  EndpointMap endpoints_;
 };
 
-// Replaces a file so that a crash leaves the old or the new text: a new file, flushed, renamed over it.
-// Throws std::runtime_error naming the path.
-void replaceFile(const std::string& path, std::string_view text);
-
 }  // namespace garnethook::membership
--- a/src/membership/start_times.h
+++ b/src/membership/start_times.h
@@ -1,50 +1,62 @@
-/// When engines started, on this process's own monotonic clock. Free of I/O and clocks.
+/// When endpoints started, on this process's monotonic clock. Free of I/O and clocks.
 ///
-/// Lists tell a start as Unix time, by a clock that need not agree with this machine's. What is certain: a
-/// start was before the moment in which it was told. The smallest difference ever seen between the two maps
-/// the list's clock to this process's, and is off by no more than the quickest telling took. This machine's
-/// wall clock is asked for one thing only: a start in its future is no evidence for the others.
+/// Lists report a start as Unix time, by a clock that need not agree with this machine's. Two facts hold for
+/// every pair of clocks. A start lies before the moment at which it was reported, so the smallest difference
+/// ever seen between the two maps the list's clock to the monotonic one, with an error of at most the
+/// shortest report delay. And a start that is reported while discovery is in contact is not older than the
+/// contact before it, which would have reported it. So no wrong clock, here or at an endpoint, makes a fresh
+/// endpoint an old one.
 ///
-/// A start that is told while discovery is being heard is not older than the latest word before it: that word
-/// would have told it. So no wrong clock, here or at an engine, makes a fresh engine an old one.
+/// This machine's wall clock is used for one purpose only: a start in its future is no evidence for the
+/// others.
 #pragma once
 
 #include <map>
 #include <optional>
 #include <string>
 
-#include "membership/endpoint_list_file.h"
+#include "membership/endpoint_spec.h"
+#include "timing/unix_time.h"
 
 namespace garnethook::membership {
 
+/// Maps reported start times to the monotonic clock and keeps what each endpoint's start was mapped to.
 class StartTimes {
  public:
-  /// Discovery said something, be it a sign of life, at this time.
-  void heard(Micros now) { heardAt_ = now; }
-  /// The entries with starts dated by the monotonic clock (0 stays: long ago). A start once dated keeps its
-  /// date, but for those of a remembered list, which are dated anew by the first list that is told.
-  /// `remembered`: the list is one from before, told by nobody now.
-  EndpointMap date(const EndpointMap& entries, bool remembered, Micros now, Micros unixNow);
-  /// What is kept of engines that `listed` lacks goes.
-  void keepOnly(const EndpointMap& listed);
-
-  /// A start further ahead of this machine's wall clock is no evidence.
-  static constexpr Micros kMostAhead = 2'000'000;
-  /// Discovery may tell a start so late while it tells other things.
-  static constexpr Micros kToldLate = 2'000'000;
+  /// Where a list comes from.
+  enum class Source {
+    discovery,     ///< Reported now.
+    persistedCopy  ///< Read from a copy of an earlier process; nobody reports it now.
+  };
+
+  /// Discovery was in contact at `now`, be it by a heartbeat.
+  void recordContact(Micros now) { lastContactAt_ = now; }
+  /// The monotonic start time of each endpoint; 0: long ago. Once mapped, a start keeps its time, except for
+  /// those of a persisted copy, which the first list from discovery maps anew.
+  MonotonicStartTimes toMonotonic(const EndpointMap& endpoints, Source source, Micros now,
+                                  timing::UnixTime wallNow);
+  /// Forgets the endpoints that `listed` lacks.
+  void retainOnly(const EndpointMap& listed);
+
+  /// A start further ahead of this machine's wall clock than this is no evidence, in microseconds.
+  static constexpr Micros kMaxClockLead = 2'000'000;
+  /// Discovery may report a start this long after it while it reports other things, in microseconds.
+  static constexpr Micros kMaxReportDelay = 2'000'000;
 
  private:
-  struct Dated {
-    Micros told = 0;  // as the list has it
-    Micros at = 0;    // on the monotonic clock
-    bool remembered = false;
+  struct MappedStart {
+    timing::UnixTime reportedAt;
+    Micros monotonicAt = 0;
+    Source source = Source::discovery;
   };
-  void learn(const EndpointMap& entries, Micros now, Micros unixNow);
-  Micros fresh(Micros told, bool remembered, Micros now) const;
-
-  std::map<std::string, Dated> dates_;
-  std::optional<Micros> offset_;  // monotonic less told time, the smallest seen
-  std::optional<Micros> heardAt_;
+  const MappedStart& mappedStart(const std::string& name, timing::UnixTime reportedAt, Source source,
+                                 Micros now);
+  void updateClockOffset(const EndpointMap& endpoints, Micros now, timing::UnixTime wallNow);
+  Micros mapStart(timing::UnixTime reportedAt, Source source, Micros now) const;
+
+  std::map<std::string, MappedStart> starts_;
+  std::optional<Micros> clockOffset_;  // monotonic minus reported time, the smallest seen
+  std::optional<Micros> lastContactAt_;
 };
 
 }  // namespace garnethook::membership
--- a/src/platform/config/platform_config.h
+++ b/src/platform/config/platform_config.h
@@ -11,7 +11,7 @@
 
 #include "config/json_file.h"
 #include "deployment_config/deployment_config.h"
-#include "membership/endpoint_list_file.h"
+#include "membership/endpoint_spec.h"
 
 namespace garnethook::platform {
 
--- a/src/platform/discovery/endpoint_list.cpp
+++ b/src/platform/discovery/endpoint_list.cpp
@@ -68,7 +68,7 @@
     e.cell = cell->is_string() ? text(entry, "cell", false)
                                : std::to_string(static_cast<std::int64_t>(number(entry, "cell", 0, 1e15)));
   e.weight = number(entry, "size", 1, 1e9);
-  e.startedAt = static_cast<Micros>(number(entry, "up_since_ms", 0, 1e15)) * 1000;
+  e.startedAt = {static_cast<std::int64_t>(number(entry, "up_since_ms", 0, 1e15)) * 1000};
   return e;
 }
 
@@ -128,8 +128,8 @@
     return;
   }
   const auto held = engines_.find(engine.name);  // the word itself may tell no start
-  const Micros startedAt =
-      engine.startedAt != 0 || held == engines_.end() ? engine.startedAt : held->second.startedAt;
+  const timing::UnixTime startedAt =
+      engine.startedAt.isKnown() || held == engines_.end() ? engine.startedAt : held->second.startedAt;
   retired_[engine.name] = {version, startedAt, engine.state == EndpointState::removed};
 }
 
@@ -137,7 +137,7 @@
                                                            std::int64_t version) const {
   const auto at = retired_.find(engine.name);
   if (at == retired_.end() || at->second.version <= version) return nullptr;
-  const bool sameStart = at->second.startedAt == engine.startedAt || engine.startedAt == 0;
+  const bool sameStart = at->second.startedAt == engine.startedAt || !engine.startedAt.isKnown();
   return sameStart ? &at->second : nullptr;
 }
 
--- a/src/platform/discovery/endpoint_list.h
+++ b/src/platform/discovery/endpoint_list.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "membership/endpoint_list_file.h"
+#include "membership/endpoint_spec.h"
 
 namespace garnethook::platform {
 
@@ -42,7 +42,7 @@
   // The word that an engine takes no new work.
   struct Retirement {
     std::int64_t version = 0;
-    Micros startedAt = 0;
+    timing::UnixTime startedAt;
     bool gone = false;
   };
   static constexpr std::size_t kMostRetired = 8192;  // beyond it the oldest word is forgotten
--- a/src/platform/engine/protocol.h
+++ b/src/platform/engine/protocol.h
@@ -10,7 +10,7 @@
 
 #include "deployment_config/deployment_config.h"
 #include "http1/message.h"
-#include "membership/endpoint_list_file.h"
+#include "membership/endpoint_spec.h"
 #include "routing/types.h"
 
 namespace garnethook::platform {
--- a/src/platform/process/router_process.cpp
+++ b/src/platform/process/router_process.cpp
@@ -99,7 +99,7 @@
                     [this](const std::string& error) {
                       log_.info("discovery", {{"trouble", error}});
                     },
-                    [this] { return list_.version(); }, [this] { starts_.heard(loop_.now()); }});
+                    [this] { return list_.version(); }, [this] { starts_.recordContact(loop_.now()); }});
   frontend_ = std::make_unique<HttpFrontend>(
       loop_, Poco::Net::SocketAddress(config_.listen), frontOptions(budget_), config_.deployment, *router_,
       HttpFrontend::Events{[this] { return ready(); },
@@ -161,10 +161,11 @@
     engines_.apply(entries);
   else
     engines_.update(list_.engines());
-  const auto dated =
-      starts_.date(entries, kind == EndpointUpdate::Kind::staleCopy, loop_.now(), timing::unixNow());
-  if (kind == EndpointUpdate::Kind::snapshot) starts_.keepOnly(list_.engines());
-  router_->onList(membership::toEndpointUpdate(dated, names_, kind));
+  const auto source = kind == EndpointUpdate::Kind::staleCopy ? membership::StartTimes::Source::persistedCopy
+                                                              : membership::StartTimes::Source::discovery;
+  const auto startTimes = starts_.toMonotonic(entries, source, loop_.now(), timing::unixNow());
+  if (kind == EndpointUpdate::Kind::snapshot) starts_.retainOnly(list_.engines());
+  router_->onList(membership::toEndpointUpdate(entries, startTimes, names_, kind));
 }
 
 void RouterProcess::reload(const PlatformConfig& config) {
--- a/src/platform/process/router_process.h
+++ b/src/platform/process/router_process.h
@@ -70,7 +70,7 @@
   log::Log log_;
   Times times_;
   ResourceBudget budget_;
-  membership::Names names_;
+  membership::KindAndZoneNames names_;
   EndpointList list_;
   membership::StartTimes starts_;
   std::map<std::uint64_t, std::string> engineNames_;
--- a/src/server/router_server.cpp
+++ b/src/server/router_server.cpp
@@ -32,21 +32,21 @@
   router_ = std::make_unique<routing::Router>(settings_.routing, loop_, engines_, *this);
   engines_.setEvents(*router_);
   counts_.setRouter(*router_);
-  const auto change = list_.look();
-  for (const auto& error : change.errors) log_.warn("engine-list", {{"trouble", error}});
-  if (change.changed) {
+  const auto change = list_.refresh();
+  for (const auto& error : change.errors) log_.warn("engine-list", {{"trouble", error.message}});
+  if (change.hasChanged) {
     tell(EndpointUpdate::Kind::snapshot);
   } else {
-    std::vector<std::string> errors;
-    const bool recalled = list_.recall(errors);
-    for (const auto& error : errors) log_.warn("engine-list", {{"trouble", error}});
+    std::vector<membership::EndpointListError> errors;
+    const bool recalled = list_.loadCopy(errors);
+    for (const auto& error : errors) log_.warn("engine-list", {{"trouble", error.message}});
     if (recalled) tell(EndpointUpdate::Kind::staleCopy);
   }
   frontend_ = std::make_unique<grpc_frontend::GrpcServer>(loop_, Poco::Net::SocketAddress(settings_.listen),
                                                           settings_.grpc, settings_.intake, *router_, health_,
                                                           counts_.on() ? &counts_ : nullptr);
   health_.set(true);
-  log_.info("listening", {{"address", address().toString()}, {"engines", list_.engines().size()}});
+  log_.info("listening", {{"address", address().toString()}, {"engines", list_.endpoints().size()}});
   pollAlarm_.start(settings_.listPoll, [this] { poll(); });
 }
 
@@ -61,17 +61,17 @@
 }
 
 void RouterServer::lookAtList() {
-  const auto change = list_.look();
-  for (const auto& error : change.errors) log_.warn("engine-list", {{"trouble", error}});
-  if (change.changed)
+  const auto change = list_.refresh();
+  for (const auto& error : change.errors) log_.warn("engine-list", {{"trouble", error.message}});
+  if (change.hasChanged)
     tell(EndpointUpdate::Kind::snapshot);
   else if (!change.errors.empty())
     return;
-  starts_.heard(loop_.now());
+  starts_.recordContact(loop_.now());
 }
 
 void RouterServer::tell(EndpointUpdate::Kind kind) {
-  for (const auto& [name, e] : list_.engines()) {
+  for (const auto& [name, e] : list_.endpoints()) {
     names_[e.id.value] = name;
     if (std::find(settings_.names.kinds.begin(), settings_.names.kinds.end(), e.kind) ==
         settings_.names.kinds.end())
@@ -80,22 +80,26 @@
                  {"trouble", "kind \"" + e.kind + "\" is not in the settings; taken for a writer"}});
   }
   log_.info("engine-list",
-            {{"engines", list_.engines().size()}, {"remembered", kind == EndpointUpdate::Kind::staleCopy}});
-  engines_.update(list_.engines());
-  counts_.onList(list_.engines());
-  auto list = membership::toEndpointUpdate(datedEngines(kind == EndpointUpdate::Kind::staleCopy),
-                                           settings_.names, kind);
+            {{"engines", list_.endpoints().size()}, {"remembered", kind == EndpointUpdate::Kind::staleCopy}});
+  engines_.update(list_.endpoints());
+  counts_.onList(list_.endpoints());
+  const bool isStaleCopy = kind == EndpointUpdate::Kind::staleCopy;
+  const auto source =
+      isStaleCopy ? membership::StartTimes::Source::persistedCopy : membership::StartTimes::Source::discovery;
+  auto list = membership::toEndpointUpdate(list_.endpoints(), startTimes(source), settings_.names, kind);
   counts_.fill(list);
   router_->onList(list);
 }
 
-membership::EndpointMap RouterServer::datedEngines(bool remembered) {
-  return starts_.date(list_.engines(), remembered, loop_.now(), timing::unixNow());
+membership::MonotonicStartTimes RouterServer::startTimes(membership::StartTimes::Source source) {
+  return starts_.toMonotonic(list_.endpoints(), source, loop_.now(), timing::unixNow());
 }
 
 // Engines count otherwise now; nothing else of the list changed.
 void RouterServer::tellCounts() {
-  auto list = membership::toEndpointUpdate(datedEngines(false), settings_.names, EndpointUpdate::Kind::delta);
+  auto list =
+      membership::toEndpointUpdate(list_.endpoints(), startTimes(membership::StartTimes::Source::discovery),
+                                   settings_.names, EndpointUpdate::Kind::delta);
   counts_.fill(list);
   router_->onList(list);
 }
--- a/src/server/router_server.h
+++ b/src/server/router_server.h
@@ -8,6 +8,7 @@
 #include "engine/http_engine_client.h"
 #include "grpc_frontend/grpc_server.h"
 #include "log/log.h"
+#include "membership/endpoint_list_file.h"
 #include "membership/start_times.h"
 #include "net/loop.h"
 #include "server/settings.h"
@@ -55,7 +56,7 @@
   void poll();
   void tell(EndpointUpdate::Kind kind);
   void tellCounts();
-  membership::EndpointMap datedEngines(bool remembered);
+  membership::MonotonicStartTimes startTimes(membership::StartTimes::Source source);
   void checkDrained();
   std::string nameOf(EndpointId id) const;
 
--- a/src/server/settings.h
+++ b/src/server/settings.h
@@ -8,7 +8,7 @@
 #include "config/json_file.h"
 #include "engine/options.h"
 #include "grpc_frontend/grpc_server.h"
-#include "membership/endpoint_list_file.h"
+#include "membership/endpoint_spec.h"
 #include "routing/router.h"
 #include "server/token_counts.h"
 
@@ -22,7 +22,7 @@
 struct RouterSettings {
   std::string listen = "127.0.0.1:7070";
   std::vector<std::string> classNames;
-  membership::Names names;  // kinds and zones
+  membership::KindAndZoneNames names;  // kinds and zones
   routing::Options routing;
   engine::Options engine;
   grpc_frontend::GrpcOptions grpc;
--- a/src/server/token_counts.cpp
+++ b/src/server/token_counts.cpp
@@ -123,7 +123,7 @@
     present.insert(e.id);
     std::optional<VersionName> told;
     if (!e.tokeniser.empty()) told = VersionName{e.tokeniser, e.tokeniserVersion};
-    book_.listed(e.id, e.startedAt, told, now);
+    book_.listed(e.id, e.startedAt.sinceEpoch, told, now);
   }
   for (const EndpointId id : listed_)
     if (!present.contains(id)) book_.gone(id);
--- a/src/server/token_counts.h
+++ b/src/server/token_counts.h
@@ -13,7 +13,7 @@
 #include "engine/http_engine_client.h"
 #include "grpc_frontend/prompt_counting.h"
 #include "log/log.h"
-#include "membership/endpoint_list_file.h"
+#include "membership/endpoint_spec.h"
 #include "net/loop.h"
 #include "routing/router.h"
 
--- a/src/timing/wall_clock.h
+++ b/src/timing/wall_clock.h
@@ -1,18 +1,19 @@
-/// The wall clock, which may be stepped at any time. Only what is told as Unix time is read by it: the starts
-/// of engines in lists (membership/start_dates.h), and those that stand-ins tell. Deadlines, windows, waits
-/// and graces never are; tests/tree/wall_clock.sh keeps it so.
+/// The wall clock, which may be stepped at any time. It is read only for what is reported as Unix time: the
+/// start times of engines in lists (membership/start_times.h), and those that fake engines report. Deadlines,
+/// timeouts and intervals never use it; tests/tree/wall_clock.sh checks who reads it.
 #pragma once
 
 #include <chrono>
-#include <cstdint>
+
+#include "timing/unix_time.h"
 
 namespace garnethook::timing {
 
-/// Microseconds since 1970, as this machine believes.
-inline std::int64_t unixNow() {
-  return std::chrono::duration_cast<std::chrono::microseconds>(
-             std::chrono::system_clock::now().time_since_epoch())
-      .count();
+/// The current time by this machine's wall clock.
+inline UnixTime unixNow() {
+  return {std::chrono::duration_cast<std::chrono::microseconds>(
+              std::chrono::system_clock::now().time_since_epoch())
+              .count()};
 }
 
 }  // namespace garnethook::timing
--- a/tests/fuzz/codecs.cpp
+++ b/tests/fuzz/codecs.cpp
@@ -11,7 +11,7 @@
 #include "http1/event_stream.h"
 #include "http1/message.h"
 #include "http2/connection.h"
-#include "membership/endpoint_list_file.h"
+#include "membership/endpoint_list_merge.h"
 #include "platform/discovery/endpoint_list.h"
 #include "platform/engine/relay_exchange.h"
 #include "platform/http_frontend/request_decoder.h"
@@ -120,10 +120,10 @@
 
 void jsonTarget(std::string_view in) {
   try {
-    std::vector<std::string> errors;
-    const auto list = membership::readList(config::JsonFile::parse("f", in), {}, errors);
-    require(membership::readList(config::JsonFile::parse("g", membership::writeList(list)), {}, errors) ==
-            list);
+    std::vector<membership::EndpointListError> errors;
+    const auto list = membership::readEndpointList(config::JsonFile::parse("f", in), {}, errors);
+    require(membership::readEndpointList(
+                config::JsonFile::parse("g", membership::serializeEndpointList(list)), {}, errors) == list);
   } catch (const config::Error& e) { require(std::string_view(e.what()).substr(0, 2) == "f:"); }
   std::string error;
   engine::parseReadAnswer(in, error);
--- a/tests/path/engine_connection_endings_test.cpp
+++ b/tests/path/engine_connection_endings_test.cpp
@@ -105,7 +105,7 @@
   engine::Pool pool(w.loop, {});
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
   auto restarted = only(Poco::Net::SocketAddress(e.address()));
-  restarted["e"].startedAt = 1;
+  restarted["e"].startedAt = {1};
   pool.update(restarted);
   EXPECT_EQ(pool.idleConnections(), 0u);
   EXPECT_TRUE(w.until([&] { return e.gone() == 1; }, kSecond));
@@ -123,7 +123,7 @@
     ASSERT_TRUE(w.until([&] { return engine.seen.size() == 1; }, kSecond));
     if (change == Change::leaves) list.clear();
     if (change == Change::drains) list["e"].state = EndpointState::draining;
-    if (change == Change::restarts) list["e"].startedAt = 1;
+    if (change == Change::restarts) list["e"].startedAt = {1};
     pool.update(list);
     engine.seen[0].stream->send(answer("whole"));
     ASSERT_TRUE(w.until([&] { return open.ends == 1; }, kSecond));
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -114,7 +114,7 @@
   EndpointList targets;
   targets.apply(parseEndpointList(list(5, true, entry("a", "ready") + "," + entry("b", "ready", 7))));
   EXPECT_EQ(targets.engines().size(), 2u);
-  EXPECT_EQ(targets.engines().at("b").startedAt, 7000);
+  EXPECT_EQ(targets.engines().at("b").startedAt.sinceEpoch, 7000);
   EXPECT_DOUBLE_EQ(targets.engines().at("a").weight, 1.5);
   auto change =
       targets.apply(parseEndpointList(list(6, false, entry("a", "draining") + "," + entry("b", "gone"))));
--- a/tests/kv_reservation_tracker_test.cpp
+++ b/tests/routing/kv_reservation_tracker_test.cpp
@@ -10,7 +10,6 @@
 #include <random>
 
 #include "config/json_file.h"
-#include "membership/endpoint_list_file.h"
 #include "routing/execution_history.h"
 #include "routing/stream_guard.h"
 #include "timing/timer_wheel.h"
@@ -228,88 +227,6 @@
   EXPECT_TRUE(routing::mayReject(unsafe, {false}));
 }
 
-class ListTest : public testing::Test {
- protected:
-  ListTest() { std::filesystem::create_directories(folder_); }
-  ~ListTest() override { std::filesystem::remove_all(folder_); }
-  void write(const std::string& text) { std::ofstream(path_) << text; }
-  std::string folder_ =
-      testing::TempDir() + "list-test-" + std::to_string(::getpid());  // tests run side by side
-  std::string path_ = folder_ + "/engines.json";
-  std::string copy_ = folder_ + "/last.json";
-  static constexpr const char* kTwo = R"({"engines":[{"name":"a","address":"127.0.0.1:1","kind":"k"},
-    {"name":"b","address":"127.0.0.1:2","kind":"k","state":"draining","started_ms":5}]})";
-};
-
-TEST_F(ListTest, FaultyFilesLeaveTheLastListStanding) {
-  membership::EndpointListFile list(path_, copy_);
-  EXPECT_FALSE(list.look().changed);
-  write(kTwo);
-  EXPECT_TRUE(list.look().changed);
-  for (const char* bad : {"", "{", R"({"engines":[{"name":"a","addr)", "[]", R"({"servers":[]})"}) {
-    write(bad);
-    const auto change = list.look();
-    EXPECT_FALSE(change.changed) << bad;
-    EXPECT_EQ(change.errors.size(), 1u) << bad;
-    EXPECT_EQ(list.engines().size(), 2u);
-    EXPECT_TRUE(list.look().errors.empty()) << "told once";
-  }
-  std::filesystem::remove(path_);
-  EXPECT_EQ(list.look().errors.size(), 1u);
-  EXPECT_EQ(list.engines().size(), 2u);
-  write(R"({"engines":[]})");
-  EXPECT_TRUE(list.look().changed);
-}
-
-TEST_F(ListTest, ABadEntryKeepsItsOldSelfAndIsNamedWithItsLine) {
-  membership::EndpointListFile list(path_, copy_);
-  write(kTwo);
-  list.look();
-  write(
-      "{\"engines\":[\n{\"name\":\"a\",\"address\":\"nowhere\",\"kind\":\"k\"},\n{\"name\":\"c\",\"address\":"
-      "\"127.0.0.1:3\",\"kind\":\"k\"}]}");
-  const auto change = list.look();
-  ASSERT_EQ(change.errors.size(), 1u);
-  EXPECT_NE(change.errors[0].find("engines.json:2: engines[0].address: HOST:PORT"), std::string::npos)
-      << change.errors[0];
-  EXPECT_EQ(list.engines().size(), 2u);
-  EXPECT_EQ(list.engines().at("a").port, 1);
-}
-
-// The copy was given up at the first failure: after a restart an older list held.
-TEST_F(ListTest, ACopyThatCouldNotBeWrittenIsOwedUntilItIs) {
-  const std::string folder = folder_ + "/not-there-yet";
-  membership::EndpointListFile list(path_, folder + "/last.json");
-  write(kTwo);
-  EXPECT_EQ(list.look().errors.size(), 1u);
-  EXPECT_TRUE(list.look().errors.empty()) << "told once";
-  std::filesystem::create_directories(folder);
-  EXPECT_TRUE(list.look().errors.empty());
-  membership::EndpointListFile again(path_ + ".none", folder + "/last.json");
-  std::vector<std::string> errors;
-  ASSERT_TRUE(again.recall(errors));
-  EXPECT_EQ(again.engines().size(), 2u);
-}
-
-TEST_F(ListTest, TheLastGoodListSurvivesARestart) {
-  {
-    membership::EndpointListFile list(path_, copy_);
-    write(kTwo);
-    list.look();
-  }
-  std::filesystem::remove(path_);
-  membership::EndpointListFile again(path_, copy_);
-  std::vector<std::string> errors;
-  EXPECT_FALSE(again.look().changed);
-  ASSERT_TRUE(again.recall(errors));
-  EXPECT_EQ(again.engines().at("b").state, EndpointState::draining);
-  EXPECT_EQ(again.engines().at("b").startedAt, 5000);
-  std::ofstream(copy_) << "{\"engines\": [ {";  // a copy that a crash cut short (never by replaceFile itself)
-  membership::EndpointListFile broken(path_, copy_);
-  EXPECT_FALSE(broken.recall(errors));
-  EXPECT_EQ(errors.size(), 1u);
-}
-
 TEST(Config, ErrorsNameFileLineAndKey) {
   const auto error = [](std::string_view text, auto use) -> std::string {
     try {
--- a/tests/support/frontend_world.h
+++ b/tests/support/frontend_world.h
@@ -167,8 +167,8 @@
         R"({"revision":1,"complete":true,"members":[)"
         R"({"id":"r","host_port":"127.0.0.1:1","locality":"a","flavor":"m1","cell":1,"phase":"ready"},)"
         R"({"id":"w","host_port":"127.0.0.1:2","locality":"a","flavor":"m2","cell":1,"phase":"ready"}]})"));
-    const membership::Names names{config.deployment.kindNames, config.deployment.zoneNames};
-    router->onList(membership::toEndpointUpdate(list.engines(), names, EndpointUpdate::Kind::snapshot));
+    const membership::KindAndZoneNames names{config.deployment.kindNames, config.deployment.zoneNames};
+    router->onList(membership::toEndpointUpdate(list.engines(), {}, names, EndpointUpdate::Kind::snapshot));
     front = std::make_unique<platform::HttpFrontend>(loop, Poco::Net::SocketAddress("127.0.0.1", 0), options,
                                                      config.deployment, *router,
                                                      platform::HttpFrontend::Events{[] { return true; }});
