--- a/src/engine/attempt.cpp
+++ b/src/engine/attempt.cpp
@@ -74,7 +74,7 @@
   if (chunk->outputTokens) result_.outputTokens = *chunk->outputTokens;
   if (chunk->cachedTokens) result_.cachedTokens = *chunk->cachedTokens;
   if (chunk->finish) {
-    result_.reason = *chunk->finish;
+    result_.finishReason = *chunk->finish;
     finishSeen_ = true;
   }
   if (chunk->tokens > 0 && !told_) events_.onTokens(id_, chunk->text, chunk->tokens, chunk->ids);
--- a/src/engine/attempt.h
+++ b/src/engine/attempt.h
@@ -9,7 +9,7 @@
 #include "engine/exchange.h"
 #include "engine/options.h"
 #include "http1/event_stream.h"
-#include "routing/types.h"
+#include "routing/engine_client.h"
 
 namespace garnethook::engine {
 
--- a/src/engine/completions.h
+++ b/src/engine/completions.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "routing/types.h"
+#include "routing/engine_client.h"
 
 namespace garnethook::engine {
 
--- a/src/engine/connection.h
+++ b/src/engine/connection.h
@@ -8,7 +8,7 @@
 #include "engine/exchange.h"
 #include "engine/options.h"
 #include "net/stream.h"
-#include "routing/types.h"
+#include "routing/engine_client.h"
 
 namespace garnethook::engine {
 
--- a/src/engine/http_engine_client.h
+++ b/src/engine/http_engine_client.h
@@ -7,7 +7,7 @@
 
 #include "engine/options.h"
 #include "engine/pool.h"
-#include "routing/types.h"
+#include "routing/engine_client.h"
 
 namespace garnethook::engine {
 
--- a/src/engine/pool.h
+++ b/src/engine/pool.h
@@ -15,7 +15,7 @@
 #include "engine/reuse_policy.h"
 #include "engine/word.h"
 #include "membership/endpoint_spec.h"
-#include "routing/types.h"
+#include "routing/engine_client.h"
 
 namespace garnethook::engine {
 
--- a/src/fault_scenario/runner.cpp
+++ b/src/fault_scenario/runner.cpp
@@ -196,9 +196,9 @@
     r.timedOut = timedOut_;
     for (const auto& router : routers_) {
       if (!router) continue;
-      const auto& held = router->router().held();
-      r.statesAtRouters += held.held() + held.releasing();
-      r.openAtRouters += router->router().open();
+      const auto& held = router->router().kvReservations();
+      r.statesAtRouters += held.reservationCount() + held.pendingReleaseCount();
+      r.openAtRouters += router->router().pendingRequests();
       r.routers.push_back(router->summary());
     }
     r.firstTokens = clients_.firstTokens;
--- a/src/grpc_frontend/generate_call.cpp
+++ b/src/grpc_frontend/generate_call.cpp
@@ -28,7 +28,8 @@
 }
 
 void fill(v1::Finish& out, const routing::Completion& ending) {
-  out.set_reason(ending.reason == routing::FinishReason::length ? v1::Finish::LENGTH : v1::Finish::STOP);
+  out.set_reason(ending.finishReason == routing::FinishReason::length ? v1::Finish::LENGTH
+                                                                      : v1::Finish::STOP);
   out.mutable_usage()->set_prompt_tokens(ending.usage.promptTokens);
   out.mutable_usage()->set_cached_tokens(ending.usage.cachedTokens);
   out.mutable_usage()->set_output_tokens(ending.usage.outputTokens);
--- a/src/grpc_frontend/prompt_counting.h
+++ b/src/grpc_frontend/prompt_counting.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <functional>
 
-#include "routing/types.h"
+#include "routing/request.h"
 
 namespace garnethook::grpc_frontend {
 
--- a/src/grpc_frontend/request_decoder.h
+++ b/src/grpc_frontend/request_decoder.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "garnethook/v1/generate.pb.h"
-#include "routing/types.h"
+#include "routing/request.h"
 
 namespace garnethook::grpc_frontend {
 
--- a/src/platform/engine/platform_engine_client.h
+++ b/src/platform/engine/platform_engine_client.h
@@ -9,7 +9,7 @@
 #include "deployment_config/deployment_config.h"
 #include "engine/pool.h"
 #include "platform/engine/release_route.h"
-#include "routing/types.h"
+#include "routing/engine_client.h"
 #include "timing/owned_timers.h"
 
 namespace garnethook::platform {
--- a/src/platform/engine/protocol.h
+++ b/src/platform/engine/protocol.h
@@ -11,7 +11,7 @@
 #include "deployment_config/deployment_config.h"
 #include "http1/message.h"
 #include "membership/endpoint_spec.h"
-#include "routing/types.h"
+#include "routing/engine_client.h"
 
 namespace garnethook::platform {
 
--- a/src/platform/engine/relay_exchange.h
+++ b/src/platform/engine/relay_exchange.h
@@ -7,7 +7,7 @@
 #include "engine/exchange.h"
 #include "http1/event_stream.h"
 #include "platform/engine/protocol.h"
-#include "routing/types.h"
+#include "routing/engine_client.h"
 
 namespace garnethook::platform {
 
--- a/src/platform/http_frontend/request_decoder.h
+++ b/src/platform/http_frontend/request_decoder.h
@@ -8,7 +8,7 @@
 
 #include "deployment_config/deployment_config.h"
 #include "http1/message.h"
-#include "routing/types.h"
+#include "routing/request.h"
 
 namespace garnethook::platform {
 
--- a/src/platform/process/router_process.cpp
+++ b/src/platform/process/router_process.cpp
@@ -5,6 +5,7 @@
 #include <map>
 #include <utility>
 
+#include "routing/policy_log.h"
 #include "timing/wall_clock.h"
 
 namespace garnethook::platform {
@@ -41,15 +42,15 @@
   out.settings = config.deployment.settings;
   out.seed = config.seed;
   out.instance = config.name;
-  out.openRequests = budget.clients;
+  out.maxPendingRequests = budget.clients;
   if (config.deployment.openRequests > 0)
-    out.openRequests = std::min(out.openRequests, config.deployment.openRequests);
-  out.streams.silence = Times().streamSilence;
-  out.streams.margin = 0;
-  out.streams.deadlineEnds = false;
+    out.maxPendingRequests = std::min(out.maxPendingRequests, config.deployment.openRequests);
+  out.streamGuard.stallTimeout = Times().streamSilence;
+  out.streamGuard.deadlineMargin = 0;
+  out.streamGuard.enforcesDeadline = false;
   const Micros kvReleaseTimeout = config.deployment.settings.kvReleaseTimeout;
-  out.held.kvReleaseTimeout = kvReleaseTimeout > 0 ? kvReleaseTimeout : kReleaseWithin;
-  out.held.sparesAwaited = true;
+  out.kvReservations.kvReleaseTimeout = kvReleaseTimeout > 0 ? kvReleaseTimeout : kReleaseWithin;
+  out.kvReservations.releaseSparesAwaited = true;
   return out;
 }
 
@@ -165,7 +166,7 @@
                                                               : membership::StartTimes::Source::discovery;
   const auto startTimes = starts_.toMonotonic(entries, source, loop_.now(), timing::unixNow());
   if (kind == EndpointUpdate::Kind::snapshot) starts_.retainOnly(list_.engines());
-  router_->onList(membership::toEndpointUpdate(entries, startTimes, names_, kind));
+  router_->onEndpointUpdate(membership::toEndpointUpdate(entries, startTimes, names_, kind));
 }
 
 void RouterProcess::reload(const PlatformConfig& config) {
@@ -186,10 +187,11 @@
 }
 
 void RouterProcess::checkDrained() {
-  const bool over = !frontend_->accepting() && router_->open() == 0 && router_->lives() == 0 &&
-                    frontend_->openRequests() == 0 &&
-                    router_->held().held() + router_->held().releasing() == 0 &&
-                    frontend_->connections() == 0;
+  const bool over =
+      !frontend_->accepting() && router_->pendingRequests() == 0 && router_->activeRequests() == 0 &&
+      frontend_->openRequests() == 0 &&
+      router_->kvReservations().reservationCount() + router_->kvReservations().pendingReleaseCount() == 0 &&
+      frontend_->connections() == 0;
   if (!over) return drainAlarm_.start(kDrainLook, [this] { checkDrained(); });
   log_.info("drained", {{"summary", summary()}});
   drained_();
@@ -204,18 +206,21 @@
 std::string RouterProcess::summary() const {
   const auto& c = router_->counters();
   const auto& f = frontend_->counters();
-  const auto& h = router_->held();
-  std::string out = "taken " + std::to_string(c.taken) + ", served " + std::to_string(c.served) +
+  const auto& h = router_->kvReservations();
+  std::string out = "taken " + std::to_string(c.accepted) + ", served " + std::to_string(c.completed) +
                     ", refused " + std::to_string(c.rejected) + ", failed " + std::to_string(c.failed) +
-                    ", left " + std::to_string(c.left) + ", open " + std::to_string(router_->open()) +
-                    ", attempts " + std::to_string(c.attempts) + "; causes";
-  for (const auto& [cause, n] : c.causes) out += " " + std::string(name(cause)) + " " + std::to_string(n);
+                    ", left " + std::to_string(c.cancelled) + ", open " +
+                    std::to_string(router_->pendingRequests()) + ", attempts " + std::to_string(c.attempts) +
+                    "; causes";
+  for (const auto& [cause, n] : c.failureReasons)
+    out += " " + std::string(name(cause)) + " " + std::to_string(n);
   out += "; outcomes";
   for (const auto& [outcome, n] : c.outcomes)
     out += " " + std::string(routing::name(outcome)) + " " + std::to_string(n);
-  out += "; held " + std::to_string(h.held()) + ", releasing " + std::to_string(h.releasing()) +
-         ", released " + std::to_string(h.released()) + ", given up " + std::to_string(h.abandoned()) +
-         ", slowest ms " + std::to_string(h.slowest() / 1000);
+  out += "; held " + std::to_string(h.reservationCount()) + ", releasing " +
+         std::to_string(h.pendingReleaseCount()) + ", released " + std::to_string(h.releasedCount()) +
+         ", given up " + std::to_string(h.abandonedCount()) + ", slowest ms " +
+         std::to_string(h.longestRelease() / 1000);
   out += "; clients " + std::to_string(frontend_->connections()) + " of " + std::to_string(f.accepted) +
          ", turned away " + std::to_string(f.rejected) + ", timed out " + std::to_string(f.timedOut) +
          ", evicted " + std::to_string(f.evicted) + ", overfull " + std::to_string(f.overfull) + ", idled " +
@@ -224,7 +229,7 @@
          std::to_string(engines_.pool().idleConnections()) + ", opened " +
          std::to_string(engines_.pool().opened());
   out += "; closed" + closesByReason();
-  out += "; violations " + std::to_string(router_->rules().all() + f.closedUnanswered) +
+  out += "; violations " + std::to_string(router_->ruleGuard().total() + f.closedUnanswered) +
          ", internal failures " + std::to_string(c.failedActions + loop_.failedTasks());
   return out + "; resident KiB " + std::to_string(resident() / 1024);
 }
@@ -320,7 +325,7 @@
 
 void RouterProcess::onActionFailed(const std::string& what) { log_.error("internal", {{"trouble", what}}); }
 
-void RouterProcess::onModuleLog(const std::string& said) {
+void RouterProcess::onPolicyLog(const std::string& said) {
   log_.info("decision", {{"text", routing::withNames(said, [this](EndpointId id) { return nameOf(id); })}});
 }
 
--- a/src/platform/process/router_process.h
+++ b/src/platform/process/router_process.h
@@ -59,7 +59,7 @@
   void onCompletion(RequestId id, const routing::Request& request, const routing::Completion& ending,
                     Micros took) override;
   void onCancelled(RequestId id) override;
-  void onModuleLog(const std::string& text) override;
+  void onPolicyLog(const std::string& text) override;
   void onActionFailed(const std::string& what) override;
   void onViolation(routing::Violation violation, RequestId id, const routing::Request& request) override;
   void onRelease(EndpointId endpoint, RequestId id, std::string_view traceId) override;
--- /dev/null
+++ b/src/routing/attempt_runner.cpp
@@ -0,0 +1,201 @@
+#include "routing/attempt_runner.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "routing/completion_builder.h"
+
+namespace garnethook::routing {
+
+void AttemptRunner::start(ActiveRequest& active, const Send& send) {
+  InFlightAttempt attempt{.number = active.attemptCount++,
+                          .endpoint = send.endpoint,
+                          .phase = parts_.endpoints.phaseAt(send.endpoint, active.kvEndpoint.has_value()),
+                          .sentAt = context_.timers.now()};
+  ++context_.counters.attempts;
+  active.usage.attempts = static_cast<std::uint32_t>(active.attemptCount);
+  const auto releaseDueAt = parts_.reservations.tracker().releaseDueAt(active.id);
+  startTimers({active.id, attempt.number}, attempt, send.timeout, releaseDueAt);
+  active.attempt = attempt;
+  if (attempt.phase == Phase::prefill)
+    parts_.reservations.onPrefillSent(active, attempt.endpoint, attempt.sentAt);
+  const AttemptSpec spec = specOf(active, send.timeout, releaseDueAt.has_value());
+  context_.observer.onAttempt(spec);
+  context_.engines.begin(spec);
+}
+
+void AttemptRunner::startTimers(AttemptId id, InFlightAttempt& attempt, Micros timeout,
+                                const std::optional<Micros>& releaseDueAt) {
+  if (timeout > 0) attempt.timeoutTimer = context_.timers.after(timeout, [this, id] { onTimeout(id); });
+  if (releaseDueAt)
+    attempt.reservationTimer = context_.timers.after(std::max<Micros>(0, *releaseDueAt - attempt.sentAt),
+                                                     [this, id] { onReleaseDue(id); });
+}
+
+AttemptSpec AttemptRunner::specOf(const ActiveRequest& active, Micros timeout, bool isReleaseDue) const {
+  const InFlightAttempt& attempt = *active.attempt;
+  const RequestClass& requestClass = parts_.rules.classOf(active);
+  const bool isPrefill = attempt.phase == Phase::prefill;
+  AttemptSpec spec;
+  spec.attempt = {active.id, attempt.number};
+  spec.endpoint = attempt.endpoint;
+  spec.phase = attempt.phase;
+  spec.request = &active.request;
+  spec.traceId = active.traceId;
+  if (attempt.phase == Phase::decode) spec.kvTransferParams = active.kvTransferParams;
+  spec.nonRepeatable = !isPrefill && !mayReject(requestClass, {.possiblyExecuted = true});
+  // What an earlier prefill may have left is released when this one does not arrive, so that has to be known.
+  spec.requiresNewConnection = isPrefill && isReleaseDue;
+  spec.timeout = timeout > 0 ? timeout : active.usableUntil - attempt.sentAt;
+  spec.sendBy = retryUntil(requestClass, active.history);
+  return spec;
+}
+
+void AttemptRunner::onTimeout(AttemptId id) {
+  ActiveRequest* active = parts_.requests.findUnstarted(id);
+  if (active != nullptr) end(*active, Outcome::timedOut, false);
+}
+
+// Rule 5: the request's reservations have to be released, and the attempt in flight may not have arrived. One
+// whose connection is not established ends, and all is released. One that may be on a dead connection goes
+// on, and what it does not wait for is released beside it. Of one on a connection established for it, the
+// engine's liveness is checked first. This guards against connections that fall silent, above all when a zone
+// is cut off.
+void AttemptRunner::onReleaseDue(AttemptId id) {
+  ActiveRequest* active = parts_.requests.findUnstarted(id);
+  if (active == nullptr) return;
+  switch (context_.engines.deliveryState(id)) {
+    case DeliveryState::confirmed: return;
+    case DeliveryState::connected:
+      if (context_.engines.canCheckLiveness()) context_.engines.checkLiveness(id, active->attempt->endpoint);
+      return;
+    case DeliveryState::written: return parts_.reservations.releaseBeside(id.request, *active->attempt);
+    case DeliveryState::undelivered: break;
+  }
+  if (active->attempt->phase == Phase::prefill) parts_.reservations.release(id.request);
+  end(*active, Outcome::connectFailed, false);
+}
+
+void AttemptRunner::onLivenessChecked(AttemptId id, bool alive) {
+  ActiveRequest* active = parts_.requests.findUnstarted(id);
+  if (active == nullptr || context_.engines.deliveryState(id) == DeliveryState::confirmed) return;
+  active->attempt->isConfirmedAlive = alive;
+  if (!alive) parts_.reservations.releaseBeside(id.request, *active->attempt);
+}
+
+// Whether the attempt has reached its endpoint for certain, as far as the time of reservations is concerned.
+bool AttemptRunner::hasReachedEndpoint(AttemptId id, const InFlightAttempt& attempt) const {
+  if (attempt.hasStarted || attempt.isConfirmedAlive) return true;
+  const DeliveryState state = context_.engines.deliveryState(id);
+  return state == DeliveryState::confirmed ||
+         (state == DeliveryState::connected && !context_.engines.canCheckLiveness());
+}
+
+// The attempt is no longer in flight.
+InFlightAttempt AttemptRunner::takeAttempt(ActiveRequest& active) {
+  const InFlightAttempt attempt = *std::exchange(active.attempt, std::nullopt);
+  context_.timers.cancel(attempt.timeoutTimer);
+  context_.timers.cancel(attempt.reservationTimer);
+  context_.timers.cancel(active.streamTimer);
+  return attempt;
+}
+
+void AttemptRunner::end(ActiveRequest& active, Outcome outcome, bool requestEnded) {
+  const AttemptId id{active.id, active.attempt->number};
+  const bool hasReached = hasReachedEndpoint(id, *active.attempt);
+  context_.engines.cancel(id);
+  const InFlightAttempt attempt = takeAttempt(active);
+  if (hasReached) parts_.reservations.tracker().onAttemptEnded(id.request, context_.timers.now());
+  ++context_.counters.outcomes[outcome];
+  const bool isPossiblyExecuted =
+      !provesNotExecuted(outcome) || (outcome == kNeutralOutcome && attempt.hasStarted);
+  if (attempt.phase != Phase::prefill && isPossiblyExecuted)
+    parts_.rules.recordPossibleExecution(active, attempt);
+  context_.observer.onAttemptEnded(id, attempt.endpoint, {.outcome = outcome, .text = "ended by the router"});
+  parts_.events.enqueue(AttemptEnded{.id = id.request,
+                                     .attempt = attempt.number,
+                                     .endpoint = attempt.endpoint,
+                                     .outcome = outcome,
+                                     .requestEnded = requestEnded,
+                                     .reachedEndpoint = hasReached});
+}
+
+void AttemptRunner::onAttemptEnded(AttemptId id, const AttemptResult& result) {
+  ActiveRequest* active = parts_.requests.findInFlight(id);
+  if (active == nullptr) {
+    ++context_.counters.lateEvents;
+    return;
+  }
+  const InFlightAttempt attempt = takeAttempt(*active);
+  const bool hasReached =
+      result.leftRouter && result.outcome != Outcome::connectFailed && !result.reusedConnection;
+  if (hasReached) parts_.reservations.tracker().onAttemptEnded(id.request, context_.timers.now());
+  ++context_.counters.outcomes[result.outcome];
+  context_.observer.onAttemptEnded(id, attempt.endpoint, result);
+  if (!result.text.empty()) active->lastError = result.text;
+  if (attempt.phase != Phase::prefill && !provesNotExecuted(result.outcome))
+    parts_.rules.recordPossibleExecution(*active, attempt);
+  recordUsage(*active, attempt, result);
+  AttemptEnded event{.id = id.request,
+                     .attempt = id.number,
+                     .endpoint = attempt.endpoint,
+                     .outcome = result.outcome,
+                     .cachedTokens = result.cachedTokens,
+                     .kvStateMissing = result.kvStateMissing,
+                     .reusedConnection = result.reusedConnection,
+                     .reachedEndpoint = hasReached,
+                     .report = result.report};
+  applyResult(*active, attempt, result, event);
+  parts_.events.enqueue(event);
+}
+
+void AttemptRunner::recordUsage(ActiveRequest& active, const InFlightAttempt& attempt,
+                                const AttemptResult& result) {
+  if (result.promptTokens > 0) {
+    active.usage.promptTokens = result.promptTokens;
+    if (attempt.phase != Phase::decode)
+      context_.observer.onPromptRead(attempt.endpoint, active.request, result.promptTokens);
+  }
+  if (result.cachedTokens > 0) active.usage.cachedTokens = static_cast<std::uint32_t>(result.cachedTokens);
+}
+
+// What the result means for the request. The request may be completed, and be gone afterwards.
+void AttemptRunner::applyResult(ActiveRequest& active, const InFlightAttempt& attempt,
+                                const AttemptResult& result, AttemptEnded& event) {
+  switch (result.outcome) {
+    case Outcome::prefillDone:
+      active.kvEndpoint = attempt.endpoint;
+      active.kvTransferParams = result.kvTransferParams;
+      return;
+    case Outcome::completed: event.requestEnded = true; return applyCompleted(active, attempt, result);
+    default: return applyFailure(active, attempt, result, event);
+  }
+}
+
+void AttemptRunner::applyCompleted(ActiveRequest& active, const InFlightAttempt& attempt,
+                                   const AttemptResult& result) {
+  if (attempt.phase == Phase::decode && active.kvEndpoint) {  // an answer without a single token
+    parts_.reservations.tracker().onTransferred(active.id, *active.kvEndpoint);
+    active.kvEndpoint.reset();
+  }
+  active.usage.outputTokens = std::max(result.outputTokens, active.nextTokenIndex);
+  if (active.isAnswered()) return;
+  parts_.completer.complete(
+      active,
+      {.disposition = Disposition::completed, .finishReason = result.finishReason, .usage = active.usage});
+}
+
+void AttemptRunner::applyFailure(ActiveRequest& active, const InFlightAttempt& attempt,
+                                 const AttemptResult& result, AttemptEnded& event) {
+  if (attempt.phase == Phase::prefill && provesNotExecuted(result.outcome))
+    parts_.reservations.tracker().onNoReservation(active.id, attempt.endpoint);
+  if (result.kvStateMissing) active.kvEndpoint.reset();
+  if (!result.badRequest && !attempt.hasStarted) return;  // the policy decides about a retry
+  event.requestEnded = true;
+  if (result.badRequest) event.outcome = kNeutralOutcome;
+  if (active.isAnswered()) return;
+  parts_.completer.complete(
+      active, result.badRequest ? badRequestCompletion(result.text) : streamBrokenCompletion(result.text));
+}
+
+}  // namespace garnethook::routing
--- /dev/null
+++ b/src/routing/endpoint_directory.cpp
@@ -0,0 +1,43 @@
+#include "routing/endpoint_directory.h"
+
+namespace garnethook::routing {
+
+std::vector<EndpointId> EndpointDirectory::apply(const EndpointUpdate& update) {
+  const bool isWhole =
+      update.kind == EndpointUpdate::Kind::snapshot || update.kind == EndpointUpdate::Kind::staleCopy;
+  if (isWhole) running_.clear();
+  std::vector<EndpointId> restarted;
+  for (const EndpointEntry& entry : update.entries) {
+    Endpoint& endpoint = endpoints_[entry.id.value];
+    endpoint.location = {entry.zone, entry.cell};
+    endpoint.role = roleOf(entry);
+    if (entry.state == EndpointState::running)
+      running_.insert(entry.id.value);
+    else
+      running_.erase(entry.id.value);
+    if (entry.startedAt == 0) continue;
+    if (endpoint.startedAt != 0 && endpoint.startedAt != entry.startedAt) restarted.push_back(entry.id);
+    endpoint.startedAt = entry.startedAt;
+  }
+  return restarted;
+}
+
+Phase EndpointDirectory::phaseAt(EndpointId endpoint, bool hasKvState) const {
+  const auto found = endpoints_.find(endpoint.value);
+  if (found != endpoints_.end() && found->second.role == Role::prefill) return Phase::prefill;
+  return hasKvState ? Phase::decode : Phase::combined;
+}
+
+std::optional<EndpointLocation> EndpointDirectory::locationOf(EndpointId endpoint) const {
+  const auto found = endpoints_.find(endpoint.value);
+  if (found == endpoints_.end()) return std::nullopt;
+  return found->second.location;
+}
+
+// An endpoint of an unknown kind gets no prefill attempts.
+Role EndpointDirectory::roleOf(const EndpointEntry& entry) const {
+  const bool isKnown = entry.kind && *entry.kind < kinds_.size();
+  return isKnown ? kinds_[*entry.kind].role : Role::decode;
+}
+
+}  // namespace garnethook::routing
--- /dev/null
+++ b/src/routing/engine_client.cpp
@@ -0,0 +1,29 @@
+#include "routing/engine_client.h"
+
+namespace garnethook::routing {
+
+std::string_view name(Phase phase) {
+  switch (phase) {
+    case Phase::prefill: return "prefill";
+    case Phase::decode: return "decode";
+    case Phase::combined: return "combined";
+  }
+  return "unknown";
+}
+
+std::string_view name(Outcome outcome) {
+  switch (outcome) {
+    case Outcome::completed: return "completed";
+    case Outcome::prefillDone: return "prefill-done";
+    case Outcome::error: return "error";
+    case Outcome::rejected: return "rejected";
+    case Outcome::timedOut: return "timed-out";
+    case Outcome::connectFailed: return "connect-failed";
+    case Outcome::connectionReset: return "connection-reset";
+    case Outcome::cancelled: return "cancelled";
+    case Outcome::notSent: return "not-sent";
+  }
+  return "unknown";
+}
+
+}  // namespace garnethook::routing
--- a/src/routing/execution_history.h
+++ b/src/routing/execution_history.h
@@ -1,38 +1,44 @@
-// Rule 2 for endings that the router itself gives: a refusal promises that a repeat does no harm.
+/// Whether a request may have been executed, and what follows from that for retries and rejections (rule 2: a
+/// rejection promises that a repeat does no harm).
 #pragma once
 
 #include <utility>
 
-#include "routing/types.h"
+#include "policy/routing_policy.h"
 
 namespace garnethook::routing {
 
-// What may have happened to a request so far.
+/// What may have happened to a request so far. Prefill attempts do not count: they leave nothing but a KV
+/// cache reservation.
 struct ExecutionHistory {
-  bool possiblyExecuted = false;  // an attempt to answer it is out, or ended without proof that it never ran
-  Micros since = 0;               // when the first of those that ended so was sent
-
-  void note(Micros sentAt) {
-    if (!std::exchange(possiblyExecuted, true)) since = sentAt;
+  /// A decode or combined attempt ended without proof that it never ran, or its answer has begun.
+  bool possiblyExecuted = false;
+  /// When the first such attempt was sent, on the monotonic clock.
+  Micros firstSentAt = 0;
+
+  /// Such an attempt was sent at `sentAt`.
+  void recordPossibleExecution(Micros sentAt) {
+    if (!std::exchange(possiblyExecuted, true)) firstSentAt = sentAt;
   }
 };
 
-// Until when a further attempt may be sent: engines remember keyed work for a while only, and run it twice
-// after that. 0: any time.
-inline Micros retryUntil(const RequestClass& c, const ExecutionHistory& exposure) {
-  return exposure.possiblyExecuted && c.idempotency == Idempotency::idempotentWithKey
-             ? exposure.since + c.deduplicationWindow
+/// Until when a further attempt may be sent: engines remember idempotency keys for a while only, and run the
+/// work a second time after that. 0: at any time.
+inline Micros retryUntil(const RequestClass& requestClass, const ExecutionHistory& history) {
+  return history.possiblyExecuted && requestClass.idempotency == Idempotency::idempotentWithKey
+             ? history.firstSentAt + requestClass.deduplicationWindow
              : 0;
 }
 
-// Reading is no effect (a read leaves nothing but a state), so only writing and whole attempts expose.
-inline bool mayReject(const RequestClass& c, const ExecutionHistory& exposure) {
-  if (!exposure.possiblyExecuted || c.idempotency == Idempotency::idempotent) return true;
-  return c.idempotency == Idempotency::idempotentWithKey && c.deduplicationScope == DeduplicationScope::fleet;
+/// Whether the request may be rejected, so that its client may repeat it anywhere.
+inline bool mayReject(const RequestClass& requestClass, const ExecutionHistory& history) {
+  if (!history.possiblyExecuted || requestClass.idempotency == Idempotency::idempotent) return true;
+  return requestClass.idempotency == Idempotency::idempotentWithKey &&
+         requestClass.deduplicationScope == DeduplicationScope::fleet;
 }
 
-// Whether an outcome proves that the attempt never ran.
-inline bool provesNotRun(Outcome outcome) {
+/// Whether an outcome proves that a decode or combined attempt never ran.
+inline bool provesNotExecuted(Outcome outcome) {
   return outcome == Outcome::rejected || outcome == Outcome::connectFailed || outcome == Outcome::notSent ||
          outcome == Outcome::prefillDone;
 }
--- a/src/routing/kv_reservation_tracker.cpp
+++ b/src/routing/kv_reservation_tracker.cpp
@@ -1,111 +1,123 @@
 #include "routing/kv_reservation_tracker.h"
 
 #include <algorithm>
-#include <utility>
 
 namespace garnethook::routing {
+namespace {
 
-void KvReservationTracker::readSent(RequestId request, EndpointId reader, Micros now) {
-  calls_.erase({request, reader});
-  const auto [at, first] = held_.try_emplace({request, reader}, Held{now});
-  at->second.earlier = !first;
+// More doublings than this would overflow, and pass every limit anyway.
+constexpr int kMaxDoublings = 20;
+
+}  // namespace
+
+void KvReservationTracker::onPrefillSent(RequestId request, EndpointId endpoint, Micros now) {
+  releases_.erase({request, endpoint});
+  const auto [item, isFirst] = reservations_.try_emplace({request, endpoint}, Reservation{now});
+  item->second.hasEarlierPrefill = !isFirst;
 }
 
-std::vector<KvReservationTracker::Call> KvReservationTracker::releaseOthers(RequestId request,
-                                                                            EndpointId reader, Micros now) {
-  const Key key{request, reader};
-  const auto own = held_.extract(key);
-  auto out = release(request, now);
-  if (!own) return out;
-  if (own.mapped().earlier && options_.sparesAwaited) out.push_back({reader, request});
-  held_[key] = {.since = now, .earlier = own.mapped().earlier};
-  return out;
+void KvReservationTracker::onNoReservation(RequestId request, EndpointId endpoint) {
+  const auto item = reservations_.find({request, endpoint});
+  if (item != reservations_.end() && !std::exchange(item->second.hasEarlierPrefill, false))
+    reservations_.erase(item);
 }
 
-std::vector<KvReservationTracker::Call> KvReservationTracker::releaseInDoubt(RequestId request, Micros now) {
-  std::vector<Call> out;
-  if (!options_.sparesAwaited) return out;
-  for (auto at = held_.lower_bound({request, EndpointId{0}}); at != held_.end() && at->first.first == request;
-       ++at)
-    if (calls_.try_emplace(at->first, Release{.since = now, .again = 0, .tries = 1}).second)
-      out.push_back({at->first.second, request});
-  return out;
+void KvReservationTracker::onTransferred(RequestId request, EndpointId endpoint) {
+  reservations_.erase({request, endpoint});
+  releases_.erase({request, endpoint});
 }
 
-void KvReservationTracker::outcome(RequestId request, Micros now) {
-  for (auto at = held_.lower_bound({request, EndpointId{0}}); at != held_.end() && at->first.first == request;
-       ++at)
-    at->second.since = now;
+void KvReservationTracker::onAttemptEnded(RequestId request, Micros now) {
+  for (auto item = firstOf(reservations_, request);
+       item != reservations_.end() && item->first.first == request; ++item)
+    item->second.since = now;
 }
 
-std::optional<Micros> KvReservationTracker::dueBy(RequestId request) const {
-  std::optional<Micros> first;
-  for (auto at = held_.lower_bound({request, EndpointId{0}}); at != held_.end() && at->first.first == request;
-       ++at)
-    first = std::min(first.value_or(at->second.since), at->second.since);
-  if (first) *first += options_.kvReleaseTimeout;
-  return first;
+void KvReservationTracker::onEndpointRestarted(EndpointId endpoint) {
+  const auto isThere = [&](const auto& item) { return item.first.second == endpoint; };
+  std::erase_if(reservations_, isThere);
+  std::erase_if(releases_, isThere);
 }
 
-void KvReservationTracker::nothingLeft(RequestId request, EndpointId reader) {
-  const auto at = held_.find({request, reader});
-  if (at != held_.end() && !std::exchange(at->second.earlier, false)) held_.erase(at);
+std::optional<Micros> KvReservationTracker::releaseDueAt(RequestId request) const {
+  std::optional<Micros> oldest;
+  for (auto item = firstOf(reservations_, request);
+       item != reservations_.end() && item->first.first == request; ++item)
+    oldest = std::min(oldest.value_or(item->second.since), item->second.since);
+  if (oldest) *oldest += options_.kvReleaseTimeout;
+  return oldest;
 }
-void KvReservationTracker::consumed(RequestId request, EndpointId reader) {
-  held_.erase({request, reader});
-  calls_.erase({request, reader});
+
+std::vector<KvReservationTracker::ReleaseCall> KvReservationTracker::release(RequestId request, Micros now) {
+  std::vector<ReleaseCall> calls;
+  for (auto item = firstOf(reservations_, request);
+       item != reservations_.end() && item->first.first == request; item = reservations_.erase(item)) {
+    releases_[item->first] = {.requestedAt = now, .retryAt = 0, .attempts = 1};
+    calls.push_back({item->first.second, request});
+  }
+  return calls;
 }
 
-bool KvReservationTracker::knows(RequestId request) const {
-  const auto has = [&](const auto& items) {
-    const auto at = items.lower_bound({request, EndpointId{0}});
-    return at != items.end() && at->first.first == request;
-  };
-  return has(held_) || has(calls_);
+std::vector<KvReservationTracker::ReleaseCall> KvReservationTracker::releaseOthers(RequestId request,
+                                                                                   EndpointId endpoint,
+                                                                                   Micros now) {
+  const Key key{request, endpoint};
+  const auto own = reservations_.extract(key);
+  auto calls = release(request, now);
+  if (!own) return calls;
+  const bool hasEarlierPrefill = own.mapped().hasEarlierPrefill;
+  if (hasEarlierPrefill && options_.releaseSparesAwaited) calls.push_back({endpoint, request});
+  reservations_[key] = {.since = now, .hasEarlierPrefill = hasEarlierPrefill};
+  return calls;
 }
 
-std::vector<KvReservationTracker::Call> KvReservationTracker::release(RequestId request, Micros now) {
-  std::vector<Call> out;
-  for (auto at = held_.lower_bound({request, EndpointId{0}}); at != held_.end() && at->first.first == request;
-       at = held_.erase(at)) {
-    calls_[at->first] = {.since = now, .again = 0, .tries = 1};
-    out.push_back({at->first.second, request});
-  }
-  return out;
+std::vector<KvReservationTracker::ReleaseCall> KvReservationTracker::releaseUnconfirmed(RequestId request,
+                                                                                        Micros now) {
+  std::vector<ReleaseCall> calls;
+  if (!options_.releaseSparesAwaited) return calls;
+  for (auto item = firstOf(reservations_, request);
+       item != reservations_.end() && item->first.first == request; ++item)
+    if (releases_.try_emplace(item->first, Release{.requestedAt = now, .retryAt = 0, .attempts = 1}).second)
+      calls.push_back({item->first.second, request});
+  return calls;
 }
 
-void KvReservationTracker::ended(const Call& call, bool ok, Micros now) {
-  const auto at = calls_.find({call.request, call.endpoint});
-  if (at == calls_.end() || at->second.again != 0) return;
-  Release& r = at->second;
-  if (!ok && r.tries < options_.tries) {
-    const Micros longest = std::max(options_.pause, options_.kvReleaseTimeout / 2);
-    r.again = now + std::min(longest, options_.pause << std::min(r.tries - 1, 20));
+void KvReservationTracker::onReleaseEnded(const ReleaseCall& call, bool ok, Micros now) {
+  const auto item = releases_.find({call.request, call.endpoint});
+  if (item == releases_.end() || item->second.retryAt != 0) return;
+  Release& release = item->second;
+  if (!ok && release.attempts < options_.maxReleaseAttempts) {
+    const Micros maxDelay = std::max(options_.releaseRetryDelay, options_.kvReleaseTimeout / 2);
+    const Micros delay = options_.releaseRetryDelay << std::min(release.attempts - 1, kMaxDoublings);
+    release.retryAt = now + std::min(maxDelay, delay);
     return;
   }
   if (ok) {
-    ++released_;
-    slowest_ = std::max(slowest_, now - r.since);
+    ++releasedCount_;
+    longestRelease_ = std::max(longestRelease_, now - release.requestedAt);
   } else {
-    ++abandoned_;
+    ++abandonedCount_;
   }
-  calls_.erase(at);
+  releases_.erase(item);
 }
 
-void KvReservationTracker::readerLost(EndpointId reader) {
-  std::erase_if(held_, [&](const auto& item) { return item.first.second == reader; });
-  std::erase_if(calls_, [&](const auto& item) { return item.first.second == reader; });
+std::vector<KvReservationTracker::ReleaseCall> KvReservationTracker::dueRetries(Micros now) {
+  std::vector<ReleaseCall> calls;
+  for (auto& [key, release] : releases_) {
+    if (release.retryAt == 0 || release.retryAt > now) continue;
+    release.retryAt = 0;
+    ++release.attempts;
+    calls.push_back({key.second, key.first});
+  }
+  return calls;
 }
 
-std::vector<KvReservationTracker::Call> KvReservationTracker::due(Micros now) {
-  std::vector<Call> out;
-  for (auto& [key, r] : calls_)
-    if (r.again != 0 && r.again <= now) {
-      r.again = 0;
-      ++r.tries;
-      out.push_back({key.second, key.first});
-    }
-  return out;
+bool KvReservationTracker::isTracking(RequestId request) const {
+  const auto hasItem = [&](const auto& items) {
+    const auto item = firstOf(items, request);
+    return item != items.end() && item->first.first == request;
+  };
+  return hasItem(reservations_) || hasItem(releases_);
 }
 
 }  // namespace garnethook::routing
--- a/src/routing/kv_reservation_tracker.h
+++ b/src/routing/kv_reservation_tracker.h
@@ -1,16 +1,16 @@
-// States that readers hold, or may hold, for requests: who must be told to let go, when, and how often again.
-// Free of I/O and clocks; tested in tests/state_test.cpp.
-//
-// A read leaves a state at its reader until a writer has fetched it. A read that was cancelled, or whose
-// answer was lost, may have left one too: it counts as held. Rule 5 gives the time within which a state whose
-// request has no attempt out must be used or let go. An attempt counts as out once it has reached an engine:
-// while connections fail to come up the time runs on.
+/// KV cache state that prefill endpoints reserve, or may reserve, for requests: which endpoint must be asked
+/// to release it, when, and when again. Free of I/O and clocks.
+///
+/// A prefill leaves a reservation at its endpoint until a decode endpoint has fetched it. A prefill that was
+/// cancelled, or whose response was lost, may have left one too, so it counts as reserved. Rule 5 limits the
+/// time for which a reservation may be kept while its request has no attempt in flight. An attempt counts as
+/// in flight once it has reached an endpoint: while connections fail to come up, the time runs on.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
-#include <string>
 #include <utility>
 #include <vector>
 
@@ -18,74 +18,91 @@
 
 namespace garnethook::routing {
 
+/// Tracks the reservations of all requests, and the release calls that are pending.
 class KvReservationTracker {
  public:
+  /// Times in microseconds.
   struct Options {
-    Micros kvReleaseTimeout = 500'000;  // rule 5
-    int tries = 40;                     // of one release; then the reader's own time-out is relied on
-    Micros pause = 100'000;      // before the second try; doubled up to half of releaseWithin, so that a
-                                 // reader that can be reached again is told within that time
-    bool sparesAwaited = false;  // a release leaves alone what a write at an engine waits for
+    Micros kvReleaseTimeout = 500'000;  ///< Rule 5: how long a reservation may be kept without an attempt.
+    int maxReleaseAttempts = 40;  ///< Of one release; after that the endpoint's own timeout is relied on.
+    /// Delay before the second attempt. It doubles up to half of kvReleaseTimeout, so that an endpoint that
+    /// can be reached again is asked within that time.
+    Micros releaseRetryDelay = 100'000;
+    /// A release call leaves alone what a decode attempt at an endpoint waits for.
+    bool releaseSparesAwaited = false;
   };
-  struct Call {
-    EndpointId endpoint;
-    RequestId request;
+  /// A release call to be made, or that was made.
+  struct ReleaseCall {
+    EndpointId endpoint;  ///< The endpoint that is asked.
+    RequestId request;    ///< The request that the reservation is for.
   };
+  /// There are no reservations at first.
   explicit KvReservationTracker(const Options& options) : options_(options) {}
 
-  // A read of the request went to the reader. A release of an earlier read of it there is not tried again: it
-  // could let go of the new state.
-  void readSent(RequestId request, EndpointId reader, Micros now);
-  // The time of what earlier reads may have left is over while a read at the reader is out that may never
-  // have arrived: the calls to be made now. At that reader there is one only where releases spare what is
-  // awaited, and it is not tried again.
-  std::vector<Call> releaseOthers(RequestId request, EndpointId reader, Micros now);
-  // The read is known to have left nothing (the reader turned it away, or was never reached).
-  void nothingLeft(RequestId request, EndpointId reader);
-  // A writer has begun to answer: the fetched state's reader has let go by itself.
-  void consumed(RequestId request, EndpointId reader);
-  // An attempt of the request ended that had reached an engine: the time for what is held starts anew.
-  void outcome(RequestId request, Micros now);
-  // When what is held for the request has to be taken or let go, unless an attempt has reached an engine by
-  // then; nothing where nothing is held.
-  std::optional<Micros> dueBy(RequestId request) const;
-  // The time of what is held is over while a write is out that may never have arrived. Where a release spares
-  // what an attempt waits for, the calls to be made now; what it spared is held all the same.
-  std::vector<Call> releaseInDoubt(RequestId request, Micros now);
-  // The request needs its states no more: the calls to be made now.
-  std::vector<Call> release(RequestId request, Micros now);
-  // How a call ended. Failed ones are due again after the pause, up to the tries.
-  void ended(const Call& call, bool ok, Micros now);
-  // A reader is gone or was restarted: what it held is gone.
-  void readerLost(EndpointId reader);
-  // Calls that are due again by now.
-  std::vector<Call> due(Micros now);
+  /// A prefill of the request was sent to the endpoint. A pending release of an earlier prefill there is not
+  /// retried, as it could release the new state.
+  void onPrefillSent(RequestId request, EndpointId endpoint, Micros now);
+  /// The prefill is known to have left nothing: the endpoint rejected it, or was never reached.
+  void onNoReservation(RequestId request, EndpointId endpoint);
+  /// A decode endpoint has begun to answer: the reservation was fetched and released with it.
+  void onTransferred(RequestId request, EndpointId endpoint);
+  /// An attempt of the request that had reached an endpoint ended: the time of its reservations starts anew.
+  void onAttemptEnded(RequestId request, Micros now);
+  /// The endpoint has gone or was restarted: its reservations are gone.
+  void onEndpointRestarted(EndpointId endpoint);
 
-  // Whether anything of the request is held, or being let go of.
-  bool knows(RequestId request) const;
-  std::size_t held() const { return held_.size(); }        // not yet asked to let go
-  std::size_t releasing() const { return calls_.size(); }  // asked, not yet confirmed
-  std::uint64_t released() const { return released_; }
-  std::uint64_t abandoned() const { return abandoned_; }  // given up after all tries
-  Micros slowest() const { return slowest_; }             // longest time from the release's start to its end
+  /// When the request's reservations have to be fetched or released, unless an attempt has reached an
+  /// endpoint by then; none where there is no reservation.
+  std::optional<Micros> releaseDueAt(RequestId request) const;
+  /// The request needs its reservations no more. Returns the calls to be made now.
+  std::vector<ReleaseCall> release(RequestId request, Micros now);
+  /// The release is due while a prefill at `endpoint` is in flight that may never have arrived. Returns the
+  /// calls to be made now. At that endpoint one is made only where releases spare what is awaited, and it is
+  /// not retried.
+  std::vector<ReleaseCall> releaseOthers(RequestId request, EndpointId endpoint, Micros now);
+  /// The release is due while a decode attempt is in flight that may never have arrived. Returns the calls to
+  /// be made now, where releases spare what is awaited; the reservations they spare stay tracked.
+  std::vector<ReleaseCall> releaseUnconfirmed(RequestId request, Micros now);
+  /// A release call ended. A failed one is due again after the delay, up to the limit of attempts.
+  void onReleaseEnded(const ReleaseCall& call, bool ok, Micros now);
+  /// The failed release calls that are due again by now; they count as made.
+  std::vector<ReleaseCall> dueRetries(Micros now);
+
+  /// Whether the request has a reservation, or a release that is not confirmed.
+  bool isTracking(RequestId request) const;
+  /// Reservations whose release was not requested yet.
+  std::size_t reservationCount() const { return reservations_.size(); }
+  /// Releases that were requested and are not confirmed yet.
+  std::size_t pendingReleaseCount() const { return releases_.size(); }
+  /// Releases that were confirmed.
+  std::uint64_t releasedCount() const { return releasedCount_; }
+  /// Releases that were given up after all attempts.
+  std::uint64_t abandonedCount() const { return abandonedCount_; }
+  /// The longest time from a release's request to its confirmation, in microseconds.
+  Micros longestRelease() const { return longestRelease_; }
 
  private:
   using Key = std::pair<RequestId, EndpointId>;
+  struct Reservation {
+    Micros since = 0;                // start of the time that rule 5 limits
+    bool hasEarlierPrefill = false;  // an earlier prefill of the request there may have left state too
+  };
   struct Release {
-    Micros since = 0;
-    Micros again = 0;  // 0: a call is out
-    int tries = 0;
+    Micros requestedAt = 0;
+    Micros retryAt = 0;  // 0: a call is in flight
+    int attempts = 0;
   };
+  template <class Items>
+  static auto firstOf(Items& items, RequestId request) {
+    return items.lower_bound({request, EndpointId{0}});
+  }
+
   Options options_;
-  struct Held {
-    Micros since = 0;      // for rule 5
-    bool earlier = false;  // an earlier read of the request there may have left a state too
-  };
-  std::map<Key, Held> held_;
-  std::map<Key, Release> calls_;
-  std::uint64_t released_ = 0;
-  std::uint64_t abandoned_ = 0;
-  Micros slowest_ = 0;
+  std::map<Key, Reservation> reservations_;
+  std::map<Key, Release> releases_;
+  std::uint64_t releasedCount_ = 0;
+  std::uint64_t abandonedCount_ = 0;
+  Micros longestRelease_ = 0;
 };
 
 }  // namespace garnethook::routing
--- /dev/null
+++ b/src/routing/policy_log.cpp
@@ -0,0 +1,37 @@
+#include "routing/policy_log.h"
+
+#include <algorithm>
+#include <charconv>
+#include <optional>
+
+namespace garnethook::routing {
+namespace {
+
+// Ids are hashes, so nearly all have more digits than this; other numbers in the texts have fewer.
+constexpr std::size_t kMinIdDigits = 10;
+
+std::optional<EndpointId> parseId(std::string_view word) {
+  if (word.size() < kMinIdDigits) return std::nullopt;
+  EndpointId id;
+  const char* end = word.data() + word.size();
+  const auto [last, error] = std::from_chars(word.data(), end, id.value);
+  if (error != std::errc() || last != end) return std::nullopt;
+  return id;
+}
+
+}  // namespace
+
+std::string withNames(std::string_view text, const std::function<std::string(EndpointId)>& nameOf) {
+  std::string named;
+  for (std::size_t begin = 0; begin < text.size();) {
+    const auto end = std::min(text.find(' ', begin), text.size());
+    const auto word = text.substr(begin, end - begin);
+    const auto id = parseId(word);
+    if (!named.empty()) named += ' ';
+    named += id ? nameOf(*id) : std::string(word);
+    begin = end + 1;
+  }
+  return named;
+}
+
+}  // namespace garnethook::routing
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,95 +1,67 @@
-// The life of a request between its front and its engines. Tells the decision module every event and carries
-// out every action of it; decides nothing about where a request goes. Time, timers and engines come by
-// interface, so that the same code runs on sockets and in simulated time.
-//
-// What it decides by itself stands in modules of its own: when a running stream is ended (stream_guard.h),
-// what is released when (held_states.h), which ending is allowed (final_rules.h), and the last word on what
-// would break a rule (rule_guard.h).
+/// The life of a request between its frontend and its engines. Reports every event to the routing policy and
+/// executes every action of it; decides nothing about where a request goes. Time, timers and engines come by
+/// interface, so that the same code runs on sockets and in simulated time.
+///
+/// Router ties its parts together; each owns one concern: the active requests (request_table.h), attempts
+/// (attempt_runner.h), answers (token_relay.h, stream_guard.h), completions (request_completer.h), KV cache
+/// reservations (kv_reservation_releaser.h), the policy's events (policy_event_queue.h), the platform's rules
+/// (rule_enforcer.h) and what is known of endpoints (endpoint_directory.h).
 #pragma once
 
-#include <cstdint>
+#include <cstddef>
 #include <functional>
-#include <map>
-#include <memory>
+#include <optional>
+#include <span>
 #include <string>
-#include <unordered_map>
-#include <unordered_set>
+#include <string_view>
 #include <vector>
 
 #include "policy/routing_policy.h"
-#include "routing/execution_history.h"
-#include "routing/kv_reservation_tracker.h"
-#include "routing/rule_guard.h"
+#include "routing/attempt_runner.h"
+#include "routing/completion.h"
+#include "routing/counters.h"
+#include "routing/endpoint_directory.h"
+#include "routing/engine_client.h"
+#include "routing/kv_reservation_releaser.h"
+#include "routing/observer.h"
+#include "routing/options.h"
+#include "routing/policy_event_queue.h"
+#include "routing/request_completer.h"
+#include "routing/request_table.h"
+#include "routing/router_context.h"
+#include "routing/rule_enforcer.h"
 #include "routing/stream_guard.h"
-#include "routing/types.h"
+#include "routing/token_relay.h"
 #include "timing/owned_timers.h"
 
 namespace garnethook::routing {
 
-struct Options {
-  Settings settings;
-  std::uint64_t seed = 1;
-  std::string instance;  // beginning of work ids; unique among routers and their restarts
-  std::size_t openRequests = 20'000;
-  StreamGuard::Options streams;
-  KvReservationTracker::Options held;
-  Micros stopRetryAfter = 1'000'000;  // told to clients that are refused because the router goes down
-};
-
-struct Counters {
-  std::uint64_t taken = 0;
-  std::uint64_t served = 0;
-  std::uint64_t rejected = 0;
-  std::uint64_t failed = 0;
-  std::uint64_t left = 0;  // the client went away first
-  std::uint64_t attempts = 0;
-  std::uint64_t tokens = 0;
-  std::uint64_t dropped = 0;        // late pieces of attempts that were over
-  std::uint64_t failedActions = 0;  // that threw when they were carried out
-  std::map<FailureReason, std::uint64_t> causes;
-  std::map<Outcome, std::uint64_t> outcomes;
-};
-
-// What happened, for logs and recordings. Called at once; must not call the router.
-class Observer {
- public:
-  virtual ~Observer() = default;
-  virtual void onAttempt(const AttemptSpec&) {}
-  virtual void onAttemptEnded(AttemptId, EndpointId, const AttemptResult&) {}
-  // An engine read the prompt and told how many tokens it has.
-  virtual void onPromptRead(EndpointId, const Request&, double /*tokens*/) {}
-  virtual void onCompletion(RequestId, const Request&, const Completion&, Micros /*took*/) {}
-  virtual void onCancelled(RequestId) {}
-  virtual void onModuleLog(const std::string&) {}
-  virtual void onActionFailed(const std::string& /*what*/) {}
-  // A rule would have been broken, or was: see RuleGuard.
-  virtual void onViolation(Violation, RequestId, const Request&) {}
-  // An engine is asked to let go of what it holds for a request, and how that ended.
-  virtual void onRelease(EndpointId, RequestId, std::string_view /*workId*/) {}
-  virtual void onReleaseEnded(EndpointId, RequestId, bool /*ok*/) {}
-  // Every event given to the decision module and what it answered (recordings for replays).
-  virtual void onDecision(Micros, const Event&, const std::vector<Action>&) {}
-};
-
-class Router final : public EngineClientEvents {
+/// One router. Not thread-safe: all calls and events come on one thread.
+class Router final : public EngineClientEvents, private ActionExecutor {
  public:
+  /// `timers`, `engines` and `observer` are referred to. Throws std::invalid_argument where the policy can't
+  /// work with the settings.
   Router(const Options& options, timing::Timers& timers, EngineClient& engines, Observer& observer);
   ~Router() override = default;
+  Router(const Router&) = delete;
+  Router& operator=(const Router&) = delete;
 
-  // Takes a request. `client` gets its tokens and the one final answer, the latter maybe before this returns;
-  // it must live until then or until leave().
+  /// Accepts a request. `client` receives its tokens and one completion, the latter possibly before this
+  /// returns; it must live until then or until cancel().
   RequestId accept(Request request, Client& client);
-  // The client is gone, or wants no more: nothing is called on it any more, engines are told to stop.
+  /// The client has gone, or wants no more: nothing is called on it any more, and its attempt is ended.
   void cancel(RequestId id);
-  // As leave(), and the client is told the ending first.
-  void abort(RequestId id, FailureReason cause, const std::string& text);
-  // The counts of a request that is open, anew. Others are left alone.
+  /// As cancel(), and the client receives a completion first.
+  void abort(RequestId id, FailureReason reason, const std::string& text);
+  /// Replaces the token counts of a pending request; others are left alone.
   void updateTokenCounts(RequestId id, std::vector<PromptCount> counts);
-  // Requests whose answer has not begun.
-  void forEachPending(const std::function<void(RequestId, const Request&)>& call) const;
-  // What the list of engines tells; see EndpointUpdate.
-  void onList(const EndpointUpdate& list);
-  // Every request that is still open gets its final answer now; new ones are refused.
+  /// Calls back for each pending request whose answer has not begun.
+  void forEachUnanswered(const std::function<void(RequestId, const Request&)>& callback) const {
+    requests_.forEachUnanswered(callback);
+  }
+  /// The list of endpoints changed.
+  void onEndpointUpdate(const EndpointUpdate& update);
+  /// Every pending request receives its completion now; new ones are rejected.
   void stop();
 
   void onTokens(AttemptId attempt, std::string_view text, std::uint32_t count,
@@ -99,99 +71,52 @@
   void onReleaseEnded(EndpointId endpoint, RequestId request, bool ok) override;
   void onLivenessChecked(AttemptId attempt, bool alive) override;
 
+  /// What was counted so far.
   const Counters& counters() const { return counters_; }
-  const KvReservationTracker& held() const { return held_; }
-  const RuleGuard& rules() const { return rules_; }
-  std::size_t open() const { return open_; }           // requests without a final answer
-  std::size_t lives() const { return lives_.size(); }  // and those with an attempt out after it
+  /// KV cache reservations and their releases.
+  const KvReservationTracker& kvReservations() const { return reservations_.tracker(); }
+  /// Violations of rules that were counted.
+  const RuleGuard& ruleGuard() const { return rules_.guard(); }
+  /// Number of requests without a completion.
+  std::size_t pendingRequests() const { return requests_.pendingCount(); }
+  /// Number of pending requests and of those with an attempt still in flight.
+  std::size_t activeRequests() const { return requests_.size(); }
+  /// Settings of the routing policy.
   const Settings& settings() const { return options_.settings; }
 
  private:
-  struct Out {
-    int number = 0;
-    EndpointId endpoint;
-    Phase phase = Phase::combined;
-    Micros sentAt = 0;
-    bool started = false;
-    bool confirmed = false;  // its engine gave a sign of life on another connection since
-    Micros firstToken = 0;
-    Micros lastToken = 0;
-    std::uint32_t tokens = 0;
-    timing::TimerKey timeout;
-    timing::TimerKey unreached;
-  };
-  struct ActiveRequest {
-    Request request;
-    Client* client = nullptr;  // none once answered
-    Micros arrived = 0;
-    Micros usableUntil = 0;
-    std::string traceId;
-    int attempts = 0;
-    std::optional<Out> out;
-    ExecutionHistory exposed;
-    std::optional<EndpointLocation> firstPlace;  // where it first may have run
-    std::string kvTransferParams;
-    std::optional<EndpointId> stateAt;
-    std::string lastTrouble;  // of an engine, for the final answer's text
-    std::uint32_t nextToken = 0;
-    Usage usage;
-    timing::TimerKey guard;
-  };
-
-  Phase phaseAt(EndpointId endpoint, const ActiveRequest& life) const;
-  bool allowed(const Send& a, const ActiveRequest* life);
-  void expose(ActiveRequest& life, const Out& out);
-  void violated(Violation violation, RequestId id, const ActiveRequest* life);
-  void give(Event event);
-  void pump();
-  void carryOut(const Action& action);
-  void carry(const Send& a);
-  void carry(const Cancel& a);
-  void carry(const Reject& a);
-  void carry(const Fail& a);
-  void carry(const Release& a);
-  void carry(const SetTimer& a);
-  void carry(const Probe& a);
-  void carry(const Subscribe&) {}
-  void carry(const Log& a);
-  void finish(RequestId id, ActiveRequest& life, Completion ending);
-  void endAttempt(RequestId id, ActiveRequest& life, Outcome outcome, bool last);
-  void breakStream(RequestId id, ActiveRequest& life, FailureReason cause, Outcome outcome,
-                   const std::string& text);
-  void guardStream(RequestId id);
-  void stateDue(AttemptId attempt);
-  ActiveRequest* unstarted(AttemptId attempt);
-  bool arrivedForCertain(RequestId id, const Out& out) const;
-  void releaseBeside(AttemptId attempt, const Out& out);
-  void settle();
-  void forgetWork(RequestId id);
-  void callReleases(const std::vector<KvReservationTracker::Call>& calls);
-  void lookAtReleases();
-  ActiveRequest* find(RequestId id);
+  void execute(const Action& action) override;
+  void onEventsProcessed() override { eraseFinished(); }
+  void execute(const Send& send);
+  void execute(const Cancel& cancel);
+  void execute(const Reject& reject);
+  void execute(const Fail& fail);
+  void execute(const Release& release);
+  void execute(const SetTimer& setTimer);
+  void execute(const Probe& probe);
+  void execute(const Subscribe&) {}
+  void execute(const Log& log);
+  void refuseAttempt(const Send& send, ActiveRequest* active);
+  std::optional<Completion> rejectionOnArrival(const ActiveRequest& active) const;
+  bool isPastDeadline(const ActiveRequest& active) const;
+  ActiveRequest* findPending(RequestId id);
+  void eraseFinished();
 
   Options options_;
-  timing::OwnedTimers timers_;
-  EngineClient& engines_;
-  Observer& observer_;
-  RoutingPolicy brain_;
-  StreamGuard guard_;
-  KvReservationTracker held_;
-  RuleGuard rules_;
-  std::unordered_map<std::uint64_t, ActiveRequest> lives_;
-  std::unordered_map<std::uint64_t, std::string> works_;  // work ids of requests that were read somewhere
-  std::unordered_map<std::uint64_t, Role> roles_;
-  std::unordered_map<std::uint64_t, EndpointLocation> places_;
-  std::unordered_map<std::uint64_t, Micros> starts_;  // last known start time of each engine
-  std::unordered_set<std::uint64_t> running_;         // engines that the list calls running
-  std::vector<Event> queue_;
-  std::size_t queueAt_ = 0;
-  std::vector<RequestId> done_;  // answered or left, to be settled after the pump
-  bool pumping_ = false;
-  bool stopping_ = false;
-  std::size_t open_ = 0;
-  std::uint64_t nextId_ = 1;
   Counters counters_;
-  timing::Alarm releaseAlarm_;
+  timing::OwnedTimers timers_;
+  RouterContext context_;
+  EndpointDirectory endpoints_;
+  RequestTable requests_;
+  RuleEnforcer rules_;
+  KvReservationReleaser reservations_;
+  PolicyEventQueue events_;
+  RequestCompleter completer_;
+  AttemptRunner::Parts parts_;
+  AttemptRunner attempts_;
+  StreamGuard streamGuard_;
+  TokenRelay tokens_;
+  bool isStopping_ = false;
 };
 
 }  // namespace garnethook::routing
--- a/src/routing/rule_guard.cpp
+++ b/src/routing/rule_guard.cpp
@@ -5,7 +5,7 @@
 namespace garnethook::routing {
 namespace {
 
-bool inGroup(DeduplicationScope scope, const EndpointLocation& first, const EndpointLocation& target) {
+bool isInScope(DeduplicationScope scope, const EndpointLocation& first, const EndpointLocation& target) {
   switch (scope) {
     case DeduplicationScope::fleet: return true;
     case DeduplicationScope::zone: return first.zone == target.zone;
@@ -18,34 +18,36 @@
 
 std::string_view name(Violation violation) {
   switch (violation) {
-    case Violation::concurrentAttempt: return "second-attempt";
-    case Violation::attemptAfterCompletion: return "attempt-after-end";
-    case Violation::retryOfNonIdempotent: return "repeat-of-unsafe";
-    case Violation::retryOutsideDeduplicationWindow: return "repeat-out-of-window";
-    case Violation::retryOutsideDeduplicationScope: return "repeat-out-of-group";
-    case Violation::rejectionAfterExecution: return "refusal-of-run";
-    case Violation::lateCompletion: return "late-answer";
+    case Violation::concurrentAttempt: return "concurrent-attempt";
+    case Violation::attemptAfterCompletion: return "attempt-after-completion";
+    case Violation::retryOfNonIdempotent: return "retry-of-non-idempotent";
+    case Violation::retryOutsideDeduplicationWindow: return "retry-outside-deduplication-window";
+    case Violation::retryOutsideDeduplicationScope: return "retry-outside-deduplication-scope";
+    case Violation::rejectionAfterExecution: return "rejection-after-execution";
+    case Violation::lateCompletion: return "late-completion";
     case Violation::count_: break;
   }
   return "unknown";
 }
 
-// Reading is no effect, so only attempts that answer may repeat work.
-std::optional<Violation> RuleGuard::judge(const AttemptQuestion& question) {
-  if (question.answered) return Violation::attemptAfterCompletion;
-  if (question.attemptOut) return Violation::concurrentAttempt;
-  const RequestClass& c = question.requestClass;
-  if (!question.exposure.possiblyExecuted || c.idempotency == Idempotency::idempotent ||
-      question.phase == Phase::prefill)
+std::optional<Violation> RuleGuard::check(const AttemptContext& context) {
+  if (context.isAnswered) return Violation::attemptAfterCompletion;
+  if (context.hasAttemptInFlight) return Violation::concurrentAttempt;
+  const RequestClass& requestClass = context.requestClass;
+  // A prefill has no effect, so only attempts that generate an answer may repeat work.
+  if (!context.history.possiblyExecuted || requestClass.idempotency == Idempotency::idempotent ||
+      context.phase == Phase::prefill)
     return std::nullopt;
-  if (c.idempotency == Idempotency::nonIdempotent) return Violation::retryOfNonIdempotent;
-  if (question.now > retryUntil(c, question.exposure)) return Violation::retryOutsideDeduplicationWindow;
-  if (question.firstPlace && !inGroup(c.deduplicationScope, *question.firstPlace, question.target))
+  if (requestClass.idempotency == Idempotency::nonIdempotent) return Violation::retryOfNonIdempotent;
+  if (context.now > retryUntil(requestClass, context.history))
+    return Violation::retryOutsideDeduplicationWindow;
+  if (context.firstExecutedAt &&
+      !isInScope(requestClass.deduplicationScope, *context.firstExecutedAt, context.target))
     return Violation::retryOutsideDeduplicationScope;
   return std::nullopt;
 }
 
-std::uint64_t RuleGuard::all() const {
+std::uint64_t RuleGuard::total() const {
   return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0});
 }
 
--- a/src/server/router_server.cpp
+++ b/src/server/router_server.cpp
@@ -3,6 +3,7 @@
 #include <filesystem>
 #include <utility>
 
+#include "routing/policy_log.h"
 #include "timing/wall_clock.h"
 
 namespace garnethook::server {
@@ -88,7 +89,7 @@
       isStaleCopy ? membership::StartTimes::Source::persistedCopy : membership::StartTimes::Source::discovery;
   auto list = membership::toEndpointUpdate(list_.endpoints(), startTimes(source), settings_.names, kind);
   counts_.fill(list);
-  router_->onList(list);
+  router_->onEndpointUpdate(list);
 }
 
 membership::MonotonicStartTimes RouterServer::startTimes(membership::StartTimes::Source source) {
@@ -101,7 +102,7 @@
       membership::toEndpointUpdate(list_.endpoints(), startTimes(membership::StartTimes::Source::discovery),
                                    settings_.names, EndpointUpdate::Kind::delta);
   counts_.fill(list);
-  router_->onList(list);
+  router_->onEndpointUpdate(list);
 }
 
 std::string RouterServer::nameOf(EndpointId id) const {
@@ -159,7 +160,7 @@
   if (log_.debugs()) log_.debug("client-left", {{"request", id.value}});
 }
 
-void RouterServer::onModuleLog(const std::string& said) {
+void RouterServer::onPolicyLog(const std::string& said) {
   log_.info("decision", {{"text", routing::withNames(said, [this](EndpointId id) { return nameOf(id); })}});
 }
 
@@ -182,7 +183,7 @@
 void RouterServer::drain(std::function<void()> done) {
   drained_ = std::move(done);
   drainUntil_ = loop_.now() + settings_.stopWithin;
-  log_.info("draining", {{"open", router_->open()}, {"within_ms", settings_.stopWithin / 1000}});
+  log_.info("draining", {{"open", router_->pendingRequests()}, {"within_ms", settings_.stopWithin / 1000}});
   health_.set(false);
   frontend_->drain();
   checkDrained();
@@ -190,8 +191,9 @@
 
 void RouterServer::checkDrained() {
   if (loop_.now() >= drainUntil_) router_->stop();
-  const bool over = router_->open() == 0 && counts_.open() == 0 &&
-                    router_->held().held() + router_->held().releasing() == 0;
+  const bool over =
+      router_->pendingRequests() == 0 && counts_.open() == 0 &&
+      router_->kvReservations().reservationCount() + router_->kvReservations().pendingReleaseCount() == 0;
   const bool given = loop_.now() >= drainUntil_ + settings_.engine.controlTimeout * 2;
   if (!over && !given) return drainAlarm_.start(20'000, [this] { checkDrained(); });
   frontend_->close();
@@ -201,14 +203,15 @@
 
 std::string RouterServer::summary() const {
   const auto& c = router_->counters();
-  return "taken " + std::to_string(c.taken) + ", served " + std::to_string(c.served) + ", refused " +
+  return "taken " + std::to_string(c.accepted) + ", served " + std::to_string(c.completed) + ", refused " +
          std::to_string(c.rejected) + ", failed " + std::to_string(c.failed) + ", left " +
-         std::to_string(c.left) + ", open " + std::to_string(router_->open()) + "; attempts " +
-         std::to_string(c.attempts) + ", tokens " + std::to_string(c.tokens) + "; states held " +
-         std::to_string(router_->held().held()) + ", being released " +
-         std::to_string(router_->held().releasing()) + ", released " +
-         std::to_string(router_->held().released()) + ", given up " +
-         std::to_string(router_->held().abandoned()) + (counts_.on() ? "; " + counts_.summary() : "");
+         std::to_string(c.cancelled) + ", open " + std::to_string(router_->pendingRequests()) +
+         "; attempts " + std::to_string(c.attempts) + ", tokens " + std::to_string(c.tokens) +
+         "; states held " + std::to_string(router_->kvReservations().reservationCount()) +
+         ", being released " + std::to_string(router_->kvReservations().pendingReleaseCount()) +
+         ", released " + std::to_string(router_->kvReservations().releasedCount()) + ", given up " +
+         std::to_string(router_->kvReservations().abandonedCount()) +
+         (counts_.on() ? "; " + counts_.summary() : "");
 }
 
 }  // namespace garnethook::server
--- a/src/server/router_server.h
+++ b/src/server/router_server.h
@@ -51,7 +51,7 @@
   void onCompletion(RequestId id, const routing::Request& request, const routing::Completion& ending,
                     Micros took) override;
   void onCancelled(RequestId id) override;
-  void onModuleLog(const std::string& text) override;
+  void onPolicyLog(const std::string& text) override;
   void onDecision(Micros now, const Event& event, const std::vector<Action>& actions) override;
   void poll();
   void tell(EndpointUpdate::Kind kind);
--- a/src/server/settings.cpp
+++ b/src/server/settings.cpp
@@ -107,14 +107,15 @@
   s.routers = static_cast<std::size_t>(root.integer("routers", 1, 1, 100'000));
   s.maxAttempts = static_cast<int>(root.integer("attempts", 4, 1, 100));
   s.decodeEndpointsPrefill = root.flag("writers_read", false);
-  out.routing.openRequests = static_cast<std::size_t>(root.integer("open_requests", 20'000, 1, 10'000'000));
+  out.routing.maxPendingRequests =
+      static_cast<std::size_t>(root.integer("open_requests", 20'000, 1, 10'000'000));
   out.stopWithin = root.micros("stop_within_ms", 10'000, 0, kHour);
 
   const Node release = root.object("release");
   s.kvReleaseTimeout = release.micros("within_ms", 500, 1, kHour);
-  out.routing.held.kvReleaseTimeout = s.kvReleaseTimeout;
-  out.routing.held.tries = static_cast<int>(release.integer("tries", 40, 1, 1000));
-  out.routing.held.pause = release.micros("pause_ms", 100, 1, kHour);
+  out.routing.kvReservations.kvReleaseTimeout = s.kvReleaseTimeout;
+  out.routing.kvReservations.maxReleaseAttempts = static_cast<int>(release.integer("tries", 40, 1, 1000));
+  out.routing.kvReservations.releaseRetryDelay = release.micros("pause_ms", 100, 1, kHour);
   release.done();
 
   const Node retry = root.object("retry_after");
@@ -130,8 +131,8 @@
   cold.done();
 
   const Node streams = root.object("streams");
-  out.routing.streams.silence = streams.micros("silence_ms", 10'000, 1, kHour);
-  out.routing.streams.margin = streams.micros("deadline_margin_ms", 50, 0, kHour);
+  out.routing.streamGuard.stallTimeout = streams.micros("silence_ms", 10'000, 1, kHour);
+  out.routing.streamGuard.deadlineMargin = streams.micros("deadline_margin_ms", 50, 0, kHour);
   streams.done();
 
   const Node engines = root.object("engines");
@@ -166,7 +167,7 @@
   out.grpc.idleWithin = grpc.micros("idle_within_ms", 300'000, 1, 24 * kHour);
   grpc.done();
 
-  out.grpc.deadlineMargin = out.routing.streams.margin;
+  out.grpc.deadlineMargin = out.routing.streamGuard.deadlineMargin;
   const Node requests = root.object("requests");
   out.intake.maxOutput = static_cast<std::uint32_t>(requests.integer("output_tokens", 1024, 1, 10'000'000));
   out.intake.mostOutput =
--- a/src/server/settings.h
+++ b/src/server/settings.h
@@ -9,7 +9,7 @@
 #include "engine/options.h"
 #include "grpc_frontend/grpc_server.h"
 #include "membership/endpoint_spec.h"
-#include "routing/router.h"
+#include "routing/options.h"
 #include "server/token_counts.h"
 
 namespace garnethook::server {
--- a/src/server/token_counts.cpp
+++ b/src/server/token_counts.cpp
@@ -175,7 +175,7 @@
   inUse_ = std::move(now);
   if (!grew || router_ == nullptr) return;
   std::vector<std::pair<RequestId, routing::Request>> waiting;
-  router_->forEachPending([&](RequestId id, const routing::Request& request) {
+  router_->forEachUnanswered([&](RequestId id, const routing::Request& request) {
     if (request.prompt) waiting.emplace_back(id, request);
   });
   for (auto& [id, request] : waiting)
--- a/src/timing/unix_time.h
+++ b/src/timing/unix_time.h
@@ -6,7 +6,8 @@
 
 namespace garnethook::timing {
 
-/// An instant by somebody's wall clock. Instants of the process's monotonic clock are plain microsecond counts
+/// An instant by somebody's wall clock. Instants of the process's monotonic clock are plain microsecond
+/// counts
 /// (`Micros`) and do not convert to or from it.
 struct UnixTime {
   std::int64_t sinceEpoch = 0;  ///< Microseconds since 1970-01-01T00:00:00Z. 0: not known.
--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -61,7 +61,7 @@
   // The router's close over unread bytes is a reset: nothing of them was read.
   EXPECT_TRUE(w.until([&] { return c->resetSeen(); }, 1'000'000));
   EXPECT_TRUE(w.engines.begun.empty());
-  EXPECT_EQ(w.router->counters().taken, 0u);
+  EXPECT_EQ(w.router->counters().accepted, 0u);
   EXPECT_TRUE(w.until([&] { return w.front->connections() == 0; }, 1'000'000));
 }
 
--- a/tests/path/hard_cases_test.cpp
+++ b/tests/path/hard_cases_test.cpp
@@ -137,7 +137,7 @@
   }));
   while (asked < replies.size()) w.ask(replies[asked], "p #m" + std::to_string(asked), 60'000'000), ++asked;
   // All have reached the router, however busy the machine: what it never took is not its to answer.
-  ASSERT_TRUE(w.until([&] { return w.router->router().counters().taken == replies.size(); }));
+  ASSERT_TRUE(w.until([&] { return w.router->router().counters().accepted == replies.size(); }));
   bool drained = false;
   w.router->drain([&] { drained = true; });
   ASSERT_TRUE(w.until([&] { return drained; }, 5'000'000));
@@ -145,7 +145,7 @@
     EXPECT_EQ(r.finals, 1);
     EXPECT_TRUE(r.overWire);
   }
-  EXPECT_EQ(w.router->router().open(), 0u);
+  EXPECT_EQ(w.router->router().pendingRequests(), 0u);
 }
 
 TEST(Path, ADrainWhileAStateIsHeldStillServesAndSendsNothingNew) {
@@ -190,7 +190,7 @@
       w.pass(200'000);
       w.expectClean();
       EXPECT_LT(w.when("state.released") - closed, 500'000) << stage;
-      EXPECT_EQ(w.router->router().counters().left, 1u) << stage;
+      EXPECT_EQ(w.router->router().counters().cancelled, 1u) << stage;
       EXPECT_LE(w.count("engine.request"), 2u);
     }
 }
--- a/tests/path/platform_world.h
+++ b/tests/path/platform_world.h
@@ -61,7 +61,8 @@
     return until(
         [&] {
           const auto& r = node->router();
-          return r.open() == 0 && r.lives() == 0 && r.held().held() + r.held().releasing() == 0 &&
+          return r.pendingRequests() == 0 && r.activeRequests() == 0 &&
+                 r.kvReservations().reservationCount() + r.kvReservations().pendingReleaseCount() == 0 &&
                  node->front().openRequests() == 0;
         },
         2'000'000);
--- a/tests/path/world.h
+++ b/tests/path/world.h
@@ -114,12 +114,14 @@
   void expectClean() {
     EXPECT_TRUE(until(
         [&] {
-          return fleet.held() == 0 && router->router().lives() == 0 && router->router().held().held() == 0 &&
-                 router->router().held().releasing() == 0 && router->engines().attempts() == 0;
+          return fleet.held() == 0 && router->router().activeRequests() == 0 &&
+                 router->router().kvReservations().reservationCount() == 0 &&
+                 router->router().kvReservations().pendingReleaseCount() == 0 &&
+                 router->engines().attempts() == 0;
         },
         3'000'000));
     EXPECT_EQ(fleet.held(), 0u);
-    EXPECT_EQ(router->router().lives(), 0u);
+    EXPECT_EQ(router->router().activeRequests(), 0u);
   }
 
   std::string settingsText;
--- a/tests/routing/rule_guard_test.cpp
+++ b/tests/routing/rule_guard_test.cpp
@@ -1,4 +1,4 @@
-// The guard refuses each attempt that would break a rule, and nothing else.
+// The rule guard reports each attempt that would break a rule, and nothing else.
 #include "routing/rule_guard.h"
 
 #include <gtest/gtest.h>
@@ -13,88 +13,88 @@
 using routing::Violation;
 
 struct RuleGuardTest : testing::Test {
-  std::optional<Violation> judge(Phase phase = Phase::decode) {
-    return RuleGuard::judge({.requestClass = requestClass,
-                             .exposure = exposure,
-                             .firstPlace = first,
+  std::optional<Violation> check(Phase phase = Phase::decode) {
+    return RuleGuard::check({.requestClass = requestClass,
+                             .history = history,
+                             .firstExecutedAt = firstExecutedAt,
                              .target = target,
                              .phase = phase,
-                             .answered = answered,
-                             .attemptOut = attemptOut,
+                             .isAnswered = isAnswered,
+                             .hasAttemptInFlight = hasAttemptInFlight,
                              .now = now});
   }
-  void mayHaveRunAt(Micros time, const EndpointLocation& place) {
-    exposure.note(time);
-    first = place;
+  void recordPossibleExecution(Micros sentAt, const EndpointLocation& location) {
+    history.recordPossibleExecution(sentAt);
+    firstExecutedAt = location;
   }
   RequestClass requestClass{
       .deadline = 3'000'000, .idempotency = Idempotency::idempotent, .deduplicationWindow = 1'000'000};
-  ExecutionHistory exposure;
-  std::optional<EndpointLocation> first;
+  ExecutionHistory history;
+  std::optional<EndpointLocation> firstExecutedAt;
   EndpointLocation target{0, 1};
-  bool answered = false;
-  bool attemptOut = false;
+  bool isAnswered = false;
+  bool hasAttemptInFlight = false;
   Micros now = 5'000'000;
 };
 
-TEST_F(RuleGuardTest, OneAttemptAtATimeAndNoneBehindTheAnswer) {
-  EXPECT_EQ(judge(), std::nullopt);
-  attemptOut = true;
-  EXPECT_EQ(judge(), Violation::concurrentAttempt);
-  EXPECT_EQ(judge(Phase::prefill), Violation::concurrentAttempt);
-  answered = true;
-  EXPECT_EQ(judge(), Violation::attemptAfterCompletion);
+TEST_F(RuleGuardTest, AllowsOneAttemptAtATimeAndNoneAfterCompletion) {
+  EXPECT_EQ(check(), std::nullopt);
+  hasAttemptInFlight = true;
+  EXPECT_EQ(check(), Violation::concurrentAttempt);
+  EXPECT_EQ(check(Phase::prefill), Violation::concurrentAttempt);
+  isAnswered = true;
+  EXPECT_EQ(check(), Violation::attemptAfterCompletion);
 }
 
-TEST_F(RuleGuardTest, SafeWorkIsRepeatedAtWill) {
-  mayHaveRunAt(1, {1, 9});
-  EXPECT_EQ(judge(), std::nullopt);
+TEST_F(RuleGuardTest, AllowsAnyRetryOfIdempotentWork) {
+  recordPossibleExecution(1, {1, 9});
+  EXPECT_EQ(check(), std::nullopt);
 }
 
-TEST_F(RuleGuardTest, UnsafeWorkThatMayHaveRunIsReadAnewAtMost) {
+TEST_F(RuleGuardTest, AllowsOnlyAPrefillOfNonIdempotentWorkThatMayHaveRun) {
   requestClass.idempotency = Idempotency::nonIdempotent;
-  EXPECT_EQ(judge(), std::nullopt);
-  mayHaveRunAt(now - 1, target);
-  EXPECT_EQ(judge(), Violation::retryOfNonIdempotent);
-  EXPECT_EQ(judge(Phase::combined), Violation::retryOfNonIdempotent);
-  EXPECT_EQ(judge(Phase::prefill), std::nullopt);
+  EXPECT_EQ(check(), std::nullopt);
+  recordPossibleExecution(now - 1, target);
+  EXPECT_EQ(check(), Violation::retryOfNonIdempotent);
+  EXPECT_EQ(check(Phase::combined), Violation::retryOfNonIdempotent);
+  EXPECT_EQ(check(Phase::prefill), std::nullopt);
 }
 
-TEST_F(RuleGuardTest, KeyedWorkStaysInItsWindow) {
+TEST_F(RuleGuardTest, KeepsRetriesOfKeyedWorkWithinTheDeduplicationWindow) {
   requestClass.idempotency = Idempotency::idempotentWithKey;
-  mayHaveRunAt(now - 1'000'000, target);
-  EXPECT_EQ(judge(), std::nullopt);
+  recordPossibleExecution(now - 1'000'000, target);
+  EXPECT_EQ(check(), std::nullopt);
   now += 1;
-  EXPECT_EQ(judge(), Violation::retryOutsideDeduplicationWindow);
+  EXPECT_EQ(check(), Violation::retryOutsideDeduplicationWindow);
 }
 
-TEST_F(RuleGuardTest, KeyedWorkStaysInItsGroup) {
+TEST_F(RuleGuardTest, KeepsRetriesOfKeyedWorkWithinTheDeduplicationScope) {
   requestClass.idempotency = Idempotency::idempotentWithKey;
-  mayHaveRunAt(now - 10, {1, 1});
-  EXPECT_EQ(judge(), std::nullopt);
+  recordPossibleExecution(now - 10, {1, 1});
+  EXPECT_EQ(check(), std::nullopt);
   requestClass.deduplicationScope = DeduplicationScope::zone;
-  EXPECT_EQ(judge(), Violation::retryOutsideDeduplicationScope);
+  EXPECT_EQ(check(), Violation::retryOutsideDeduplicationScope);
   requestClass.deduplicationScope = DeduplicationScope::cell;
-  EXPECT_EQ(judge(), std::nullopt);
+  EXPECT_EQ(check(), std::nullopt);
   target.cell = 2;
-  EXPECT_EQ(judge(), Violation::retryOutsideDeduplicationScope);
+  EXPECT_EQ(check(), Violation::retryOutsideDeduplicationScope);
 }
 
-TEST_F(RuleGuardTest, AnAnswerIsLateBehindItsSlackAndThePlatforms) {
+TEST_F(RuleGuardTest, CallsACompletionLateAfterItsOwnAndThePlatformsSlack) {
   constexpr Micros kDeadline = 1'000'000;
   constexpr Micros kSettingsSlack = 8'000;
-  EXPECT_FALSE(RuleGuard::late(kDeadline + kSettingsSlack + 200'000, kDeadline, kSettingsSlack));
-  EXPECT_TRUE(RuleGuard::late(kDeadline + kSettingsSlack + 200'001, kDeadline, kSettingsSlack));
+  EXPECT_FALSE(RuleGuard::isLate(kDeadline + kSettingsSlack + 200'000, kDeadline, kSettingsSlack));
+  EXPECT_TRUE(RuleGuard::isLate(kDeadline + kSettingsSlack + 200'001, kDeadline, kSettingsSlack));
 }
 
-TEST_F(RuleGuardTest, WhatWasBrokenIsCountedByRule) {
+TEST_F(RuleGuardTest, CountsViolationsByRule) {
   RuleGuard guard;
-  guard.count(Violation::lateCompletion);
-  guard.count(Violation::lateCompletion);
-  guard.count(Violation::rejectionAfterExecution);
-  EXPECT_EQ(guard.counted(Violation::lateCompletion), 2u);
-  EXPECT_EQ(guard.counted(Violation::concurrentAttempt), 0u);
-  EXPECT_EQ(guard.all(), 3u);
+  guard.record(Violation::lateCompletion);
+  guard.record(Violation::lateCompletion);
+  guard.record(Violation::rejectionAfterExecution);
+  EXPECT_EQ(guard.count(Violation::lateCompletion), 2u);
+  EXPECT_EQ(guard.count(Violation::concurrentAttempt), 0u);
+  EXPECT_EQ(guard.total(), 3u);
 }
 
 }  // namespace
--- a/tests/support/frontend_world.h
+++ b/tests/support/frontend_world.h
@@ -152,14 +152,14 @@
  public:
   // `silence`: the longest time between two events of a stream.
   explicit FrontendWorld(const platform::HttpFrontend::Options& options = {},
-                         Micros silence = routing::StreamGuard::Options().silence)
+                         Micros silence = routing::StreamGuard::Options().stallTimeout)
       : engines(loop), config(testConfig()) {
     routing::Options core;
     core.settings = config.deployment.settings;
     core.instance = "n0";
-    core.streams.margin = 0;
-    core.streams.silence = silence;
-    core.streams.deadlineEnds = false;
+    core.streamGuard.deadlineMargin = 0;
+    core.streamGuard.stallTimeout = silence;
+    core.streamGuard.enforcesDeadline = false;
     router = std::make_unique<routing::Router>(core, loop, engines, observer_);
     engines.events = router.get();
     platform::EndpointList list;
@@ -168,7 +168,8 @@
         R"({"id":"r","host_port":"127.0.0.1:1","locality":"a","flavor":"m1","cell":1,"phase":"ready"},)"
         R"({"id":"w","host_port":"127.0.0.1:2","locality":"a","flavor":"m2","cell":1,"phase":"ready"}]})"));
     const membership::KindAndZoneNames names{config.deployment.kindNames, config.deployment.zoneNames};
-    router->onList(membership::toEndpointUpdate(list.engines(), {}, names, EndpointUpdate::Kind::snapshot));
+    router->onEndpointUpdate(
+        membership::toEndpointUpdate(list.engines(), {}, names, EndpointUpdate::Kind::snapshot));
     front = std::make_unique<platform::HttpFrontend>(loop, Poco::Net::SocketAddress("127.0.0.1", 0), options,
                                                      config.deployment, *router,
                                                      platform::HttpFrontend::Events{[] { return true; }});
@@ -202,8 +203,12 @@
   bool clean() {
     return until(
         [&] {
-          return router->open() == 0 && router->lives() == 0 && front->openRequests() == 0 &&
-                 router->held().held() + router->held().releasing() == 0 && front->bufferedBytes() == 0;
+          return router->pendingRequests() == 0 && router->activeRequests() == 0 &&
+                 front->openRequests() == 0 &&
+                 router->kvReservations().reservationCount() +
+                         router->kvReservations().pendingReleaseCount() ==
+                     0 &&
+                 front->bufferedBytes() == 0;
         },
         2'000'000);
   }
