--- a/src/platform/engine/protocol.h
+++ b/src/platform/engine/protocol.h
@@ -10,8 +10,8 @@
 
 #include "deployment_config/deployment_config.h"
 #include "http1/message.h"
-#include "membership/endpoint_list_file.h"
-#include "routing/types.h"
+#include "membership/endpoint_spec.h"
+#include "routing/engine_client.h"
 
 namespace garnethook::platform {
 
--- a/src/platform/process/router_process.h
+++ b/src/platform/process/router_process.h
@@ -59,7 +59,7 @@
   void onCompletion(RequestId id, const routing::Request& request, const routing::Completion& ending,
                     Micros took) override;
   void onCancelled(RequestId id) override;
-  void onModuleLog(const std::string& text) override;
+  void onPolicyLog(const std::string& text) override;
   void onActionFailed(const std::string& what) override;
   void onViolation(routing::Violation violation, RequestId id, const routing::Request& request) override;
   void onRelease(EndpointId endpoint, RequestId id, std::string_view traceId) override;
@@ -70,7 +70,7 @@
   log::Log log_;
   Times times_;
   ResourceBudget budget_;
-  membership::Names names_;
+  membership::KindAndZoneNames names_;
   EndpointList list_;
   membership::StartTimes starts_;
   std::map<std::uint64_t, std::string> engineNames_;
--- a/src/server/router_server.cpp
+++ b/src/server/router_server.cpp
@@ -3,6 +3,7 @@
 #include <filesystem>
 #include <utility>
 
+#include "routing/policy_log.h"
 #include "timing/wall_clock.h"
 
 namespace garnethook::server {
@@ -32,21 +33,21 @@
   router_ = std::make_unique<routing::Router>(settings_.routing, loop_, engines_, *this);
   engines_.setEvents(*router_);
   counts_.setRouter(*router_);
-  const auto change = list_.look();
-  for (const auto& error : change.errors) log_.warn("engine-list", {{"trouble", error}});
-  if (change.changed) {
+  const auto change = list_.refresh();
+  for (const auto& error : change.errors) log_.warn("engine-list", {{"trouble", error.message}});
+  if (change.hasChanged) {
     tell(EndpointUpdate::Kind::snapshot);
   } else {
-    std::vector<std::string> errors;
-    const bool recalled = list_.recall(errors);
-    for (const auto& error : errors) log_.warn("engine-list", {{"trouble", error}});
+    std::vector<membership::EndpointListError> errors;
+    const bool recalled = list_.loadCopy(errors);
+    for (const auto& error : errors) log_.warn("engine-list", {{"trouble", error.message}});
     if (recalled) tell(EndpointUpdate::Kind::staleCopy);
   }
   frontend_ = std::make_unique<grpc_frontend::GrpcServer>(loop_, Poco::Net::SocketAddress(settings_.listen),
                                                           settings_.grpc, settings_.intake, *router_, health_,
                                                           counts_.on() ? &counts_ : nullptr);
   health_.set(true);
-  log_.info("listening", {{"address", address().toString()}, {"engines", list_.engines().size()}});
+  log_.info("listening", {{"address", address().toString()}, {"engines", list_.endpoints().size()}});
   pollAlarm_.start(settings_.listPoll, [this] { poll(); });
 }
 
@@ -61,17 +62,17 @@
 }
 
 void RouterServer::lookAtList() {
-  const auto change = list_.look();
-  for (const auto& error : change.errors) log_.warn("engine-list", {{"trouble", error}});
-  if (change.changed)
+  const auto change = list_.refresh();
+  for (const auto& error : change.errors) log_.warn("engine-list", {{"trouble", error.message}});
+  if (change.hasChanged)
     tell(EndpointUpdate::Kind::snapshot);
   else if (!change.errors.empty())
     return;
-  starts_.heard(loop_.now());
+  starts_.recordContact(loop_.now());
 }
 
 void RouterServer::tell(EndpointUpdate::Kind kind) {
-  for (const auto& [name, e] : list_.engines()) {
+  for (const auto& [name, e] : list_.endpoints()) {
     names_[e.id.value] = name;
     if (std::find(settings_.names.kinds.begin(), settings_.names.kinds.end(), e.kind) ==
         settings_.names.kinds.end())
@@ -80,24 +81,28 @@
                  {"trouble", "kind \"" + e.kind + "\" is not in the settings; taken for a writer"}});
   }
   log_.info("engine-list",
-            {{"engines", list_.engines().size()}, {"remembered", kind == EndpointUpdate::Kind::staleCopy}});
-  engines_.update(list_.engines());
-  counts_.onList(list_.engines());
-  auto list = membership::toEndpointUpdate(datedEngines(kind == EndpointUpdate::Kind::staleCopy),
-                                           settings_.names, kind);
+            {{"engines", list_.endpoints().size()}, {"remembered", kind == EndpointUpdate::Kind::staleCopy}});
+  engines_.update(list_.endpoints());
+  counts_.onList(list_.endpoints());
+  const bool isStaleCopy = kind == EndpointUpdate::Kind::staleCopy;
+  const auto source =
+      isStaleCopy ? membership::StartTimes::Source::persistedCopy : membership::StartTimes::Source::discovery;
+  auto list = membership::toEndpointUpdate(list_.endpoints(), startTimes(source), settings_.names, kind);
   counts_.fill(list);
-  router_->onList(list);
+  router_->onEndpointUpdate(list);
 }
 
-membership::EndpointMap RouterServer::datedEngines(bool remembered) {
-  return starts_.date(list_.engines(), remembered, loop_.now(), timing::unixNow());
+membership::MonotonicStartTimes RouterServer::startTimes(membership::StartTimes::Source source) {
+  return starts_.toMonotonic(list_.endpoints(), source, loop_.now(), timing::unixNow());
 }
 
 // Engines count otherwise now; nothing else of the list changed.
 void RouterServer::tellCounts() {
-  auto list = membership::toEndpointUpdate(datedEngines(false), settings_.names, EndpointUpdate::Kind::delta);
+  auto list =
+      membership::toEndpointUpdate(list_.endpoints(), startTimes(membership::StartTimes::Source::discovery),
+                                   settings_.names, EndpointUpdate::Kind::delta);
   counts_.fill(list);
-  router_->onList(list);
+  router_->onEndpointUpdate(list);
 }
 
 std::string RouterServer::nameOf(EndpointId id) const {
@@ -155,7 +160,7 @@
   if (log_.debugs()) log_.debug("client-left", {{"request", id.value}});
 }
 
-void RouterServer::onModuleLog(const std::string& said) {
+void RouterServer::onPolicyLog(const std::string& said) {
   log_.info("decision", {{"text", routing::withNames(said, [this](EndpointId id) { return nameOf(id); })}});
 }
 
@@ -178,7 +183,7 @@
 void RouterServer::drain(std::function<void()> done) {
   drained_ = std::move(done);
   drainUntil_ = loop_.now() + settings_.stopWithin;
-  log_.info("draining", {{"open", router_->open()}, {"within_ms", settings_.stopWithin / 1000}});
+  log_.info("draining", {{"open", router_->pendingRequests()}, {"within_ms", settings_.stopWithin / 1000}});
   health_.set(false);
   frontend_->drain();
   checkDrained();
@@ -186,8 +191,9 @@
 
 void RouterServer::checkDrained() {
   if (loop_.now() >= drainUntil_) router_->stop();
-  const bool over = router_->open() == 0 && counts_.open() == 0 &&
-                    router_->held().held() + router_->held().releasing() == 0;
+  const bool over =
+      router_->pendingRequests() == 0 && counts_.open() == 0 &&
+      router_->kvReservations().reservationCount() + router_->kvReservations().pendingReleaseCount() == 0;
   const bool given = loop_.now() >= drainUntil_ + settings_.engine.controlTimeout * 2;
   if (!over && !given) return drainAlarm_.start(20'000, [this] { checkDrained(); });
   frontend_->close();
@@ -197,14 +203,15 @@
 
 std::string RouterServer::summary() const {
   const auto& c = router_->counters();
-  return "taken " + std::to_string(c.taken) + ", served " + std::to_string(c.served) + ", refused " +
+  return "taken " + std::to_string(c.accepted) + ", served " + std::to_string(c.completed) + ", refused " +
          std::to_string(c.rejected) + ", failed " + std::to_string(c.failed) + ", left " +
-         std::to_string(c.left) + ", open " + std::to_string(router_->open()) + "; attempts " +
-         std::to_string(c.attempts) + ", tokens " + std::to_string(c.tokens) + "; states held " +
-         std::to_string(router_->held().held()) + ", being released " +
-         std::to_string(router_->held().releasing()) + ", released " +
-         std::to_string(router_->held().released()) + ", given up " +
-         std::to_string(router_->held().abandoned()) + (counts_.on() ? "; " + counts_.summary() : "");
+         std::to_string(c.cancelled) + ", open " + std::to_string(router_->pendingRequests()) +
+         "; attempts " + std::to_string(c.attempts) + ", tokens " + std::to_string(c.tokens) +
+         "; states held " + std::to_string(router_->kvReservations().reservationCount()) +
+         ", being released " + std::to_string(router_->kvReservations().pendingReleaseCount()) +
+         ", released " + std::to_string(router_->kvReservations().releasedCount()) + ", given up " +
+         std::to_string(router_->kvReservations().abandonedCount()) +
+         (counts_.on() ? "; " + counts_.summary() : "");
 }
 
 }  // namespace garnethook::server
--- a/src/server/router_server.h
+++ b/src/server/router_server.h
@@ -8,6 +8,7 @@
 #include "engine/http_engine_client.h"
 #include "grpc_frontend/grpc_server.h"
 #include "log/log.h"
+#include "membership/endpoint_list_file.h"
 #include "membership/start_times.h"
 #include "net/loop.h"
 #include "server/settings.h"
@@ -50,12 +51,12 @@
   void onCompletion(RequestId id, const routing::Request& request, const routing::Completion& ending,
                     Micros took) override;
   void onCancelled(RequestId id) override;
-  void onModuleLog(const std::string& text) override;
+  void onPolicyLog(const std::string& text) override;
   void onDecision(Micros now, const Event& event, const std::vector<Action>& actions) override;
   void poll();
   void tell(EndpointUpdate::Kind kind);
   void tellCounts();
-  membership::EndpointMap datedEngines(bool remembered);
+  membership::MonotonicStartTimes startTimes(membership::StartTimes::Source source);
   void checkDrained();
   std::string nameOf(EndpointId id) const;
 
--- a/src/server/token_counts.cpp
+++ b/src/server/token_counts.cpp
@@ -123,7 +123,7 @@
     present.insert(e.id);
     std::optional<VersionName> told;
     if (!e.tokeniser.empty()) told = VersionName{e.tokeniser, e.tokeniserVersion};
-    book_.listed(e.id, e.startedAt, told, now);
+    book_.listed(e.id, e.startedAt.sinceEpoch, told, now);
   }
   for (const EndpointId id : listed_)
     if (!present.contains(id)) book_.gone(id);
@@ -175,7 +175,7 @@
   inUse_ = std::move(now);
   if (!grew || router_ == nullptr) return;
   std::vector<std::pair<RequestId, routing::Request>> waiting;
-  router_->forEachPending([&](RequestId id, const routing::Request& request) {
+  router_->forEachUnanswered([&](RequestId id, const routing::Request& request) {
     if (request.prompt) waiting.emplace_back(id, request);
   });
   for (auto& [id, request] : waiting)
