--- a/src/policy/actions.h
+++ b/src/policy/actions.h
@@ -23,7 +23,7 @@
 /// Reject a request; a retry by the client is harmless.
 struct Reject {
   RequestId id;           ///< The request.
-  Micros retryAfter = 0;  ///< When the client should come back; 0: not told.
+  Micros retryAfter = 0;  ///< When the client should retry; 0: unknown.
 };
 /// Fail a request that was possibly executed.
 struct Fail {
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,6 +1,6 @@
 /// @file
-/// Admission: whether a request is worth an attempt now, may be served later, or is rejected, and when its
-/// client should come back.
+/// Admission: whether a request gets an attempt now, may be served later, or is rejected, and when its
+/// client should retry.
 #pragma once
 
 #include "policy/candidate_finder.h"
@@ -46,16 +46,16 @@
   }
 
   /// Whether a request without a usable endpoint is kept for a while: only an endpoint that is full or
-  /// warming up by now, and quick enough later, is worth it. Otherwise the answer comes at once, as a client
-  /// that is held back can't try elsewhere or come back in time.
+  /// warming up by now, and quick enough later, justifies the wait. Otherwise the answer comes at once, as a
+  /// client that is held back can't retry elsewhere in time.
   bool mayPrefillLater(const TrackedRequest& request) const;
   /// Whether a KV state is kept for a while until an endpoint has room to decode it.
   bool mayDecodeLater(const TrackedRequest& request) const;
   /// Time between two tries of a request that is kept without KV state.
   Micros reevaluationInterval() const { return toMicros(smallestObjective_ / kReevaluations); }
 
-  /// When the client of a rejected request should come back; 0: it can't be told. That is when what was in
-  /// the way, as far as it was seen, is over. Up to half of it is taken off at random, so that clients
+  /// When the client of a rejected request should retry; 0: clients don't get to know. It is the time by
+  /// which the request was expected to be late. Up to half of it is taken off at random, so that clients
   /// rejected together don't return together.
   Micros retryAfter(const TrackedRequest& request) const;
 
--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -80,7 +80,7 @@
       break;
     case Outcome::error: outliers.recordFailure(attempt.endpoint, FailureReason::error); break;
     case Outcome::cancelled:
-      // A client that cancelled early tells nothing of the endpoint that had its request.
+      // An early cancellation by the client says nothing about the endpoint.
       if (request.cancelled && collaborators_.context.elapsedSince(attempt.sentAt) <
                                    AttemptTimeouts::kPrefillMultiple * attempt.predictedTime)
         return;
--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -1,5 +1,5 @@
 /// @file
-/// Attempts from their send to their end, and what each of them tells the estimators.
+/// Attempts from their send to their end, and what the estimators learn from each of them.
 #pragma once
 
 #include "policy/affinity_hashing.h"
--- a/src/policy/events.h
+++ b/src/policy/events.h
@@ -1,5 +1,5 @@
 /// @file
-/// Events that the routing policy is told of.
+/// Events that the routing policy handles.
 #pragma once
 
 #include <cstddef>
--- a/src/policy/first_token_estimator.h
+++ b/src/policy/first_token_estimator.h
@@ -36,8 +36,8 @@
   EstimatedTime expectedTime(const Endpoint& endpoint) const {
     return std::max(collaborators_.queues.longestWait(endpoint), recentTime(endpoint));
   }
-  /// Latest time at all endpoints, as far as own streams are too few to tell of one: few jams are one
-  /// endpoint's.
+  /// Latest time at all endpoints. It counts as far as own streams are too few to judge single endpoints, as
+  /// a jam seldom concerns one endpoint alone.
   EstimatedTime fleetTime() const {
     return baselineTime_ + (1 - collaborators_.sample.evidence()) * (recentFleetTime() - baselineTime_);
   }
--- a/src/policy/initial_estimates.cpp
+++ b/src/policy/initial_estimates.cpp
@@ -10,8 +10,8 @@
 
 constexpr Micros kMinObjective = 1000;
 constexpr double kFixedTimeShare = 0.02;  // of the smallest objective: fixed part of a prefill
-// Where no class tells a time per token, a prompt of kTypicalPrompt tokens takes this share of the smallest
-// objective.
+// Where no class has an objective per token, a prompt of kTypicalPrompt tokens takes this share of the
+// smallest objective.
 constexpr double kTypicalPromptShare = 0.25;
 constexpr double kTypicalPrompt = 4000;
 
--- a/src/policy/kv_memory_estimator.h
+++ b/src/policy/kv_memory_estimator.h
@@ -61,7 +61,7 @@
     endpoint.kvMemory.reportedAt_ = 0;
   }
 
-  /// Measures the fleet's mean anew. Old reports tell less and less, also where there is no other: otherwise
+  /// Measures the fleet's mean anew. Old reports count less and less, also where there is no other: otherwise
   /// one of a full endpoint would stand for the fleet for good, and the router reject all that it gets.
   void update() {
     double share = 0;
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -14,7 +14,7 @@
 
 namespace garnethook::policy {
 
-/// What an attempt asks an endpoint to do.
+/// What an endpoint does for an attempt.
 enum class Phase {
   prefill,  ///< Compute the KV state of the prompt.
   decode,   ///< Answer from a KV state that a prefill endpoint holds.
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -27,7 +27,7 @@
   bool mayTry(const TrackedRequest& request) const;
   /// Whether an attempt may be sent there: after a possible execution only within the deduplication scope.
   static bool isInScope(const TrackedRequest& request, const Endpoint& endpoint);
-  /// Whether the request may be rejected, which tells its client that a retry is harmless.
+  /// Whether the request may be rejected, which promises its client that a retry is harmless.
   static bool mayReject(const TrackedRequest& request);
   /// Timeout of the next attempt, with room for one more where time allows; 0: none, as giving up on the
   /// attempt would leave the request possibly executed.
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -1,9 +1,9 @@
-// Dispatch of events, and the steps of a request. What each step rests on is decided by the modules that Impl
-// holds; the request's way can be read off Impl::advance.
+// Dispatch of events, and the steps of a request. The modules that Impl holds decide what each step needs;
+// the order of the steps can be read off Impl::advance.
 //
-// The usual way follows MemServe: a request is prefilled where that costs least, by a fitted cost model of
+// The usual path follows MemServe: a request is prefilled where that costs least, by a fitted cost model of
 // prompt length and cached share plus the endpoint's queue, and is then decoded in that endpoint's cell where
-// most room is. Everything else acts only when that way is in trouble.
+// most room is. Everything else acts only when something fails or is overloaded.
 #include "policy/routing_policy.h"
 
 #include <algorithm>
@@ -108,7 +108,7 @@
     outliers_.recordProbe(event.endpoint, *endpoint, event.ok);
   }
 
-  // ---- a request's way ----
+  // ---- steps of a request ----
 
   void on(const RequestArrived& arrival) {
     if (requests_.contains(arrival.id)) return;
--- a/src/simulator_adapter/event_decoder.h
+++ b/src/simulator_adapter/event_decoder.h
@@ -17,7 +17,7 @@
 
 /// A line that can't be understood; names the field at fault.
 using LineError = deployment_config::FieldError;
-/// What a deployment tells, with the names that later lines use.
+/// Settings of a deployment, with the names that later lines use.
 using deployment_config::DeploymentConfig;
 /// The name=value parts of a line.
 using deployment_config::FieldReader;
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -1,4 +1,4 @@
-// A request that can't be served is rejected at once, and its client told when to come back.
+// A request that can't be served is rejected at once, and its client gets a Retry-After.
 #include <gtest/gtest.h>
 
 #include <set>
--- a/tests/policy/random_events_test.cpp
+++ b/tests/policy/random_events_test.cpp
@@ -15,7 +15,7 @@
 // Checks what is sent against the rules, knowing only events and actions.
 class RuleChecker {
  public:
-  struct Known {
+  struct RequestState {
     void drop() {
       hasKvState = false;
       heldSince.reset();
@@ -33,47 +33,49 @@
     std::optional<Micros> heldSince;
   };
 
-  void breach(const std::string& what) { breaches.insert(what); }
+  void addBreach(const std::string& what) { breaches.insert(what); }
 
   void action(Micros now, const Action& action, const std::map<std::uint64_t, Role>& running) {
     if (const auto* send = std::get_if<Send>(&action)) return sent(*send, running);
     if (const auto* reject = std::get_if<Reject>(&action)) return final(now, reject->id.value, true);
     if (const auto* fail = std::get_if<Fail>(&action)) return final(now, fail->id.value, false);
-    if (const auto* release = std::get_if<Release>(&action)) known[release->id.value].drop();
+    if (const auto* release = std::get_if<Release>(&action)) requests[release->id.value].drop();
   }
 
   void time(Micros now) {
-    for (auto& [id, k] : known) {
-      if (!k.ended && !k.started && now > k.deadline + 8 * kMs) breach("late answer");
-      if (k.heldSince && !k.inFlight && now > *k.heldSince + 500 * kMs) breach("KV state held too long");
+    for (auto& [id, state] : requests) {
+      if (!state.ended && !state.started && now > state.deadline + 8 * kMs) addBreach("late answer");
+      if (state.heldSince && !state.inFlight && now > *state.heldSince + 500 * kMs)
+        addBreach("KV state held too long");
     }
   }
 
-  std::map<std::uint64_t, Known> known;
+  std::map<std::uint64_t, RequestState> requests;
   std::set<std::string> breaches;
 
  private:
   void sent(const Send& send, const std::map<std::uint64_t, Role>& running) {
-    Known& k = known[send.id.value];
-    if (k.ended) breach("sent after the end");
-    if (k.inFlight) breach("two attempts in flight");
-    if (k.possiblyExecuted && k.idempotency == Idempotency::nonIdempotent)
-      breach("non-idempotent request retried");
-    if (!running.contains(send.endpoint.value)) breach("sent to a drained endpoint");
-    if (++k.sends > settings().maxAttempts) breach("too many attempts");
-    k.inFlight = true;
+    RequestState& state = requests[send.id.value];
+    if (state.ended) addBreach("sent after the end");
+    if (state.inFlight) addBreach("two attempts in flight");
+    if (state.possiblyExecuted && state.idempotency == Idempotency::nonIdempotent)
+      addBreach("non-idempotent request retried");
+    if (!running.contains(send.endpoint.value)) addBreach("sent to a drained endpoint");
+    if (++state.sends > settings().maxAttempts) addBreach("too many attempts");
+    state.inFlight = true;
     const auto role = running.find(send.endpoint.value);
-    k.isPrefill = role != running.end() && role->second == Role::prefill;
-    if (!k.isPrefill) k.heldSince.reset();
+    state.isPrefill = role != running.end() && role->second == Role::prefill;
+    if (!state.isPrefill) state.heldSince.reset();
   }
 
   void final(Micros now, std::uint64_t id, bool rejected) {
-    Known& k = known[id];
-    if (k.ended) breach("two answers");
-    if (rejected && k.idempotency == Idempotency::nonIdempotent && (k.possiblyExecuted || k.inFlight))
-      breach("non-idempotent request rejected");
-    if (now > k.deadline + 8 * kMs) breach("late answer");
-    k.ended = true;
+    RequestState& state = requests[id];
+    if (state.ended) addBreach("two answers");
+    if (rejected && state.idempotency == Idempotency::nonIdempotent &&
+        (state.possiblyExecuted || state.inFlight))
+      addBreach("non-idempotent request rejected");
+    if (now > state.deadline + 8 * kMs) addBreach("late answer");
+    state.ended = true;
   }
 };
 
@@ -82,12 +84,12 @@
   explicit RandomScenario(std::uint32_t seed) : random_(seed), driver_(settings(), seed) {
     for (std::uint64_t id = 1; id <= 12; ++id)
       entries_.push_back(endpoint(id, static_cast<KindIndex>(id % 3), id % 2, id % 2));
-    relist();
+    sendSnapshot();
   }
 
   void run(int steps) {
     for (int i = 0; i < steps; ++i) step();
-    for (int i = 0; i < 200; ++i) pass(50 * kMs);
+    for (int i = 0; i < 200; ++i) advanceTime(50 * kMs);
   }
 
   RuleChecker checker;
@@ -99,42 +101,43 @@
   void step() {
     const auto dice = below(100);
     if (dice < 30) return arrive();
-    if (dice < 75) return endOne();
-    if (dice < 80) return startOne();
-    if (dice < 82) return cancelOne();
-    if (dice < 85) return change();
-    pass(static_cast<Micros>(below(40)) * kMs);
+    if (dice < 75) return endAttempt();
+    if (dice < 80) return startStream();
+    if (dice < 82) return cancelRequest();
+    if (dice < 85) return changeEndpoint();
+    advanceTime(static_cast<Micros>(below(40)) * kMs);
   }
 
-  void note(std::size_t from) {
+  void checkFrom(std::size_t from) {
     for (auto at = from; at < driver_.log.size(); ++at)
       checker.action(driver_.log[at].first, driver_.log[at].second, running_);
   }
-  void give(const Event& event) {
+  void deliver(const Event& event) {
     const auto from = driver_.log.size();
     driver_.deliver(event);
-    note(from);
+    checkFrom(from);
   }
-  void pass(Micros time) {
+  void advanceTime(Micros time) {
     for (Micros left = time; left > 0; left -= 2 * kMs) {
       const auto from = driver_.log.size();
       driver_.advanceTime(2 * kMs);
-      note(from);
+      checkFrom(from);
       checker.time(driver_.now);
     }
   }
 
-  void relist() {
+  void sendSnapshot() {
     running_.clear();
-    for (const auto& e : entries_)
-      if (e.state == EndpointState::running) running_.emplace(e.id.value, settings().kinds[*e.kind].role);
-    give(EndpointUpdate{EndpointUpdate::Kind::snapshot, entries_});
+    for (const auto& entry : entries_)
+      if (entry.state == EndpointState::running)
+        running_.emplace(entry.id.value, settings().kinds[*entry.kind].role);
+    deliver(EndpointUpdate{EndpointUpdate::Kind::snapshot, entries_});
   }
-  void change() {
-    auto& e = entries_[below(entries_.size())];
-    e.state = static_cast<EndpointState>(below(3));
-    if (e.state == EndpointState::running) e.startedAt = driver_.now;
-    relist();
+  void changeEndpoint() {
+    auto& entry = entries_[below(entries_.size())];
+    entry.state = static_cast<EndpointState>(below(3));
+    if (entry.state == EndpointState::running) entry.startedAt = driver_.now;
+    sendSnapshot();
   }
 
   void arrive() {
@@ -144,61 +147,61 @@
     request.promptTokens = static_cast<double>(below(9000));
     request.sharedPrefixTokens = static_cast<double>(below(4000));
     request.remaining = static_cast<Micros>(below(4000)) * kMs;
-    checker.known[last_] = {.request = request,
-                            .deadline = driver_.now + request.remaining,
-                            .idempotency = settings().classes[*request.requestClass].idempotency};
-    give(request);
+    checker.requests[last_] = {.request = request,
+                               .deadline = driver_.now + request.remaining,
+                               .idempotency = settings().classes[*request.requestClass].idempotency};
+    deliver(request);
   }
 
-  std::optional<std::uint64_t> pick() {
-    std::vector<std::uint64_t> out;
-    for (const auto& [id, k] : checker.known)
-      if (k.inFlight) out.push_back(id);
-    if (out.empty()) return std::nullopt;
-    return out[below(out.size())];
+  std::optional<std::uint64_t> drawInFlight() {
+    std::vector<std::uint64_t> inFlight;
+    for (const auto& [id, state] : checker.requests)
+      if (state.inFlight) inFlight.push_back(id);
+    if (inFlight.empty()) return std::nullopt;
+    return inFlight[below(inFlight.size())];
   }
 
-  void endOne() {
-    const auto id = pick();
+  void endAttempt() {
+    const auto id = drawInFlight();
     if (!id) return;
-    auto& k = checker.known[*id];
+    auto& state = checker.requests[*id];
     auto outcome = static_cast<Outcome>(below(9));
-    if (below(2) == 0) outcome = k.isPrefill ? Outcome::prefillDone : Outcome::completed;
-    if (k.isPrefill && outcome == Outcome::completed) outcome = Outcome::prefillDone;
-    if (!k.isPrefill && outcome == Outcome::prefillDone) outcome = Outcome::completed;
+    if (below(2) == 0) outcome = state.isPrefill ? Outcome::prefillDone : Outcome::completed;
+    if (state.isPrefill && outcome == Outcome::completed) outcome = Outcome::prefillDone;
+    if (!state.isPrefill && outcome == Outcome::prefillDone) outcome = Outcome::completed;
     const bool notExecuted = outcome == Outcome::rejected || outcome == Outcome::connectFailed ||
-                             outcome == Outcome::notSent || k.isPrefill;
-    k.possiblyExecuted = k.possiblyExecuted || !notExecuted;
-    k.inFlight = false;
-    if (outcome == Outcome::completed || k.started) k.ended = true;
-    if (outcome == Outcome::prefillDone) k.hasKvState = true;
-    if (outcome == Outcome::completed) k.drop();
-    if (k.hasKvState) k.heldSince = driver_.now;
+                             outcome == Outcome::notSent || state.isPrefill;
+    state.possiblyExecuted = state.possiblyExecuted || !notExecuted;
+    state.inFlight = false;
+    if (outcome == Outcome::completed || state.started) state.ended = true;
+    if (outcome == Outcome::prefillDone) state.hasKvState = true;
+    if (outcome == Outcome::completed) state.drop();
+    if (state.hasKvState) state.heldSince = driver_.now;
     AttemptEnded event{.id = {*id},
-                       .attempt = k.sends - 1,
+                       .attempt = state.sends - 1,
                        .endpoint = {driver_.lastEndpoint(*id)},
                        .outcome = outcome,
-                       .requestEnded = k.ended};
+                       .requestEnded = state.ended};
     event.cachedTokens = static_cast<double>(below(2000));
     if (below(3) == 0)
       event.report = LoadReport{.memoryShare = 0.01 * static_cast<double>(below(130)),
                                 .queuedKiloTokens = static_cast<double>(below(30))};
-    give(event);
+    deliver(event);
   }
 
-  void startOne() {
-    const auto id = pick();
-    if (!id || checker.known[*id].isPrefill || checker.known[*id].ended) return;
-    checker.known[*id].started = true;
-    checker.known[*id].drop();
-    give(StreamStarted{{*id}, checker.known[*id].sends - 1});
+  void startStream() {
+    const auto id = drawInFlight();
+    if (!id || checker.requests[*id].isPrefill || checker.requests[*id].ended) return;
+    checker.requests[*id].started = true;
+    checker.requests[*id].drop();
+    deliver(StreamStarted{{*id}, checker.requests[*id].sends - 1});
   }
 
-  void cancelOne() {
-    const auto id = pick();
-    if (!id || checker.known[*id].started || checker.known[*id].ended) return;
-    checker.known[*id].ended = true;
-    give(RequestCancelled{{*id}});
+  void cancelRequest() {
+    const auto id = drawInFlight();
+    if (!id || checker.requests[*id].started || checker.requests[*id].ended) return;
+    checker.requests[*id].ended = true;
+    deliver(RequestCancelled{{*id}});
   }
 
   std::mt19937 random_;
@@ -239,41 +242,41 @@
   const std::map<std::uint64_t, Role> running{{1, Role::prefill}, {11, Role::decode}};
   const auto after = [&](auto script) {
     RuleChecker checker;
-    auto& k = checker.known[1];
-    k.deadline = 1000 * kMs;
-    k.idempotency = Idempotency::nonIdempotent;
-    script(checker, k);
+    auto& state = checker.requests[1];
+    state.deadline = 1000 * kMs;
+    state.idempotency = Idempotency::nonIdempotent;
+    script(checker, state);
     return checker.breaches;
   };
   using Set = std::set<std::string>;
-  EXPECT_EQ(after([&](RuleChecker& c, auto&) { c.time(1010 * kMs); }), Set{"late answer"});
-  EXPECT_EQ(after([&](RuleChecker& c, auto&) {
-              c.action(0, Fail{{1}}, running);
-              c.action(0, Fail{{1}}, running);
+  EXPECT_EQ(after([&](RuleChecker& tested, auto&) { tested.time(1010 * kMs); }), Set{"late answer"});
+  EXPECT_EQ(after([&](RuleChecker& tested, auto&) {
+              tested.action(0, Fail{{1}}, running);
+              tested.action(0, Fail{{1}}, running);
             }),
             Set{"two answers"});
-  EXPECT_EQ(after([&](RuleChecker& c, auto& k) {
-              k.possiblyExecuted = true;
-              c.action(0, Send{{1}, {11}}, running);
+  EXPECT_EQ(after([&](RuleChecker& tested, auto& state) {
+              state.possiblyExecuted = true;
+              tested.action(0, Send{{1}, {11}}, running);
             }),
             Set{"non-idempotent request retried"});
-  EXPECT_EQ(after([&](RuleChecker& c, auto& k) {
-              k.possiblyExecuted = true;
-              c.action(0, Reject{{1}}, running);
+  EXPECT_EQ(after([&](RuleChecker& tested, auto& state) {
+              state.possiblyExecuted = true;
+              tested.action(0, Reject{{1}}, running);
             }),
             Set{"non-idempotent request rejected"});
-  EXPECT_EQ(after([&](RuleChecker& c, auto&) {
-              c.action(0, Send{{1}, {5}}, running);
+  EXPECT_EQ(after([&](RuleChecker& tested, auto&) {
+              tested.action(0, Send{{1}, {5}}, running);
             }),
             Set{"sent to a drained endpoint"});
-  EXPECT_EQ(after([&](RuleChecker& c, auto& k) {
-              k.heldSince = 0;
-              c.time(600 * kMs);
+  EXPECT_EQ(after([&](RuleChecker& tested, auto& state) {
+              state.heldSince = 0;
+              tested.time(600 * kMs);
             }),
             Set{"KV state held too long"});
-  EXPECT_EQ(after([&](RuleChecker& c, auto&) {
-              c.action(0, Send{{1}, {1}}, running);
-              c.action(0, Send{{1}, {1}}, running);
+  EXPECT_EQ(after([&](RuleChecker& tested, auto&) {
+              tested.action(0, Send{{1}, {1}}, running);
+              tested.action(0, Send{{1}, {1}}, running);
             }),
             Set{"two attempts in flight"});
 }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -131,13 +131,13 @@
     }
   }
   Observation judge(Micros restartAt, Micros end) const {
-    Observation out;
+    Observation observed;
     double warm = 0;
     for (const auto& [endpointNumber, times] : sends_)
       warm += static_cast<double>(std::count_if(times.begin(), times.end(), [&](Micros at) {
         return at >= restartAt - 8 * kSec && at < restartAt;
       }));
-    out.budget =
+    observed.budget =
         multiple_ * warm / static_cast<double>(kPrefillEndpoints) * static_cast<double>(window_) / 8e6;
     double windows = 0;
     for (std::uint64_t endpointNumber = 1; endpointNumber <= kFreshEndpoints; ++endpointNumber) {
@@ -150,14 +150,14 @@
                       std::count_if(found->second.begin(), found->second.end(), [&](Micros at) {
                         return at >= restartAt && at > windowEnd - window_ && at <= windowEnd;
                       }));
-        out.most = std::max(out.most, sends);
-        out.mean += sends;
-        out.overBudget += sends > out.budget ? 1 : 0;
+        observed.most = std::max(observed.most, sends);
+        observed.mean += sends;
+        observed.overBudget += sends > observed.budget ? 1 : 0;
       }
     }
-    out.mean /= windows;
-    out.overBudget /= windows;
-    return out;
+    observed.mean /= windows;
+    observed.overBudget /= windows;
+    return observed;
   }
 
   Shape shape_;
