--- a/src/app/run_command.cpp
+++ b/src/app/run_command.cpp
@@ -1,10 +1,12 @@
 #include <Poco/Exception.h>
-#include <signal.h>
 
-#include <cstdlib>
+#include <csignal>
+#include <exception>
 #include <iostream>
+#include <optional>
 
 #include "app/commands.h"
+#include "app/config_reloader.h"
 #include "app/signals.h"
 #include "platform/process/router_process.h"
 #include "timing/retry.h"
@@ -12,62 +14,43 @@
 namespace garnethook::app {
 namespace {
 
-// A file that can't be used at the signal may be usable a moment later: it was still being written, or
-// reading it failed. The operators count a change as told 4 s after the signal.
-constexpr net::Micros kReloadPause = 250'000;
-constexpr int kReloadTries = 13;
+constexpr int kSuccess = 0;
+constexpr int kStartFailed = 2;
 
-// Reloads the configuration at a signal, and again for a while where that fails; the cause is told once.
-class Reload {
- public:
-  Reload(net::Loop& loop, platform::RouterProcess& node, const log::Log& log)
-      : node_(node), log_(log), again_(loop) {}
-
-  void start() { attempt(1); }
-
- private:
-  void attempt(int number) {
-    again_.stop();
-    try {
-      node_.reload(platform::loadConfig(platform::systemEnvironment));
-    } catch (const std::exception& e) {  // the router goes on with what it has
-      if (number == 1) log_.warn("reload", {{"trouble", e.what()}});
-      if (number < kReloadTries) again_.start(kReloadPause, [this, number] { attempt(number + 1); });
-    }
-  }
+// A file that cannot be read at the moment is tried again for a while.
+platform::PlatformConfig loadConfigWithRetry() {
+  return timing::retryFor<config::UnavailableError>(
+      timing::kStartWithin, [] { return platform::loadPlatformConfig(platform::systemEnvironment); });
+}
 
-  platform::RouterProcess& node_;
-  const log::Log& log_;
-  timing::Alarm again_;
-};
+// The life of the process: it serves from here until a signal has ended it in order. Signals are handled by
+// the loop, so one that comes during the start waits until the router runs.
+void serveUntilTerminated(const std::string& logLevel) {
+  const auto loop = net::Loop::create();
+  std::optional<platform::RouterProcess> router;
+  std::optional<ConfigReloader> reloader;
+  const Signals signals(*loop, [&](int signal) {
+    if (signal == SIGHUP) return reloader->reload();
+    router->shutDown([&loop] { loop->stop(); });
+  });
+  auto config = loadConfigWithRetry();
+  const log::Log log = log::Log::open(config.name, "", logLevel);
+  router.emplace(*loop, std::move(config), log);
+  reloader.emplace(*loop, *router, log);
+  loop->run();
+  log.flush();
+}
 
 }  // namespace
 
 int run(const std::string& logLevel) {
   try {
-    const auto loop = net::Loop::create();
-    platform::RouterProcess* serving = nullptr;
-    Reload* reload = nullptr;
-    const Signals signals(*loop, [&](int signal) {
-      if (serving == nullptr) return;
-      if (signal == SIGHUP) return reload->start();
-      serving->drain([&loop] { loop->stop(); });
-    });
-    auto config = timing::retryFor<config::UnavailableError>(
-        timing::kStartWithin, [] { return platform::loadConfig(platform::systemEnvironment); });
-    const log::Log log = log::Log::open(config.name, "", logLevel);
-    platform::RouterProcess node(*loop, std::move(config), log);
-    Reload reloading(*loop, node, log);
-    reload = &reloading;
-    serving = &node;
-    loop->run();
-    serving = nullptr;
-    log.flush();
-    return 0;
-  } catch (const Poco::Exception& e) {
-    std::cerr << e.displayText() << std::endl;
-  } catch (const std::exception& e) { std::cerr << e.what() << std::endl; }
-  return 2;
+    serveUntilTerminated(logLevel);
+    return kSuccess;
+  } catch (const Poco::Exception& error) {
+    std::cerr << error.displayText() << std::endl;
+  } catch (const std::exception& error) { std::cerr << error.what() << std::endl; }
+  return kStartFailed;
 }
 
 }  // namespace garnethook::app
--- a/src/app/signals.cpp
+++ b/src/app/signals.cpp
@@ -1,8 +1,8 @@
 #include "app/signals.h"
 
 #include <pthread.h>
-#include <signal.h>
 
+#include <csignal>
 #include <system_error>
 #include <utility>
 
@@ -11,29 +11,31 @@
 namespace garnethook::app {
 namespace {
 
-sigset_t watched() {
-  sigset_t set;
-  sigemptyset(&set);
-  for (const int s : {SIGTERM, SIGINT, SIGHUP, SIGUSR2}) sigaddset(&set, s);
-  return set;
+constexpr int kStopWaiting = SIGUSR2;  // sent to the thread by the destructor
+
+sigset_t handledSignals() {
+  sigset_t signals;
+  sigemptyset(&signals);
+  for (const int signal : {SIGTERM, SIGINT, SIGHUP, kStopWaiting}) sigaddset(&signals, signal);
+  return signals;
 }
 
 }  // namespace
 
 Signals::Signals(net::Loop& loop, std::function<void(int)> handler) {
   ::signal(SIGPIPE, SIG_IGN);
-  const sigset_t set = watched();
-  pthread_sigmask(SIG_BLOCK, &set, nullptr);
-  const auto wait = [set, &loop, handler = std::move(handler)] {
-    for (int got = 0; sigwait(&set, &got) == 0 && got != SIGUSR2;)
-      loop.post([handler, got] { handler(got); });
+  const sigset_t signals = handledSignals();
+  pthread_sigmask(SIG_BLOCK, &signals, nullptr);
+  const auto wait = [signals, &loop, handler = std::move(handler)] {
+    for (int signal = 0; sigwait(&signals, &signal) == 0 && signal != kStopWaiting;)
+      loop.post([handler, signal] { handler(signal); });
   };
-  // The system may have no thread to give for a moment.
+  // The system may be unable to create a thread for a moment.
   thread_ = timing::retryFor<std::system_error>(timing::kStartWithin, [&] { return std::thread(wait); });
 }
 
 Signals::~Signals() {
-  pthread_kill(thread_.native_handle(), SIGUSR2);  // our own way to end the wait
+  pthread_kill(thread_.native_handle(), kStopWaiting);
   thread_.join();
 }
 
--- a/src/app/signals.h
+++ b/src/app/signals.h
@@ -1,4 +1,4 @@
-// Signals as tasks of the loop: a thread waits for them, so that no handler runs in between.
+/// Signals as tasks of the loop: a thread waits for them, so that no handler interrupts other code.
 #pragma once
 
 #include <functional>
@@ -8,11 +8,15 @@
 
 namespace garnethook::app {
 
+/// Receives SIGTERM, SIGINT and SIGHUP for as long as it exists.
 class Signals {
  public:
-  // Must be made before any other thread, so that all of them leave these signals alone.
+  /// Calls `handler` with the signal's number, on the loop's thread. Must be created before any other thread,
+  /// so that all of them inherit the blocked signals. The loop must outlive it.
   Signals(net::Loop& loop, std::function<void(int)> handler);
   ~Signals();
+  Signals(const Signals&) = delete;
+  Signals& operator=(const Signals&) = delete;
 
  private:
   std::thread thread_;
--- a/src/deployment_config/field_reader.cpp
+++ b/src/deployment_config/field_reader.cpp
@@ -6,6 +6,12 @@
 #include <limits>
 
 namespace garnethook::deployment_config {
+namespace {
+
+constexpr double kMicrosPerMillisecond = 1000;
+constexpr double kMaxMicros = 9e15;  // still exact as a double, and far from overflow
+
+}  // namespace
 
 FieldError::FieldError(std::string_view field, std::string_view error)
     : std::runtime_error("field '" + std::string(field) + "': " + std::string(error)), field_(field) {}
@@ -28,7 +34,7 @@
   return value;
 }
 
-std::uint64_t toWhole(std::string_view field, std::string_view text) {
+std::uint64_t toUnsignedInteger(std::string_view field, std::string_view text) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc{} || end != text.data() + text.size()) throw FieldError(field, "not a whole number");
@@ -36,15 +42,15 @@
 }
 
 Micros toMicros(std::string_view field, double milliseconds) {
-  constexpr double kLimit = 9e15;  // in milliseconds x 1000 still exact and far from overflow
-  if (std::abs(milliseconds) > kLimit / 1000) throw FieldError(field, "time out of range");
-  return std::llround(milliseconds * 1000);
+  if (std::abs(milliseconds) > kMaxMicros / kMicrosPerMillisecond)
+    throw FieldError(field, "time out of range");
+  return std::llround(milliseconds * kMicrosPerMillisecond);
 }
 
 std::optional<std::string_view> FieldReader::find(std::string_view name) const {
-  const auto at = values_.find(name);
-  if (at == values_.end()) return std::nullopt;
-  return at->second;
+  const auto found = values_.find(name);
+  if (found == values_.end()) return std::nullopt;
+  return found->second;
 }
 
 std::string_view FieldReader::text(std::string_view name) const {
@@ -53,25 +59,31 @@
   return *value;
 }
 
-std::uint64_t FieldReader::whole(std::string_view name, std::uint64_t absent) const {
+std::uint64_t FieldReader::unsignedInteger(std::string_view name, std::uint64_t fallback) const {
   const auto value = find(name);
-  return value ? toWhole(name, *value) : absent;
+  return value ? toUnsignedInteger(name, *value) : fallback;
+}
+
+int FieldReader::smallInteger(std::string_view name) const {
+  const auto value = unsignedInteger(name);
+  if (value > std::uint64_t{std::numeric_limits<int>::max()}) throw FieldError(name, "too large");
+  return static_cast<int>(value);
 }
 
-double FieldReader::number(std::string_view name, double absent) const {
+double FieldReader::number(std::string_view name, double fallback) const {
   const auto value = find(name);
-  return value ? toNumber(name, *value) : absent;
+  return value ? toNumber(name, *value) : fallback;
 }
 
-double FieldReader::amount(std::string_view name, double absent) const {
-  const double value = number(name, absent);
+double FieldReader::nonNegativeNumber(std::string_view name, double fallback) const {
+  const double value = number(name, fallback);
   if (value < 0) throw FieldError(name, "negative");
   return value;
 }
 
-Micros FieldReader::time(std::string_view name, Micros absent) const {
+Micros FieldReader::duration(std::string_view name, Micros fallback) const {
   const auto value = find(name);
-  return value ? toMicros(name, toNumber(name, *value)) : absent;
+  return value ? toMicros(name, toNumber(name, *value)) : fallback;
 }
 
 bool FieldReader::flag(std::string_view name) const {
@@ -81,10 +93,4 @@
   throw FieldError(name, "neither 1 nor 0");
 }
 
-int FieldReader::smallInt(std::string_view name) const {
-  const auto value = whole(name);
-  if (value > std::uint64_t{std::numeric_limits<int>::max()}) throw FieldError(name, "too large");
-  return static_cast<int>(value);
-}
-
 }  // namespace garnethook::deployment_config
--- a/src/platform/config/platform_config.h
+++ b/src/platform/config/platform_config.h
@@ -1,5 +1,5 @@
-// What the platform tells a router: the environment and the configuration file that it names. Free of
-// decisions; errors name file, line and key.
+/// The configuration of a router on the platform: the environment and the file that it names. Errors name
+/// file, line and key.
 #pragma once
 
 #include <cstdint>
@@ -12,37 +12,44 @@
 #include "config/json_file.h"
 #include "deployment_config/deployment_config.h"
 #include "membership/endpoint_list_file.h"
+#include "platform/discovery/endpoint_list_parser.h"
 
 namespace garnethook::platform {
 
+/// Resources that the process may use.
 struct Limits {
-  double cores = 1;          // share of one core
-  std::uint64_t memory = 0;  // bytes
-  std::size_t descriptors = 0;
+  double cores = 1;               ///< Processor cores; may be a fraction.
+  std::uint64_t memoryBytes = 0;  ///< Resident memory.
+  std::size_t descriptors = 0;    ///< Open file descriptors.
 };
 
+/// Everything that one router process is configured with.
 struct PlatformConfig {
-  std::string path;
-  std::string name;
-  std::string listen;     // HOST:PORT
-  std::string discovery;  // HOST:PORT
-  std::uint64_t seed = 0;
-  Limits limits;
-  deployment_config::DeploymentConfig deployment;
-  // The engines as the router last had them, and the version of that list; it may be old.
-  membership::EndpointMap known;
-  std::int64_t knownVersion = 0;
-  std::vector<std::string> errors;  // what of `known` can't be used
+  std::string path;                                ///< The file that was read.
+  std::string name;                                ///< The router's name, for logs and its instance id.
+  std::string listenAddress;                       ///< HOST:PORT.
+  std::string discoveryAddress;                    ///< HOST:PORT.
+  std::uint64_t seed = 0;                          ///< Of the random generator.
+  Limits limits;                                   ///< Resources of the process.
+  deployment_config::DeploymentConfig deployment;  ///< Settings of the routing policy, and names.
+  membership::EndpointMap lastKnownEndpoints;      ///< The router's latest list, which may be old.
+  std::int64_t lastKnownVersion = 0;               ///< Revision of that list.
+  std::vector<EntryError> lastKnownErrors;         ///< Entries of that list that cannot be used.
 };
 
-// A variable of the environment, or nothing.
+/// Looks up an environment variable; nothing where it is not set.
 using Environment = std::function<std::optional<std::string>(const char* name)>;
+
+/// The environment of this process.
 std::optional<std::string> systemEnvironment(const char* name);
 
-// Reads the file that RELAY_CONFIG names. The file's own values go before those of the environment, so that a
-// file that was replaced under a running router is heard. Throws config::Error.
-PlatformConfig loadConfig(const Environment& environment);
-PlatformConfig readConfig(const std::shared_ptr<const config::JsonFile>& file,
-                          const Environment& environment);
+/// Reads the file that RELAY_CONFIG names. Throws config::Error; config::UnavailableError where reading may
+/// succeed later.
+PlatformConfig loadPlatformConfig(const Environment& environment);
+
+/// Decodes a parsed file. The file's own values take precedence over those of the environment, so that a file
+/// that is replaced under a running router is effective. Throws config::Error.
+PlatformConfig readPlatformConfig(const std::shared_ptr<const config::JsonFile>& file,
+                                  const Environment& environment);
 
 }  // namespace garnethook::platform
--- a/src/platform/discovery/endpoint_list.h
+++ b/src/platform/discovery/endpoint_list.h
@@ -1,59 +1,60 @@
-// Discovery's lists: one JSON object each, the whole list or what changed in it. Free of I/O and clocks.
+/// The current list of endpoints, as discovery's snapshots and deltas build it up. Free of I/O and clocks.
 #pragma once
 
 #include <cstdint>
 #include <map>
+#include <optional>
 #include <string>
-#include <string_view>
-#include <vector>
 
 #include "membership/endpoint_list_file.h"
+#include "platform/discovery/endpoint_list_parser.h"
 
 namespace garnethook::platform {
 
-struct EndpointListUpdate {
-  std::int64_t version = 0;
-  bool complete = false;
-  std::vector<membership::EndpointSpec> engines;
-  std::vector<std::string> errors;  // entries that can't be used; they are left out
+/// What an update has changed, for the routing policy.
+struct EndpointListChange {
+  EndpointUpdate::Kind kind = EndpointUpdate::Kind::delta;  ///< Snapshot or delta.
+  membership::EndpointMap entries;  ///< All endpoints of a snapshot, or the changed ones of a delta,
+                                    ///< removed endpoints among them.
 };
 
-// Throws std::runtime_error, saying what is wrong, where the text is no list at all.
-EndpointListUpdate parseEndpointList(std::string_view text);
-
+/// Applies updates in the order of their arrival and keeps the result.
+///
+/// An endpoint that a snapshot lacks is removed. A delta older than the list is ignored. A snapshot always
+/// holds, with one exception: where it is older than the report that an endpoint drains or is removed, as
+/// from a discovery replica that lags behind the previous one, it does not bring that endpoint back, unless
+/// the endpoint has been restarted.
 class EndpointList {
  public:
-  // What the decision module is told of it: the changed entries, or all. An engine that a complete list lacks
-  // is gone. Of changes that are older than the list nothing is taken. A complete list always holds, with one
-  // exception: where it is older than the word that an engine drains or is gone, as from a discovery that
-  // lags behind the one before it, that engine does not come back by it, unless it has another start.
-  struct Change {
-    bool any = false;
-    EndpointUpdate::Kind kind = EndpointUpdate::Kind::delta;
-    membership::EndpointMap entries;  // engines that are gone among them
-  };
-  Change apply(const EndpointListUpdate& update);
-  void recall(const membership::EndpointMap& engines, std::int64_t version);
+  /// Applies an update; nothing where it is ignored as too old.
+  std::optional<EndpointListChange> apply(const EndpointListUpdate& update);
+
+  /// Begins with a stored copy of an earlier list.
+  void restore(const membership::EndpointMap& endpoints, std::int64_t version);
+
+  /// All endpoints that are not removed, by name.
+  const membership::EndpointMap& endpoints() const { return endpoints_; }
 
-  const membership::EndpointMap& engines() const { return engines_; }  // none that is gone
+  /// Revision of the latest update that was applied.
   std::int64_t version() const { return version_; }
 
  private:
-  // The word that an engine takes no new work.
-  struct Retirement {
+  // The report that an endpoint takes no new requests.
+  struct Tombstone {
     std::int64_t version = 0;
     Micros startedAt = 0;
-    bool gone = false;
+    bool isRemoved = false;
   };
-  static constexpr std::size_t kMostRetired = 8192;  // beyond it the oldest word is forgotten
+  static constexpr std::size_t kMaxTombstones = 8192;  // beyond it the oldest is forgotten
 
-  void note(const membership::EndpointSpec& engine, std::int64_t version);
-  const Retirement* retiredAfter(const membership::EndpointSpec& engine, std::int64_t version) const;
-  void boundRetired();
+  void updateTombstone(const membership::EndpointSpec& endpoint, std::int64_t version);
+  void buryMissing(const membership::EndpointMap& previous, std::int64_t version);
+  const Tombstone* findNewerTombstone(const membership::EndpointSpec& endpoint, std::int64_t version) const;
+  void evictOldestTombstones();
 
-  membership::EndpointMap engines_;
+  membership::EndpointMap endpoints_;
   std::int64_t version_ = 0;
-  std::map<std::string, Retirement> retired_;
+  std::map<std::string, Tombstone> tombstones_;
 };
 
 }  // namespace garnethook::platform
--- a/src/platform/discovery/watch.cpp
+++ b/src/platform/discovery/watch.cpp
@@ -1,111 +1,118 @@
 #include "platform/discovery/watch.h"
 
 #include <algorithm>
-#include <stdexcept>
 #include <utility>
 
 namespace garnethook::platform {
 
-Watch::Watch(net::Loop& loop, const std::string& address, Events events)
-    : loop_(loop), address_(address), events_(std::move(events)), alarm_(loop) {
-  begin();
+Watch::Watch(net::Loop& loop, const std::string& address, Listener& listener)
+    : loop_(loop), address_(address), listener_(listener), alarm_(loop) {
+  connect();
 }
 
 Watch::~Watch() = default;
 
-void Watch::move(const std::string& address) {
+void Watch::changeAddress(const std::string& address) {
   if (address == address_) return;
-  static_cast<void>(Poco::Net::SocketAddress(address));
+  static_cast<void>(Poco::Net::SocketAddress(address));  // throws where it is none
   address_ = address;
-  policy_.moved();
-  for (auto& session : waiting_) discard(std::move(session));
-  waiting_.clear();
+  policy_.onAddressChanged();
+  discardLateSessions();
   if (current_) discard(std::move(current_));
-  begin();
+  connect();
 }
 
-// The one timer: the watch is given up, or begun anew.
-void Watch::plan() {
-  alarm_.start(std::max<Micros>(0, policy_.due() - loop_.now()), [this] {
-    if (policy_.next() == WatchPolicy::Step::begin) return begin();
-    events_.error(address_ + ": " + (current_ && current_->midway() ? "a list that does not end" : "silent"));
-    setAside();
-    policy_.ended(loop_.now());
-    plan();
-  });
+void Watch::scheduleNextStep() {
+  alarm_.start(std::max<Micros>(0, policy_.nextStepAt() - loop_.now()), [this] { runNextStep(); });
+}
+
+void Watch::runNextStep() {
+  if (policy_.nextStep() == WatchPolicy::Step::connect) return connect();
+  const bool isInsideMessage = current_ && current_->isInsideMessage();
+  listener_.onWatchError(address_,
+                         {isInsideMessage ? WatchErrorCode::messageTimedOut : WatchErrorCode::silent});
+  setCurrentAside();
+  policy_.onClosed(loop_.now());
+  scheduleNextStep();
 }
 
 // A silent session that has brought lists before is broken; one that never did may only be late.
-void Watch::setAside() {
+void Watch::setCurrentAside() {
   if (!current_) return;
-  if (current_->productive()) return discard(std::move(current_));
-  waiting_.push_back(std::move(current_));
-  if (waiting_.size() <= kMostWaiting) return;
-  discard(std::move(waiting_.front()));
-  waiting_.pop_front();
+  if (current_->hasReceivedMessage()) return discard(std::move(current_));
+  lateSessions_.push_back(std::move(current_));
+  if (lateSessions_.size() <= kMaxLateSessions) return;
+  discard(std::move(lateSessions_.front()));
+  lateSessions_.pop_front();
+}
+
+// The session may be the caller, so it is destroyed in the loop's next turn.
+void Watch::discard(SessionPointer session) {
+  session->close();
+  loop_.post([owned = std::shared_ptr<WatchSession>(std::move(session))] {});
 }
 
-// A session may be the one that calls, so it goes in the loop's next turn.
-void Watch::discard(std::unique_ptr<WatchSession> session) {
-  session->end();
-  loop_.post([own = std::shared_ptr<WatchSession>(std::move(session))] {});
+void Watch::discardLateSessions() {
+  for (auto& session : lateSessions_) discard(std::move(session));
+  lateSessions_.clear();
 }
 
-void Watch::begin() {
+void Watch::connect() {
   if (current_) discard(std::move(current_));
-  policy_.begun(loop_.now());
-  plan();
-  current_ =
-      std::make_unique<WatchSession>(loop_, address_, events_.version(), policy_.options().connectWithin,
-                                     static_cast<WatchSession::Events&>(*this));
+  policy_.onConnecting(loop_.now());
+  scheduleNextStep();
+  current_ = std::make_unique<WatchSession>(loop_, address_, listener_.currentListVersion(),
+                                            policy_.options().connectTimeout,
+                                            static_cast<WatchSession::Listener&>(*this));
 }
 
-bool Watch::onObject(WatchSession&, std::string_view text) {
+bool Watch::onMessage(WatchSession&, std::string_view text) {
   try {
-    events_.update(parseEndpointList(text));
+    listener_.onListUpdate(parseEndpointList(text));
     return true;
-  } catch (const std::runtime_error& e) {
-    // What it told is asked for again, from the version that is held: later changes would pass over it.
-    events_.error(address_ + ": a list can't be used: " + e.what());
-    policy_.spoilt();
+  } catch (const std::runtime_error& error) {
+    // The list is requested again from the known revision: later deltas would skip what it contained.
+    listener_.onWatchError(address_, {WatchErrorCode::invalidMessage, error.what()});
+    policy_.onInvalidMessage();
     return false;
   }
 }
 
-void Watch::onHeard(WatchSession& session) {
+void Watch::onDataReceived(WatchSession& session) {
   if (&session != current_.get()) {
-    if (!session.productive()) return;
-    // It was late, and is the one from now on.
-    if (current_) discard(std::move(current_));
-    for (auto& other : waiting_) {
-      if (other.get() == &session)
-        current_ = std::move(other);
-      else
-        discard(std::move(other));
-    }
-    waiting_.clear();
-    policy_.begun(loop_.now());
-  } else if (session.productive()) {
-    for (auto& other : waiting_) discard(std::move(other));
-    waiting_.clear();
+    if (!session.hasReceivedMessage()) return;
+    promote(session);
+  } else if (session.hasReceivedMessage()) {
+    discardLateSessions();
   }
-  if (session.productive() && !session.midway()) events_.heard();
-  policy_.heard(loop_.now(), session.midway());
-  plan();
+  if (session.hasReceivedMessage() && !session.isInsideMessage()) listener_.onWatchAlive();
+  policy_.onDataReceived(loop_.now(), session.isInsideMessage());
+  scheduleNextStep();
+}
+
+// A late session has brought its list: it is the current one from now on, and all others end.
+void Watch::promote(const WatchSession& session) {
+  if (current_) discard(std::move(current_));
+  const auto found = std::find_if(lateSessions_.begin(), lateSessions_.end(),
+                                  [&](const auto& late) { return late.get() == &session; });
+  current_ = std::move(*found);
+  lateSessions_.erase(found);
+  discardLateSessions();
+  policy_.onConnecting(loop_.now());
 }
 
-void Watch::onOver(WatchSession& session, const std::string& why) {
-  const auto own =
-      std::find_if(waiting_.begin(), waiting_.end(), [&](const auto& s) { return s.get() == &session; });
-  if (own != waiting_.end()) {
-    discard(std::move(*own));
-    waiting_.erase(own);
+void Watch::onFailed(WatchSession& session, const WatchError& error) {
+  const auto late = std::find_if(lateSessions_.begin(), lateSessions_.end(),
+                                 [&](const auto& candidate) { return candidate.get() == &session; });
+  if (late != lateSessions_.end()) {
+    discard(std::move(*late));
+    lateSessions_.erase(late);
     return;
   }
-  events_.error(address_ + ": " + why);
+  listener_.onWatchError(address_, error);
   discard(std::move(current_));
-  policy_.ended(loop_.now());
-  plan();
+  policy_.onClosed(loop_.now());
+  scheduleNextStep();
 }
 
 }  // namespace garnethook::platform
--- a/src/platform/discovery/watch.h
+++ b/src/platform/discovery/watch.h
@@ -1,57 +1,74 @@
-// The watch: a chunked answer of discovery's that stays open, one list after another. It is begun anew
-// whenever it ends, from the version that is known by then.
-//
-// A discovery that is slow or crowded may answer later than a silent watch is borne: a session that has
-// brought no list yet is kept beside the next one, and the first that brings a list goes on alone.
+/// The watch of discovery: a chunked response that stays open and carries one list after another. Whenever it
+/// ends it is requested again, from the revision that is known by then.
+///
+/// A slow or crowded discovery may answer only after a silent session has timed out. A session that has not
+/// brought a list yet is therefore kept beside the next one, and the first that brings a list goes on alone.
 #pragma once
 
+#include <cstdint>
 #include <deque>
-#include <functional>
 #include <memory>
 #include <string>
+#include <string_view>
 
-#include "platform/discovery/endpoint_list.h"
+#include "platform/discovery/endpoint_list_parser.h"
+#include "platform/discovery/watch_error.h"
 #include "platform/discovery/watch_policy.h"
 #include "platform/discovery/watch_session.h"
 
 namespace garnethook::platform {
 
-class Watch final : private WatchSession::Events {
+/// Keeps one watch alive for as long as it exists. Runs on the loop's thread.
+class Watch final : private WatchSession::Listener {
  public:
-  struct Events {
-    std::function<void(const EndpointListUpdate&)> update;
-    std::function<void(const std::string&)> error;
-    std::function<std::int64_t()> version;  // of the list that is held
-    std::function<void()> heard = [] {};    // bytes came on a session that has brought a list
+  /// Receives what the watch learns.
+  class Listener {
+   public:
+    virtual ~Listener() = default;
+    /// A list came.
+    virtual void onListUpdate(const EndpointListUpdate& update) = 0;
+    /// A session with discovery failed, or a list could not be used.
+    virtual void onWatchError(const std::string& address, const WatchError& error) = 0;
+    /// The list's revision that is known; the next session begins from it.
+    virtual std::int64_t currentListVersion() const = 0;
+    /// Bytes came on a session that has brought a list, and no list is unfinished: what is known is current.
+    virtual void onWatchAlive() = 0;
   };
-  // Begins at once. `address`: HOST:PORT.
-  Watch(net::Loop& loop, const std::string& address, Events events);
+
+  /// Connects at once. `address`: HOST:PORT; throws Poco::Exception where it is none. The listener must
+  /// outlive the watch.
+  Watch(net::Loop& loop, const std::string& address, Listener& listener);
   ~Watch() override;
 
-  // Leaves the old address for another one; the list is held meanwhile. Throws Poco::Exception where it is no
-  // address; the old one is followed on then.
-  void move(const std::string& address);
-  // Connections to discovery, those that are still coming up among them.
-  std::size_t sessions() const { return waiting_.size() + (current_ ? 1 : 0); }
+  /// Watches another address from now on. Throws Poco::Exception where it is no address; the old one is
+  /// watched on then.
+  void changeAddress(const std::string& address);
+
+  /// Connections to discovery, those that are still coming up among them.
+  std::size_t sessionCount() const { return lateSessions_.size() + (current_ ? 1 : 0); }
 
  private:
-  static constexpr std::size_t kMostWaiting = 2;  // sessions beside the newest that may still bring a list
+  using SessionPointer = std::unique_ptr<WatchSession>;
+  static constexpr std::size_t kMaxLateSessions = 2;
 
-  void begin();
-  void plan();
-  void setAside();
-  void discard(std::unique_ptr<WatchSession> session);
-  bool onObject(WatchSession& session, std::string_view text) override;
-  void onHeard(WatchSession& session) override;
-  void onOver(WatchSession& session, const std::string& why) override;
+  void connect();
+  void scheduleNextStep();
+  void runNextStep();
+  void setCurrentAside();
+  void promote(const WatchSession& session);
+  void discard(SessionPointer session);
+  void discardLateSessions();
+  bool onMessage(WatchSession& session, std::string_view text) override;
+  void onDataReceived(WatchSession& session) override;
+  void onFailed(WatchSession& session, const WatchError& error) override;
 
   net::Loop& loop_;
   std::string address_;
-  Events events_;
+  Listener& listener_;
   WatchPolicy policy_;
   timing::Alarm alarm_;
-  std::unique_ptr<WatchSession> current_;
-  std::deque<std::unique_ptr<WatchSession>> waiting_;  // older ones that have brought nothing yet
+  SessionPointer current_;
+  std::deque<SessionPointer> lateSessions_;  // timed out without a list, which may still come; oldest first
 };
 
 }  // namespace garnethook::platform
--- /dev/null
+++ b/src/platform/discovery/watch_policy.cpp
@@ -0,0 +1,38 @@
+#include "platform/discovery/watch_policy.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace garnethook::platform {
+namespace {
+
+constexpr int kMaxDoublings = 10;  // keeps the shift in range; the pause is at its bound long before
+
+}  // namespace
+
+void WatchPolicy::onConnecting(Micros now) {
+  isConnected_ = true;
+  messageBeganAt_.reset();
+  nextStepAt_ = now + options_.silenceTimeout;
+}
+
+void WatchPolicy::onDataReceived(Micros now, bool isInsideMessage) {
+  consecutiveFailures_ = 0;
+  if (!isInsideMessage)
+    messageBeganAt_.reset();
+  else if (!messageBeganAt_)
+    messageBeganAt_ = now;
+  nextStepAt_ = now + options_.silenceTimeout;
+  if (messageBeganAt_) nextStepAt_ = std::min(nextStepAt_, *messageBeganAt_ + options_.messageTimeout);
+}
+
+void WatchPolicy::onClosed(Micros now) {
+  isConnected_ = false;
+  const Micros backoff =
+      std::min(options_.initialBackoff << std::min(consecutiveFailures_, kMaxDoublings), options_.maxBackoff);
+  const bool hadInvalidMessage = std::exchange(receivedInvalidMessage_, false);
+  nextStepAt_ = now + (hadInvalidMessage ? options_.maxBackoff : backoff);
+  ++consecutiveFailures_;
+}
+
+}  // namespace garnethook::platform
--- a/src/platform/discovery/watch_session.cpp
+++ b/src/platform/discovery/watch_session.cpp
@@ -5,32 +5,41 @@
 namespace garnethook::platform {
 namespace {
 
-constexpr std::size_t kLongestList = 4u << 20;
-// A watch has no end, so its body has no bound; its lists do.
-constexpr http1::MessageLimits kLimits{.headBytes = 16 * 1024, .bodyBytes = std::size_t{1} << 60};
+constexpr std::size_t kMaxListBytes = 4u << 20;
+constexpr int kStatusOk = 200;
+// The response has no end, so its body is not bounded; each list in it is.
+constexpr http1::MessageLimits kLimits{.headBytes = std::size_t{16} * 1024,
+                                       .bodyBytes = std::size_t{1} << 60};
+
+WatchErrorCode toErrorCode(net::CloseCause cause) {
+  if (cause == net::CloseCause::refused) return WatchErrorCode::connectionRefused;
+  if (cause == net::CloseCause::timedOut) return WatchErrorCode::connectTimedOut;
+  if (cause == net::CloseCause::unavailable) return WatchErrorCode::resourcesUnavailable;
+  return WatchErrorCode::connectionClosed;
+}
 
 }  // namespace
 
 WatchSession::WatchSession(net::Loop& loop, const std::string& address, std::int64_t version,
-                           net::Micros connectWithin, Events& events)
+                           net::Micros connectTimeout, Listener& listener)
     : address_(address),
       version_(version),
-      events_(events),
-      objects_(kLongestList),
+      listener_(listener),
+      splitter_(kMaxListBytes),
       parser_(http1::MessageParser::Kind::response, kLimits, static_cast<http1::MessageEvents&>(*this)),
-      stream_(loop, Poco::Net::SocketAddress(address), std::string(), connectWithin,
+      stream_(loop, Poco::Net::SocketAddress(address), std::string(), connectTimeout,
               static_cast<net::StreamEvents&>(*this)) {}
 
-void WatchSession::end() {
-  if (std::exchange(ended_, true)) return;
+void WatchSession::close() {
+  if (std::exchange(isClosed_, true)) return;
   parser_.stop();
   stream_.close();
 }
 
-void WatchSession::giveUp(const std::string& why) {
-  if (ended_) return;
-  end();
-  events_.onOver(*this, why);
+void WatchSession::fail(const WatchError& error) {
+  if (isClosed_) return;
+  close();
+  listener_.onFailed(*this, error);
 }
 
 void WatchSession::onConnected() {
@@ -39,36 +48,31 @@
 }
 
 void WatchSession::onBytes(std::string_view bytes) {
-  if (!parser_.receive(bytes)) return giveUp("bad HTTP: " + std::string(parser_.error()));
-  if (ended_) return;
-  if (!over_.empty()) return giveUp(over_);
-  events_.onHeard(*this);
+  if (!parser_.receive(bytes)) return fail({WatchErrorCode::malformedHttp, std::string(parser_.error())});
+  if (isClosed_) return;
+  if (error_) return fail(*error_);
+  listener_.onDataReceived(*this);
 }
 
-void WatchSession::onClosed(net::CloseCause cause) {
-  giveUp(cause == net::CloseCause::refused       ? "refused"
-         : cause == net::CloseCause::timedOut    ? "no connection in time"
-         : cause == net::CloseCause::unavailable ? "this machine can't connect at the moment"
-                                                 : "closed");
-}
+void WatchSession::onClosed(net::CloseCause cause) { fail({toErrorCode(cause)}); }
 
 void WatchSession::onHead(const http1::Head& head) {
-  if (head.status == 200) return;
-  over_ = "status " + std::to_string(head.status);
+  if (head.status == kStatusOk) return;
+  error_ = WatchError{WatchErrorCode::unexpectedStatus, std::to_string(head.status)};
   parser_.stop();
 }
 
 void WatchSession::onBody(std::string_view bytes) {
-  if (!over_.empty() || ended_) return;
-  const bool bounded = objects_.receive(bytes, [this](std::string_view text) {
-    if (!over_.empty() || ended_) return;
-    if (events_.onObject(*this, text))
-      productive_ = true;
+  if (error_ || isClosed_) return;
+  const bool isBounded = splitter_.receive(bytes, [this](std::string_view text) {
+    if (error_ || isClosed_) return;
+    if (listener_.onMessage(*this, text))
+      hasReceivedMessage_ = true;
     else
-      over_ = "a list can't be used";
+      error_ = WatchError{WatchErrorCode::invalidMessage};
   });
-  if (!bounded) over_ = "a list is too long";
-  if (!over_.empty()) parser_.stop();
+  if (!isBounded) error_ = WatchError{WatchErrorCode::messageTooLong};
+  if (error_) parser_.stop();
 }
 
 }  // namespace garnethook::platform
--- a/src/platform/discovery/watch_session.h
+++ b/src/platform/discovery/watch_session.h
@@ -1,39 +1,48 @@
-// One connection of the watch: asks for the list and its changes from a version on, and hands on what comes.
+/// One connection of the watch: requests the list and its changes from a revision on, and reports the JSON
+/// objects that arrive.
 #pragma once
 
 #include <cstdint>
-#include <memory>
+#include <optional>
 #include <string>
+#include <string_view>
 
 #include "http1/message.h"
 #include "net/stream.h"
-#include "platform/discovery/object_splitter.h"
+#include "platform/discovery/json_object_splitter.h"
+#include "platform/discovery/watch_error.h"
 
 namespace garnethook::platform {
 
+/// A connection with one request whose response has no end. Runs on the loop's thread.
 class WatchSession final : private net::StreamEvents, private http1::MessageEvents {
  public:
-  class Events {
+  /// Receives what happens on a session.
+  class Listener {
    public:
-    virtual ~Events() = default;
-    // A whole object came. False: it is of no use, and the session ends.
-    virtual bool onObject(WatchSession& session, std::string_view text) = 0;
-    // Bytes came, after the objects in them were told.
-    virtual void onHeard(WatchSession& session) = 0;
-    // It is of no further use. The session may be ended from within, and destroyed in a later turn.
-    virtual void onOver(WatchSession& session, const std::string& why) = 0;
+    virtual ~Listener() = default;
+    /// A complete object came. Returns false where it cannot be used; the session ends then.
+    virtual bool onMessage(WatchSession& session, std::string_view text) = 0;
+    /// Bytes came; called after `onMessage` for the objects in them.
+    virtual void onDataReceived(WatchSession& session) = 0;
+    /// The session has ended by itself. It may be closed from within, and destroyed in a later turn of the
+    /// loop.
+    virtual void onFailed(WatchSession& session, const WatchError& error) = 0;
   };
 
-  // Begins at once. `address`: HOST:PORT. Throws Poco::Exception where that is none.
-  WatchSession(net::Loop& loop, const std::string& address, std::int64_t version, net::Micros connectWithin,
-               Events& events);
+  /// Connects at once. `address`: HOST:PORT; throws Poco::Exception where it is none. `version`: the list's
+  /// revision that is known already. The listener must outlive the session.
+  WatchSession(net::Loop& loop, const std::string& address, std::int64_t version, net::Micros connectTimeout,
+               Listener& listener);
 
-  // Nothing is told any more.
-  void end();
-  // An object has begun and not ended.
-  bool midway() const { return objects_.midway(); }
-  // A usable object has come on it.
-  bool productive() const { return productive_; }
+  /// Closes the connection; the listener is not called any more.
+  void close();
+
+  /// Whether an object has begun and not ended yet.
+  bool isInsideMessage() const { return splitter_.isInsideObject(); }
+
+  /// Whether a usable object has come.
+  bool hasReceivedMessage() const { return hasReceivedMessage_; }
 
  private:
   void onConnected() override;
@@ -41,17 +50,17 @@
   void onClosed(net::CloseCause cause) override;
   void onHead(const http1::Head& head) override;
   void onBody(std::string_view bytes) override;
-  void onEnd() override { over_ = "the answer ended"; }
-  void giveUp(const std::string& why);
+  void onEnd() override { error_ = WatchError{WatchErrorCode::responseEnded}; }
+  void fail(const WatchError& error);
 
   std::string address_;
   std::int64_t version_;
-  Events& events_;
-  ObjectSplitter objects_;
+  Listener& listener_;
+  JsonObjectSplitter splitter_;
   http1::MessageParser parser_;
-  std::string over_;  // why it is of no further use; empty: it is
-  bool productive_ = false;
-  bool ended_ = false;
+  std::optional<WatchError> error_;  // found while parsing; reported once the parser has returned
+  bool hasReceivedMessage_ = false;
+  bool isClosed_ = false;
   net::Stream stream_;
 };
 
--- a/src/platform/http_frontend/close_reason.h
+++ b/src/platform/http_frontend/close_reason.h
@@ -29,8 +29,9 @@
 /// The reason as it stands in the log and in the status line.
 inline std::string_view name(CloseReason reason) {
   constexpr std::array<std::string_view, static_cast<std::size_t>(CloseReason::count_)> kNames{
-      "client-closed", "answered-last", "stream-broken", "draining", "idle",          "evicted",
-      "too-slow",      "bad-request",   "full",          "flooded",  "unread-answer", "stopped"};
+      "client-closed",    "final-response",    "stream-failed",   "draining",
+      "idle-timeout",     "evicted",           "request-timeout", "bad-request",
+      "body-budget-full", "pipeline-overflow", "unread-response", "stopped"};
   return kNames[static_cast<std::size_t>(reason)];
 }
 
--- /dev/null
+++ b/src/platform/process/endpoint_publisher.cpp
@@ -0,0 +1,44 @@
+#include "platform/process/endpoint_publisher.h"
+
+#include <utility>
+
+#include "timing/wall_clock.h"
+
+namespace garnethook::platform {
+
+EndpointPublisher::EndpointPublisher(const net::Loop& loop, membership::Names names,
+                                     PlatformEngineClient& engines, routing::Router& router,
+                                     RouterLogger& logger)
+    : loop_(loop), names_(std::move(names)), engines_(engines), router_(router), logger_(logger) {}
+
+void EndpointPublisher::restore(const membership::EndpointMap& endpoints, std::int64_t version) {
+  list_.restore(endpoints, version);
+  publish({EndpointUpdate::Kind::staleCopy, list_.endpoints()});
+}
+
+void EndpointPublisher::onListUpdate(const EndpointListUpdate& update) {
+  hasReceivedList_ = true;
+  logger_.logEntryErrors(update.errors);
+  if (const auto change = list_.apply(update)) publish(*change);
+}
+
+void EndpointPublisher::onWatchError(const std::string& address, const WatchError& error) {
+  logger_.logWatchError(address, error);
+}
+
+void EndpointPublisher::onWatchAlive() { startTimes_.heard(loop_.now()); }
+
+// The connections come first: the router may send requests at once.
+void EndpointPublisher::publish(const EndpointListChange& change) {
+  logger_.logEndpointList(change, list_);
+  if (change.kind == EndpointUpdate::Kind::delta)
+    engines_.apply(change.entries);
+  else
+    engines_.update(list_.endpoints());
+  const bool isStaleCopy = change.kind == EndpointUpdate::Kind::staleCopy;
+  const auto datedEntries = startTimes_.date(change.entries, isStaleCopy, loop_.now(), timing::unixNow());
+  if (change.kind == EndpointUpdate::Kind::snapshot) startTimes_.keepOnly(list_.endpoints());
+  router_.onList(membership::toEndpointUpdate(datedEntries, names_, change.kind));
+}
+
+}  // namespace garnethook::platform
--- /dev/null
+++ b/src/platform/process/router_logger.cpp
@@ -0,0 +1,148 @@
+#include "platform/process/router_logger.h"
+
+#include <utility>
+
+namespace garnethook::platform {
+namespace {
+
+constexpr std::size_t kMaxRejectionCauses = 32;  // that are logged between two resets
+constexpr Micros kMicrosPerMillisecond = 1000;
+
+std::string_view stateMark(EndpointState state) {
+  switch (state) {
+    case EndpointState::running: return "+";
+    case EndpointState::draining: return "~";
+    case EndpointState::removed: return "-";
+  }
+  return "?";
+}
+
+std::string describeChanges(const EndpointListChange& change) {
+  std::string text;
+  if (change.kind != EndpointUpdate::Kind::delta) return text;
+  for (const auto& [name, endpoint] : change.entries)
+    text.append(text.empty() ? "" : " ").append(name).append(stateMark(endpoint.state));
+  return text;
+}
+
+std::string_view dispositionName(routing::Disposition disposition) {
+  switch (disposition) {
+    case routing::Disposition::completed: return "completed";
+    case routing::Disposition::rejected: return "rejected";
+    case routing::Disposition::failed: return "failed";
+  }
+  return "unknown";
+}
+
+}  // namespace
+
+RouterLogger::RouterLogger(log::Log log, std::vector<std::string> classNames)
+    : log_(std::move(log)), classNames_(std::move(classNames)) {}
+
+std::string RouterLogger::endpointName(EndpointId id) const {
+  const auto found = endpointNames_.find(id.value);
+  return found == endpointNames_.end() ? std::to_string(id.value) : found->second;
+}
+
+void RouterLogger::logEntryErrors(const std::vector<EntryError>& errors) {
+  std::map<std::string, std::size_t> entriesByCause;
+  for (const auto& error : errors) ++entriesByCause[error.message()];
+  for (const auto& [cause, entries] : entriesByCause)
+    log_.warn("endpoint-list", {{"error", cause}, {"entries", entries}});
+}
+
+void RouterLogger::logEndpointList(const EndpointListChange& change, const EndpointList& list) {
+  for (const auto& [name, endpoint] : change.entries) endpointNames_[endpoint.id.value] = name;
+  log_.info("endpoint-list", {{"version", list.version()},
+                              {"endpoints", list.endpoints().size()},
+                              {"stale_copy", change.kind == EndpointUpdate::Kind::staleCopy},
+                              {"changes", describeChanges(change)}});
+}
+
+void RouterLogger::logWatchError(const std::string& address, const WatchError& error) {
+  log_.info("discovery", {{"error", address + ": " + error.message()}});
+}
+
+void RouterLogger::logRejection(int status, std::string_view cause) {
+  if (loggedRejectionCauses_.size() >= kMaxRejectionCauses) return;
+  if (loggedRejectionCauses_.emplace(cause).second)
+    log_.info("rejected", {{"status", status}, {"cause", cause}});
+}
+
+void RouterLogger::logConnectionClosed(CloseReason reason, std::string_view trace, bool wasResponseOwed) {
+  if (wasResponseOwed)
+    log_.error("rule-violation",
+               {{"rule", "closed-without-response"}, {"reason", name(reason)}, {"trace", trace}});
+  if (log_.debugs()) log_.debug("client-closed", {{"reason", name(reason)}, {"trace", trace}});
+}
+
+void RouterLogger::onAttempt(const routing::AttemptSpec& attempt) {
+  if (!log_.debugs()) return;
+  const routing::Request& request = *attempt.request;
+  log_.debug("attempt", {{"request", attempt.traceId},
+                         {"number", attempt.attempt.number},
+                         {"engine", endpointName(attempt.endpoint)},
+                         {"phase", name(attempt.phase)},
+                         {"shared_prefix", request.sharedPrefixKey},
+                         {"shared_prefix_tokens", request.sharedPrefixTokens},
+                         {"prompt_tokens", request.promptTokens},
+                         {"session", request.session},
+                         {"timeout_ms", attempt.timeout / kMicrosPerMillisecond}});
+}
+
+void RouterLogger::onAttemptEnded(routing::AttemptId id, EndpointId endpoint,
+                                  const routing::AttemptResult& result) {
+  if (!log_.debugs()) return;
+  log_.debug("attempt-ended", {{"request", id.request.value},
+                               {"number", id.number},
+                               {"engine", endpointName(endpoint)},
+                               {"outcome", routing::name(result.outcome)},
+                               {"cached_tokens", result.cachedTokens},
+                               {"text", result.text}});
+}
+
+void RouterLogger::onCompletion(RequestId id, const routing::Request& request,
+                                const routing::Completion& completion, Micros duration) {
+  if (!log_.debugs()) return;
+  log_.debug("request-ended", {{"request", id.value},
+                               {"trace", request.traceId},
+                               {"class", classNames_[request.requestClass]},
+                               {"disposition", dispositionName(completion.disposition)},
+                               {"cause", name(completion.failureReason)},
+                               {"text", completion.text},
+                               {"prompt_tokens", request.promptTokens},
+                               {"body_bytes", request.body ? request.body->size() : 0},
+                               {"remaining_ms", request.remaining / kMicrosPerMillisecond},
+                               {"attempts", completion.usage.attempts},
+                               {"output_events", completion.usage.outputTokens},
+                               {"took_ms", duration / kMicrosPerMillisecond},
+                               {"retry_after_ms", completion.retryAfter / kMicrosPerMillisecond}});
+}
+
+void RouterLogger::onCancelled(RequestId id) {
+  if (log_.debugs()) log_.debug("client-cancelled", {{"request", id.value}});
+}
+
+void RouterLogger::onViolation(routing::Violation violation, RequestId id, const routing::Request& request) {
+  log_.error("rule-violation",
+             {{"rule", name(violation)}, {"request", id.value}, {"trace", request.traceId}});
+}
+
+void RouterLogger::onRelease(EndpointId endpoint, RequestId id, std::string_view traceId) {
+  if (!log_.debugs()) return;
+  log_.debug("release", {{"request", id.value}, {"trace", traceId}, {"engine", endpointName(endpoint)}});
+}
+
+void RouterLogger::onReleaseEnded(EndpointId endpoint, RequestId id, bool ok) {
+  if (!log_.debugs()) return;
+  log_.debug("release-ended", {{"request", id.value}, {"engine", endpointName(endpoint)}, {"done", ok}});
+}
+
+void RouterLogger::onActionFailed(const std::string& what) { log_.error("internal", {{"error", what}}); }
+
+void RouterLogger::onModuleLog(const std::string& text) {
+  const auto nameOf = [this](EndpointId id) { return endpointName(id); };
+  log_.info("policy", {{"text", routing::withNames(text, nameOf)}});
+}
+
+}  // namespace garnethook::platform
--- /dev/null
+++ b/src/platform/process/router_options.h
@@ -0,0 +1,26 @@
+/// Translates the process's configuration into the options of its parts. Free of I/O and clocks.
+#pragma once
+
+#include <string>
+
+#include "engine/pool.h"
+#include "platform/config/platform_config.h"
+#include "platform/http_frontend/http_frontend.h"
+#include "platform/process/resource_budget.h"
+#include "routing/router.h"
+
+namespace garnethook::platform {
+
+/// Options of the router core.
+routing::Options makeRoutingOptions(const PlatformConfig& config, const ResourceBudget& budget);
+
+/// Options of the connections to engines.
+engine::Options makeEngineOptions(const PlatformConfig& config, const ResourceBudget& budget);
+
+/// Options of the HTTP frontend.
+HttpFrontend::Options makeFrontendOptions(const ResourceBudget& budget);
+
+/// The name of the zone that this router is in; empty where the settings name none.
+std::string ownZoneName(const deployment_config::DeploymentConfig& deployment);
+
+}  // namespace garnethook::platform
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -26,18 +26,20 @@
 
 std::string_view name(FailureReason cause) {
   constexpr std::array<std::string_view, 12> names{
-      "none",   "busy",          "no-engine",      "too-many",    "stopping",    "deadline",
-      "engine", "stream-broken", "stream-stalled", "bad-request", "slow-client", ""};
+      "none",           "overloaded",  "no-endpoint",     "too-many-requests",
+      "shutting-down",  "deadline",    "attempts-failed", "stream-broken",
+      "stream-stalled", "bad-request", "slow-client",     ""};
   return names[static_cast<std::size_t>(cause)];
 }
 
 std::string_view name(Phase phase) {
-  return phase == Phase::prefill ? "read" : phase == Phase::decode ? "write" : "whole";
+  return phase == Phase::prefill ? "prefill" : phase == Phase::decode ? "decode" : "combined";
 }
 
 std::string_view name(Outcome outcome) {
-  constexpr std::array<std::string_view, 9> names{
-      "served", "read", "error", "full", "timed out", "no connection", "reset", "cancelled", "ended here"};
+  constexpr std::array<std::string_view, 9> names{"completed",        "prefill done", "error",
+                                                  "rejected",         "timed out",    "connect failed",
+                                                  "connection reset", "cancelled",    "not sent"};
   return names[static_cast<std::size_t>(outcome)];
 }
 
--- a/src/routing/rule_guard.cpp
+++ b/src/routing/rule_guard.cpp
@@ -18,13 +18,13 @@
 
 std::string_view name(Violation violation) {
   switch (violation) {
-    case Violation::concurrentAttempt: return "second-attempt";
-    case Violation::attemptAfterCompletion: return "attempt-after-end";
-    case Violation::retryOfNonIdempotent: return "repeat-of-unsafe";
-    case Violation::retryOutsideDeduplicationWindow: return "repeat-out-of-window";
-    case Violation::retryOutsideDeduplicationScope: return "repeat-out-of-group";
-    case Violation::rejectionAfterExecution: return "refusal-of-run";
-    case Violation::lateCompletion: return "late-answer";
+    case Violation::concurrentAttempt: return "concurrent-attempt";
+    case Violation::attemptAfterCompletion: return "attempt-after-completion";
+    case Violation::retryOfNonIdempotent: return "retry-of-non-idempotent";
+    case Violation::retryOutsideDeduplicationWindow: return "retry-outside-window";
+    case Violation::retryOutsideDeduplicationScope: return "retry-outside-scope";
+    case Violation::rejectionAfterExecution: return "rejection-after-execution";
+    case Violation::lateCompletion: return "late-completion";
     case Violation::count_: break;
   }
   return "unknown";
--- a/src/server/router_server.cpp
+++ b/src/server/router_server.cpp
@@ -33,20 +33,20 @@
   engines_.setEvents(*router_);
   counts_.setRouter(*router_);
   const auto change = list_.look();
-  for (const auto& error : change.errors) log_.warn("engine-list", {{"trouble", error}});
+  for (const auto& error : change.errors) log_.warn("endpoint-list", {{"error", error}});
   if (change.changed) {
     tell(EndpointUpdate::Kind::snapshot);
   } else {
     std::vector<std::string> errors;
     const bool recalled = list_.recall(errors);
-    for (const auto& error : errors) log_.warn("engine-list", {{"trouble", error}});
+    for (const auto& error : errors) log_.warn("endpoint-list", {{"error", error}});
     if (recalled) tell(EndpointUpdate::Kind::staleCopy);
   }
   frontend_ = std::make_unique<grpc_frontend::GrpcServer>(loop_, Poco::Net::SocketAddress(settings_.listen),
                                                           settings_.grpc, settings_.intake, *router_, health_,
                                                           counts_.on() ? &counts_ : nullptr);
   health_.set(true);
-  log_.info("listening", {{"address", address().toString()}, {"engines", list_.engines().size()}});
+  log_.info("listening", {{"address", address().toString()}, {"endpoints", list_.engines().size()}});
   pollAlarm_.start(settings_.listPoll, [this] { poll(); });
 }
 
@@ -62,7 +62,7 @@
 
 void RouterServer::lookAtList() {
   const auto change = list_.look();
-  for (const auto& error : change.errors) log_.warn("engine-list", {{"trouble", error}});
+  for (const auto& error : change.errors) log_.warn("endpoint-list", {{"error", error}});
   if (change.changed)
     tell(EndpointUpdate::Kind::snapshot);
   else if (!change.errors.empty())
@@ -75,12 +75,12 @@
     names_[e.id.value] = name;
     if (std::find(settings_.names.kinds.begin(), settings_.names.kinds.end(), e.kind) ==
         settings_.names.kinds.end())
-      log_.warn("engine-list",
+      log_.warn("endpoint-list",
                 {{"engine", name},
-                 {"trouble", "kind \"" + e.kind + "\" is not in the settings; taken for a writer"}});
+                 {"error", "kind \"" + e.kind + "\" is not in the settings; taken for a writer"}});
   }
-  log_.info("engine-list",
-            {{"engines", list_.engines().size()}, {"remembered", kind == EndpointUpdate::Kind::staleCopy}});
+  log_.info("endpoint-list",
+            {{"endpoints", list_.engines().size()}, {"stale_copy", kind == EndpointUpdate::Kind::staleCopy}});
   engines_.update(list_.engines());
   counts_.onList(list_.engines());
   auto list = membership::toEndpointUpdate(datedEngines(kind == EndpointUpdate::Kind::staleCopy),
@@ -110,7 +110,7 @@
     log_.debug("attempt", {{"request", order.attempt.request.value},
                            {"number", order.attempt.number},
                            {"engine", nameOf(order.endpoint)},
-                           {"job", name(order.phase)}});
+                           {"phase", name(order.phase)}});
 }
 
 void RouterServer::onAttemptEnded(routing::AttemptId id, EndpointId server,
@@ -134,29 +134,29 @@
   if (served && !log_.debugs()) return;
   const Log::Fields fields{{"request", id.value},
                            {"class", settings_.classNames[request.requestClass]},
-                           {"final", served                                                 ? "served"
-                                     : ending.disposition == routing::Disposition::rejected ? "refused"
-                                                                                            : "failed"},
+                           {"disposition", served ? "completed"
+                                           : ending.disposition == routing::Disposition::rejected ? "rejected"
+                                                                                                  : "failed"},
                            {"cause", name(ending.failureReason)},
                            {"text", ending.text},
                            {"prompt_tokens", request.promptTokens},
                            {"estimated", request.estimated},
-                           {"tokens", ending.usage.outputTokens},
+                           {"output_tokens", ending.usage.outputTokens},
                            {"attempts", ending.usage.attempts},
                            {"took_ms", took / 1000},
                            {"retry_after_ms", ending.retryAfter / 1000}};
   if (served)
-    log_.debug("final", fields);
+    log_.debug("request-ended", fields);
   else
-    log_.info("final", fields);
+    log_.info("request-ended", fields);
 }
 
 void RouterServer::onCancelled(RequestId id) {
-  if (log_.debugs()) log_.debug("client-left", {{"request", id.value}});
+  if (log_.debugs()) log_.debug("client-cancelled", {{"request", id.value}});
 }
 
 void RouterServer::onModuleLog(const std::string& said) {
-  log_.info("decision", {{"text", routing::withNames(said, [this](EndpointId id) { return nameOf(id); })}});
+  log_.info("policy", {{"text", routing::withNames(said, [this](EndpointId id) { return nameOf(id); })}});
 }
 
 void RouterServer::onDecision(Micros now, const Event& event, const std::vector<Action>& actions) {
@@ -197,13 +197,13 @@
 
 std::string RouterServer::summary() const {
   const auto& c = router_->counters();
-  return "taken " + std::to_string(c.taken) + ", served " + std::to_string(c.served) + ", refused " +
-         std::to_string(c.rejected) + ", failed " + std::to_string(c.failed) + ", left " +
+  return "received " + std::to_string(c.taken) + ", completed " + std::to_string(c.served) + ", rejected " +
+         std::to_string(c.rejected) + ", failed " + std::to_string(c.failed) + ", cancelled " +
          std::to_string(c.left) + ", open " + std::to_string(router_->open()) + "; attempts " +
-         std::to_string(c.attempts) + ", tokens " + std::to_string(c.tokens) + "; states held " +
-         std::to_string(router_->held().held()) + ", being released " +
+         std::to_string(c.attempts) + ", tokens " + std::to_string(c.tokens) + "; kv reservations " +
+         std::to_string(router_->held().held()) + ", releases in flight " +
          std::to_string(router_->held().releasing()) + ", released " +
-         std::to_string(router_->held().released()) + ", given up " +
+         std::to_string(router_->held().released()) + ", abandoned " +
          std::to_string(router_->held().abandoned()) + (counts_.on() ? "; " + counts_.summary() : "");
 }
 
--- a/src/server/token_counts.cpp
+++ b/src/server/token_counts.cpp
@@ -220,7 +220,7 @@
         scheduler::Level::background, 1, job, [this, job](std::exception_ptr error) {
           if (error) {
             log_.warn("tokeniser",
-                      {{"version", counting::text(job->file.version)}, {"trouble", reason(error)}});
+                      {{"version", counting::text(job->file.version)}, {"error", reason(error)}});
             return;
           }
           book_.load(job->file.version, job->tokeniser);
@@ -228,7 +228,7 @@
           look();
         });
     if (!taken)
-      log_.warn("tokeniser", {{"file", f.path}, {"trouble", "too much background work waits; reload again"}});
+      log_.warn("tokeniser", {{"file", f.path}, {"error", "too much background work waits; reload again"}});
   }
 }
 
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -49,15 +49,15 @@
 
 RequestArrived parseArrival(const FieldReader& fields, const DeploymentConfig& deployment) {
   RequestArrived event;
-  event.id = {fields.whole("txn")};
+  event.id = {fields.unsignedInteger("txn")};
   event.requestClass = indexOf(deployment.classNames, fields.text("band"));
-  event.remaining = fields.time("remainingMs");
-  event.session = {fields.whole("session", 0)};
-  event.sharedPrefix = {fields.whole("template", 0)};
-  event.promptTokens = fields.amount("nPrompt", 0);
-  event.sharedPrefixTokens = fields.amount("prefixLen", 0);
-  event.maxOutput = fields.amount("outputCap", 0);
-  event.expectedOutput = std::max<Micros>(0, fields.time("expectedMs", 0));
+  event.remaining = fields.duration("remainingMs");
+  event.session = {fields.unsignedInteger("session", 0)};
+  event.sharedPrefix = {fields.unsignedInteger("template", 0)};
+  event.promptTokens = fields.nonNegativeNumber("nPrompt", 0);
+  event.sharedPrefixTokens = fields.nonNegativeNumber("prefixLen", 0);
+  event.maxOutput = fields.nonNegativeNumber("outputCap", 0);
+  event.expectedOutput = std::max<Micros>(0, fields.duration("expectedMs", 0));
   return event;
 }
 
@@ -79,9 +79,9 @@
 
 AttemptEnded parseEnd(const FieldReader& fields, const DeploymentConfig& deployment) {
   AttemptEnded event;
-  event.id = {fields.whole("txn")};
-  event.attempt = fields.smallInt("trial");
-  event.endpoint = {fields.whole("engine")};
+  event.id = {fields.unsignedInteger("txn")};
+  event.attempt = fields.smallInteger("trial");
+  event.endpoint = {fields.unsignedInteger("engine")};
   event.outcome = toOutcome(fields.text("ending"));
   event.requestEnded = fields.flag("last");
   const double info = fields.number("info", 0);
@@ -94,15 +94,15 @@
 EndpointEntry parseEntry(std::string_view line, const DeploymentConfig& deployment) {
   const FieldReader fields = factsOf(line);
   EndpointEntry entry;
-  entry.id = {fields.whole("engine")};
+  entry.id = {fields.unsignedInteger("engine")};
   entry.zone = indexOf(deployment.zoneNames, fields.text("hall", ""));
   entry.kind = indexOf(deployment.kindNames, fields.text("shape", ""));
-  entry.cell = fields.whole("pod", 0);
+  entry.cell = fields.unsignedInteger("pod", 0);
   const auto state = fields.text("readiness");
   entry.state = state == "Running"   ? EndpointState::running
                 : state == "Deleted" ? EndpointState::removed
                                      : EndpointState::draining;  // also for words not known yet
-  entry.startedAt = fields.time("cameUpMs", 0);
+  entry.startedAt = fields.duration("cameUpMs", 0);
   entry.weight = fields.number("rating", 1);
   return entry;
 }
@@ -205,7 +205,7 @@
  private:
   void serveBatch(const std::vector<std::string>& lines) {
     reply_.clear();
-    const bool clockRead = guarded(0, [&] { now_ = factsOf(lines[0]).time("simTimeMs"); });
+    const bool clockRead = guarded(0, [&] { now_ = factsOf(lines[0]).duration("simTimeMs"); });
     for (std::size_t at = 1; clockRead && at + 1 < lines.size();) {
       const std::size_t start = at++;
       while (at + 1 < lines.size() && verbOf(lines[at]) == "ITEM") ++at;
@@ -238,36 +238,38 @@
     const auto verb = verbOf(line);
     if (verb == "PROVISION") return deployment(line);
     if (verb == "DOWN") {
-      instances_.erase(factsOf(line).whole("i"));
+      instances_.erase(factsOf(line).unsignedInteger("i"));
       return;
     }
     if (std::find(kEventVerbs.begin(), kEventVerbs.end(), verb) == kEventVerbs.end()) return;
     const FieldReader fields = factsOf(line);
-    const auto number = fields.whole("i");
+    const auto number = fields.unsignedInteger("i");
     const auto at = instances_.find(number);
     if (at == instances_.end()) throw LineError("i", "no such instance");
     const DeploymentConfig& known = at->second.deployment;
     if (verb == "REGISTRY") return deliver(number, parseList(fields, lines, start, end, known));
     if (verb == "QUERY") return deliver(number, parseArrival(fields, known));
     if (verb == "ANSWER") return deliver(number, parseEnd(fields, known));
-    if (verb == "FIRED") return deliver(number, TimerFired{{fields.whole("cookie")}});
-    if (verb == "WITHDRAWN") return deliver(number, RequestCancelled{{fields.whole("txn")}});
+    if (verb == "FIRED") return deliver(number, TimerFired{{fields.unsignedInteger("cookie")}});
+    if (verb == "WITHDRAWN") return deliver(number, RequestCancelled{{fields.unsignedInteger("txn")}});
     if (verb == "HEAD_RECEIVED")
-      return deliver(number, StreamStarted{{fields.whole("txn")}, fields.smallInt("trial")});
-    deliver(number,
-            ProbeEnded{{fields.whole("engine")}, fields.text("ending") == "OK", parseReport(fields, known)});
+      return deliver(number, StreamStarted{{fields.unsignedInteger("txn")}, fields.smallInteger("trial")});
+    deliver(number, ProbeEnded{{fields.unsignedInteger("engine")},
+                               fields.text("ending") == "OK",
+                               parseReport(fields, known)});
   }
 
   EndpointUpdate parseList(const FieldReader& fields, const std::vector<std::string>& lines,
                            std::size_t start, std::size_t end, const DeploymentConfig& known) {
     EndpointUpdate list{toListKind(fields.text("mode")), {}};
-    if (fields.whole("rows", 0) != end - start - 1) throw LineError("rows", "differs from the ITEM lines");
+    if (fields.unsignedInteger("rows", 0) != end - start - 1)
+      throw LineError("rows", "differs from the ITEM lines");
     for (std::size_t at = start + 1; at < end; ++at) list.entries.push_back(parseEntry(lines[at], known));
     return list;
   }
 
   void deployment(std::string_view line) {
-    const auto number = factsOf(line).whole("i");
+    const auto number = factsOf(line).unsignedInteger("i");
     DeploymentConfig deployment = parseProvision(line);
     instances_.erase(number);
     panicking(number, [&] {
@@ -331,7 +333,7 @@
 
 DeploymentConfig parseProvision(std::string_view line) {
   const FieldReader facts = factsOf(line);
-  return {deployment_config::readDeploymentConfig(facts), facts.whole("nonce64", 0)};
+  return {deployment_config::readDeploymentConfig(facts), facts.unsignedInteger("nonce64", 0)};
 }
 
 std::unique_ptr<Decider> makeBrain(const Settings& settings, std::uint64_t seed) {
--- a/tests/fuzz/codecs.cpp
+++ b/tests/fuzz/codecs.cpp
@@ -182,7 +182,8 @@
   try {
     platform::EndpointList list;
     list.apply(platform::parseEndpointList(in));
-    for (const auto& [name, e] : list.engines()) require(name == e.name && e.state != EndpointState::removed);
+    for (const auto& [name, e] : list.endpoints())
+      require(name == e.name && e.state != EndpointState::removed);
   } catch (const std::runtime_error&) {}
   platform::parseReport(in, {"share_of_memory", ""});
   require(platform::cachedTokens(in) >= 0);
--- a/tests/path/endings_test.cpp
+++ b/tests/path/endings_test.cpp
@@ -188,11 +188,11 @@
   net::Listener listener;
 };
 
-struct WatchEnding : testing::Test {
-  platform::Watch::Events events() {
-    return {[this](const platform::EndpointListUpdate& update) { lists.push_back(update.version); },
-            [](const std::string&) {}, [] { return std::int64_t{0}; }, [] {}};
-  }
+struct WatchEnding : testing::Test, platform::Watch::Listener {
+  void onListUpdate(const platform::EndpointListUpdate& update) override { lists.push_back(update.version); }
+  void onWatchError(const std::string&, const platform::WatchError&) override {}
+  std::int64_t currentListVersion() const override { return 0; }
+  void onWatchAlive() override {}
   static std::string stream(const std::string& body) {
     return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(body);
   }
@@ -207,9 +207,9 @@
         stream(listText(1, true, "")) + "0\r\n\r\n"}) {
     RawDiscovery discovery(w.loop);
     discovery.says = says;
-    platform::Watch watch(w.loop, discovery.address(), events());
+    platform::Watch watch(w.loop, discovery.address(), *this);
     EXPECT_TRUE(w.until([&] { return discovery.accepted.size() >= 2; }, 3 * kSecond)) << says;
-    EXPECT_LE(watch.sessions(), 2u);
+    EXPECT_LE(watch.sessionCount(), 2u);
   }
 }
 
@@ -223,17 +223,17 @@
     if (at == At::pause) before.listener.close();
     if (at == At::withinAList) before.says = stream(R"({"revision":5,"complete":true,"mem)");
     lists.clear();
-    platform::Watch watch(w.loop, old, events());
+    platform::Watch watch(w.loop, old, *this);
     if (at == At::pause) w.pass(80 * kMillisecond);
     if (at == At::withinAList) {
       ASSERT_TRUE(w.until([&] { return before.accepted.size() == 1; }, kSecond));
     }
-    watch.move(after.address());
+    watch.changeAddress(after.address());
     ASSERT_TRUE(w.until([&] { return !lists.empty(); }, 300 * kMillisecond));
     EXPECT_EQ(lists, std::vector<std::int64_t>{7});
     w.pass(200 * kMillisecond);
     EXPECT_EQ(after.accepted.size(), 1u);
-    EXPECT_EQ(watch.sessions(), 1u);
+    EXPECT_EQ(watch.sessionCount(), 1u);
   }
 }
 
@@ -242,9 +242,9 @@
   RawDiscovery before(w.loop);
   RawDiscovery after(w.loop);
   before.says = stream(listText(1, true, "") + "\n");
-  platform::Watch watch(w.loop, before.address(), events());
+  platform::Watch watch(w.loop, before.address(), *this);
   ASSERT_TRUE(w.until([&] { return lists.size() == 1; }, kSecond));
-  watch.move(after.address());
+  watch.changeAddress(after.address());
   ASSERT_TRUE(w.until([&] { return after.accepted.size() == 1; }, kSecond));
   after.says = stream(listText(9, true, "") + "\n");
   EXPECT_TRUE(w.until([&] { return lists.back() == 9; }, kBeat + 500 * kMillisecond));
--- a/tests/path/platform_path_test.cpp
+++ b/tests/path/platform_path_test.cpp
@@ -142,7 +142,7 @@
     client.close();
   }
   w.pass(300'000);
-  EXPECT_EQ(w.node->front().connections(), 1u);
+  EXPECT_EQ(w.node->frontend().connections(), 1u);
   EXPECT_EQ(w.reader.count("POST"), 1u);
   EXPECT_EQ(w.node->router().counters().attempts, 2u);  // those of the first request
 }
@@ -173,7 +173,7 @@
   auto other = w.client();
   other->ask("other");
   ASSERT_TRUE(w.until([&] { return held.size() == 2 && c->stream.pending() == 0; }, 2'000'000))
-      << held.size() << " " << c->stream.pending() << " " << other->got << w.node->summary();
+      << held.size() << " " << c->stream.pending() << " " << other->got << w.node->statusSummary();
   w.pass(50'000);
   for (auto* s : held) s->send(kWhole);
   EXPECT_TRUE(w.until([&] { return other->has(kLast) && c->closed; }, 5'000'000)) << other->got;
@@ -199,7 +199,7 @@
   const auto first = requestText("first");
   client.sendBytes(first.data(), static_cast<int>(first.size()));
   w.pass(200'000);
-  w.node->drain([] {});
+  w.node->shutDown([] {});
   w.pass(50'000);
   const auto late = requestText("late");
   client.sendBytes(late.data(), static_cast<int>(late.size()));
@@ -208,7 +208,7 @@
   EXPECT_TRUE(got.ends_with(kLast)) << got;
   EXPECT_EQ(w.reader.count("POST"), 1u);
   client.close();
-  EXPECT_TRUE(w.until([&] { return w.node->front().connections() == 0; }, 500'000));
+  EXPECT_TRUE(w.until([&] { return w.node->frontend().connections() == 0; }, 500'000));
 }
 
 TEST_F(PlatformPath, AReleaseGoesElsewhereWhereTheReaderIsSilent) {
@@ -279,7 +279,7 @@
   auto c = w.client();
   c->ask("f1");
   EXPECT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000)) << c->got;
-  EXPECT_LE(w.node->front().connections(), 128u);
+  EXPECT_LE(w.node->frontend().connections(), 128u);
 }
 
 // Connections that asked once and stay take no room from those that come.
@@ -354,7 +354,7 @@
 TEST_F(PlatformPath, ARefusedEngineIsGivenUpAndTheClientToldWhenToComeBack) {
   w.watches.at(0).second->piece(R"({"revision":2,"complete":false,"members":[)" +
                                 w.member("w", w.writer, "m2", "draining") + "]}\n");
-  ASSERT_TRUE(w.until([&] { return w.node->list().version() == 2; }, 1'000'000));
+  ASSERT_TRUE(w.until([&] { return w.node->endpointList().version() == 2; }, 1'000'000));
   w.pass(300'000);
   auto c = w.client();
   c->ask("n1");
@@ -379,7 +379,7 @@
   w.watches[0].second->piece("{\"revision\":2,\"members\":7}\n" + w.firstList + "\n");
   ASSERT_TRUE(w.until([&] { return w.watches.size() == 2; }, 2'000'000));
   EXPECT_NE(w.watches[1].first.find("index=1"), std::string::npos) << w.watches[1].first;
-  EXPECT_TRUE(w.until([&] { return w.node->list().version() == 3; }, 1'000'000));
+  EXPECT_TRUE(w.until([&] { return w.node->endpointList().version() == 3; }, 1'000'000));
 }
 
 // A list that is cut short by the end of its watch is asked for again.
@@ -391,7 +391,7 @@
   w.watches[0].second->cut();
   ASSERT_TRUE(w.until([&] { return w.watches.size() == 2; }, 2'000'000));
   EXPECT_NE(w.watches[1].first.find("index=1"), std::string::npos);
-  EXPECT_TRUE(w.until([&] { return w.node->list().version() == 2; }, 1'000'000));
+  EXPECT_TRUE(w.until([&] { return w.node->endpointList().version() == 2; }, 1'000'000));
 }
 
 // An answer is bounded like any message; its client must not wait for an end that never comes.
@@ -549,7 +549,7 @@
 TEST_F(PlatformPath, AWatchThatMissesItsBeatIsBegunAnew) {
   ASSERT_EQ(w.watches.size(), 1u);
   EXPECT_TRUE(w.until([&] { return w.watches.size() >= 2; }, 3'000'000));
-  EXPECT_EQ(w.node->list().engines().size(), 2u);
+  EXPECT_EQ(w.node->endpointList().endpoints().size(), 2u);
 }
 
 TEST_F(PlatformPath, AReloadMovesTheWatchAndKeepsWhatIsServed) {
@@ -557,8 +557,8 @@
   auto other = w.makeDiscovery(others);
   w.firstList = R"({"revision":9,"complete":false,"members":[)" + w.member("w2", w.otherWriter, "m2") + "]}";
   w.node->reload(w.read(other->address().toString()));
-  ASSERT_TRUE(w.until([&] { return w.node->list().version() == 9; }, 1'000'000));
-  EXPECT_EQ(w.node->list().engines().size(), 3u);
+  ASSERT_TRUE(w.until([&] { return w.node->endpointList().version() == 9; }, 1'000'000));
+  EXPECT_EQ(w.node->endpointList().endpoints().size(), 3u);
   EXPECT_FALSE(w.watches[0].second->open());
   auto c = w.client();
   c->ask("r1");
@@ -586,7 +586,7 @@
   ASSERT_TRUE(w.until([&] { return idle->has(kLast); }, 2'000'000));
   const auto address = w.node->address();
   bool done = false;
-  w.node->drain([&] { done = true; });
+  w.node->shutDown([&] { done = true; });
   EXPECT_TRUE(w.until([&] { return idle->closed; }, 500'000));
   auto late = w.client();  // the platform's front does not know yet
   late->ask("x3");
--- a/tests/path/platform_world.h
+++ b/tests/path/platform_world.h
@@ -45,15 +45,15 @@
     return platformConfigText(discoveryAddress);
   }
   platform::PlatformConfig read(const std::string& discoveryAddress) const {
-    return platform::readConfig(config::JsonFile::parse("config.json", config(discoveryAddress)),
-                                [](const char*) { return std::nullopt; });
+    return platform::readPlatformConfig(config::JsonFile::parse("config.json", config(discoveryAddress)),
+                                        [](const char*) { return std::nullopt; });
   }
   void start() {
     firstList = R"({"revision":1,"complete":true,"members":[)" + member("r", reader, "m1") + "," +
                 member("w", writer, "m2") + "]}";
     node = std::make_unique<platform::RouterProcess>(loop, read(discovery->address().toString()),
                                                      log::Log::none());
-    EXPECT_TRUE(until([&] { return node->list().engines().size() == 2; }));
+    EXPECT_TRUE(until([&] { return node->endpointList().endpoints().size() == 2; }));
   }
   std::unique_ptr<RawClient> client() { return std::make_unique<RawClient>(loop, node->address()); }
   // No request, no attempt, nothing held.
@@ -62,7 +62,7 @@
         [&] {
           const auto& r = node->router();
           return r.open() == 0 && r.lives() == 0 && r.held().held() + r.held().releasing() == 0 &&
-                 node->front().openRequests() == 0;
+                 node->frontend().openRequests() == 0;
         },
         2'000'000);
   }
--- a/tests/process/fleet_size_test.cpp
+++ b/tests/process/fleet_size_test.cpp
@@ -81,8 +81,8 @@
   w.discovery.list = listText(1, true, all);
   ASSERT_NO_FATAL_FAILURE(w.start());
   EXPECT_TRUE(w.served("s", 3 * kSecond));
-  EXPECT_EQ(w.linesWith(R"("engine-list")", R"("entries":600)"), 2u);
-  EXPECT_EQ(w.linesWith(R"("engine-list")", R"("trouble")"), 2u);
+  EXPECT_EQ(w.linesWith(R"("endpoint-list")", R"("entries":600)"), 2u);
+  EXPECT_EQ(w.linesWith(R"("endpoint-list")", R"("error")"), 2u);
 }
 
 TEST_F(FleetSize, ConnectionsAndDescriptorsGrowNoFurtherThanTheyMay) {
--- a/tests/process/process_test.cpp
+++ b/tests/process/process_test.cpp
@@ -334,10 +334,10 @@
       EXPECT_TRUE(client->has("HTTP/1.1 4")) << client->got;
     }
   }
-  ASSERT_TRUE(w.until([&] { return w.linesWith("turned-away") >= bad.size(); }, kHangs));
+  ASSERT_TRUE(w.until([&] { return w.linesWith(R"("event":"rejected")") >= bad.size(); }, kHangs));
   for (const char* cause : {"malformed", "X-Qos: no such class", "no JSON object", "no such resource"}) {
-    EXPECT_GE(w.linesWith("turned-away", cause), 1u) << w.errors();
-    EXPECT_LE(w.linesWith("turned-away", cause), 1 + w.linesWith(R"("event":"status")")) << w.errors();
+    EXPECT_GE(w.linesWith(R"("event":"rejected")", cause), 1u) << w.errors();
+    EXPECT_LE(w.linesWith(R"("event":"rejected")", cause), 1 + w.linesWith(R"("event":"status")")) << w.errors();
   }
   EXPECT_TRUE(w.served("good"));
 }
@@ -646,8 +646,8 @@
   w.program->signal(SIGTERM);
   EXPECT_TRUE(w.until([&] { return confirmed > 0; }, 4 * kSecond));
   w.expectOrderlyEnd();
-  EXPECT_EQ(w.linesWith(R"("drained")", "held 0, releasing 0"), 1u);
-  EXPECT_EQ(w.linesWith(R"("drained")", "given up 0"), 1u);
+  EXPECT_EQ(w.linesWith(R"("drained")", "kv reservations 0, releases in flight 0"), 1u);
+  EXPECT_EQ(w.linesWith(R"("drained")", "abandoned 0"), 1u);
 }
 
 // The address is another process's for good: the reason on standard error, and status 2.
--- a/tests/process/system_fault_test.cpp
+++ b/tests/process/system_fault_test.cpp
@@ -185,7 +185,7 @@
   w.pass(started + kFailsFrom + 700 * kMillisecond - w.loop.now());
   w.program->signal(SIGHUP);
   EXPECT_TRUE(w.until([&] { return other.open() == 1; }, kToldAfterSignal)) << w.errors();
-  EXPECT_EQ(w.linesWith(R"("event":"reload")"), 1u);
+  EXPECT_EQ(w.linesWith(R"("event":"reload-failed")"), 1u);
 }
 
 // Connections that wait in the system's queue as the program ends may hold requests: they are taken though
--- a/tests/support/frontend_world.h
+++ b/tests/support/frontend_world.h
@@ -168,7 +168,7 @@
         R"({"id":"r","host_port":"127.0.0.1:1","locality":"a","flavor":"m1","cell":1,"phase":"ready"},)"
         R"({"id":"w","host_port":"127.0.0.1:2","locality":"a","flavor":"m2","cell":1,"phase":"ready"}]})"));
     const membership::Names names{config.deployment.kindNames, config.deployment.zoneNames};
-    router->onList(membership::toEndpointUpdate(list.engines(), names, EndpointUpdate::Kind::snapshot));
+    router->onList(membership::toEndpointUpdate(list.endpoints(), names, EndpointUpdate::Kind::snapshot));
     front = std::make_unique<platform::HttpFrontend>(loop, Poco::Net::SocketAddress("127.0.0.1", 0), options,
                                                      config.deployment, *router,
                                                      platform::HttpFrontend::Events{[] { return true; }});
@@ -176,8 +176,9 @@
   ~FrontendWorld() { stopLoop(); }
 
   static platform::PlatformConfig testConfig() {
-    return platform::readConfig(config::JsonFile::parse("config.json", platformConfigText("127.0.0.1:1")),
-                                [](const char*) { return std::nullopt; });
+    return platform::readPlatformConfig(
+        config::JsonFile::parse("config.json", platformConfigText("127.0.0.1:1")),
+        [](const char*) { return std::nullopt; });
   }
   std::unique_ptr<BlockingClient> client() { return std::make_unique<BlockingClient>(front->address()); }
   // A client whose connection has been accepted; with `answered` it has had an answer and rests.
--- a/tests/tree/wall_clock.sh
+++ b/tests/tree/wall_clock.sh
@@ -5,7 +5,7 @@
 cd "$1"
 clocks='system_clock|utc_clock|file_clock|high_resolution_clock|CLOCK_REALTIME|CLOCK_TAI|gettimeofday|\btime\((nullptr|NULL|0|&)'
 clocks+='|Poco::(Timestamp|Clock|DateTime|LocalDateTime|Timer|Stopwatch)\b|unixNow\(\)'
-readers="fake_engine/engine.cpp platform/process/router_process.cpp server/router_server.cpp timing/wall_clock.h"
+readers="fake_engine/engine.cpp platform/process/endpoint_publisher.cpp server/router_server.cpp timing/wall_clock.h"
 found=$(grep -rlE "$clocks" --include='*.cpp' --include='*.h' . | sed 's|^\./||' | sort | tr '\n' ' ')
 if [ "${found% }" != "$readers" ]; then
   echo "the wall clock is read in: $found"
