--- a/tests/process/child_process.h
+++ b/tests/process/child_process.h
@@ -26,7 +26,7 @@
 struct ChildOptions {
   std::vector<std::string> arguments;    ///< The program's path first.
   std::vector<std::string> environment;  ///< `NAME=value`, in addition to what the test itself has.
-  std::string errorFile;                 ///< Takes the standard error.
+  std::string standardErrorFile;         ///< Takes the standard error.
   rlim_t descriptors = 0;                ///< Limit of open descriptors; 0: the test's own.
 };
 
@@ -110,7 +110,7 @@
     constexpr int kNotStarted = 127;
     constexpr mode_t kOwnersFile = 0600;
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    const int file = ::open(options.errorFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, kOwnersFile);
+    const int file = ::open(options.standardErrorFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, kOwnersFile);
     if (file < 0 || ::dup2(file, STDERR_FILENO) < 0) ::_exit(kNotStarted);
     ::close_range(STDERR_FILENO + 1, ~0u, 0);
     const rlimit limit{options.descriptors, options.descriptors};
--- a/tests/process/process_world.h
+++ b/tests/process/process_world.h
@@ -63,18 +63,20 @@
         otherWriter(loop),
         discovery(loop),
         configFile(folder.file("config.json")),
-        errorFile(folder.file("errors")) {
-    reader.script = [](ScriptedEngine::Request& r) { answerCalls(r) || (r.stream->send(kRead), true); };
-    writer.script = otherWriter.script = [](ScriptedEngine::Request& r) {
-      answerCalls(r) || (r.stream->send(kWhole), true);
+        standardErrorFile(folder.file("errors")) {
+    reader.script = [](ScriptedEngine::Request& request) {
+      answerCalls(request) || (request.stream->send(kRead), true);
+    };
+    writer.script = otherWriter.script = [](ScriptedEngine::Request& request) {
+      answerCalls(request) || (request.stream->send(kWhole), true);
     };
     members = memberText("r", reader, "m1") + "," + memberText("w", writer, "m2");
     discovery.list = listText(1, true, members);
     writeConfig(platformConfigText(discovery.address()));
   }
   ~ProcessWorld() {
-    if (testing::Test::HasFailure() && !keepsErrorFile)
-      std::cerr << "standard error of the program:\n" << errors() << std::endl;
+    if (testing::Test::HasFailure() && !keepsStandardErrorFile)
+      std::cerr << "standard error of the program:\n" << standardError() << std::endl;
     program.reset();
     stopLoop();
   }
@@ -98,12 +100,12 @@
   }
   /// Starts the program; `descriptors`: its limit of them, 0 for the test's own.
   void launch(rlim_t descriptors = 0) {
-    if (!keepsErrorFile) std::filesystem::remove(errorFile);
+    if (!keepsStandardErrorFile) std::filesystem::remove(standardErrorFile);
     program.reset();
     std::vector<std::string> environment = faults;
     environment.push_back("RELAY_CONFIG=" + configFile);
-    program = std::make_unique<ChildProcess>(
-        ChildOptions{{GARNETHOOK_PROGRAM, "run", "--log", level}, environment, errorFile, descriptors});
+    program = std::make_unique<ChildProcess>(ChildOptions{
+        {GARNETHOOK_PROGRAM, "run", "--log", level}, environment, standardErrorFile, descriptors});
   }
   /// From its next start on, system calls of the program fail by these variables (fault_shim.cpp).
   void loadFaults(const std::vector<std::string>& variables) {
@@ -114,40 +116,40 @@
   /// Starts the program and waits until it says that it is ready.
   void start(rlim_t descriptors = 0) {
     launch(descriptors);
-    ASSERT_TRUE(untilReady()) << errors();
+    ASSERT_TRUE(waitUntilReady()) << standardError();
   }
   /// Waits for `GET /-/ready` = 200.
-  bool untilReady(net::Micros limit = 10 * kSecond) {
-    std::unique_ptr<RawClient> asking;
-    return until([&] { return readyNow(asking); }, limit);
+  bool waitUntilReady(net::Micros limit = 10 * kSecond) {
+    std::unique_ptr<RawClient> requester;
+    return until([&] { return readyNow(requester); }, limit);
   }
   /// What the program wrote on its standard error.
-  std::string errors() const {
-    std::ifstream file(errorFile, std::ios::binary);
+  std::string standardError() const {
+    std::ifstream file(standardErrorFile, std::ios::binary);
     return std::string(std::istreambuf_iterator<char>(file), {});
   }
   /// How many of its lines hold the text, or both texts.
   std::size_t linesWith(std::string_view part, std::string_view other = {}) const {
-    std::istringstream lines(errors());
+    std::istringstream lines(standardError());
     std::size_t found = 0;
     for (std::string line; std::getline(lines, line);)
       if (line.find(part) != std::string::npos && line.find(other) != std::string::npos) ++found;
     return found;
   }
   /// The address at which the program listens, as its log tells; empty before that.
-  std::string address() const { return listening.empty() ? addressIn(errors()) : listening; }
+  std::string address() const { return listening.empty() ? addressIn(standardError()) : listening; }
   std::unique_ptr<RawClient> client() const { return clientOf(address()); }
   std::unique_ptr<RawClient> clientOf(const std::string& to) const {
     return std::make_unique<RawClient>(const_cast<net::Loop&>(loop), Poco::Net::SocketAddress(to));
   }
   /// Asks on a new connection and waits for the whole answer.
-  bool served(const std::string& id, net::Micros limit = 10 * kSecond) {
-    const auto asking = client();
-    asking->ask(id);
-    return until([&] { return asking->has(kLast); }, limit);
+  bool isServed(const std::string& id, net::Micros limit = 10 * kSecond) {
+    const auto requester = client();
+    requester->ask(id);
+    return until([&] { return requester->has(kLast); }, limit);
   }
   /// Waits until the program has ended by itself; its status has to be 0.
-  void expectOrderlyEnd(net::Micros limit = 8 * kSecond) {
+  void expectGracefulExit(net::Micros limit = 8 * kSecond) {
     ASSERT_TRUE(until([&] { return program->ended(); }, limit)) << "it still runs";
     EXPECT_EQ(program->exitStatus(), 0);
     EXPECT_EQ(linesWith(R"("draining")"), 1u);
@@ -168,23 +170,23 @@
   ScriptedEngine otherWriter;
   ScriptedDiscovery discovery;
   std::string configFile;
-  std::string errorFile;
+  std::string standardErrorFile;
   std::string members;
   std::vector<std::string> faults;
   std::string level = "info";
-  bool keepsErrorFile = false;  // it is a pipe of the test's own
-  std::string listening;        // where the log can't be read: the address
+  bool keepsStandardErrorFile = false;  // it is a pipe of the test's own
+  std::string listening;                // where the log can't be read: the address
   std::unique_ptr<ChildProcess> program;
 
  private:
-  bool readyNow(std::unique_ptr<RawClient>& asking) const {
-    if (asking && asking->has("HTTP/1.1 200")) return true;
-    if (asking && !asking->closed && !asking->has("HTTP/1.1 503")) return false;
-    asking.reset();
+  bool readyNow(std::unique_ptr<RawClient>& requester) const {
+    if (requester && requester->has("HTTP/1.1 200")) return true;
+    if (requester && !requester->closed && !requester->has("HTTP/1.1 503")) return false;
+    requester.reset();
     const std::string to = address();
     if (to.empty()) return false;
-    asking = clientOf(to);
-    asking->stream.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+    requester = clientOf(to);
+    requester->stream.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
     return false;
   }
 };
--- a/tests/process/scripted_discovery.h
+++ b/tests/process/scripted_discovery.h
@@ -15,20 +15,20 @@
 /// Answers each watch with the present list and keeps it alive by its beat.
 class ScriptedDiscovery {
  public:
-  explicit ScriptedDiscovery(net::Loop& loop) : loop_(loop), beatAlarm_(loop) {
+  explicit ScriptedDiscovery(net::Loop& loop) : loop_(loop), keepAliveAlarm_(loop) {
     listen(Poco::Net::SocketAddress("127.0.0.1", 0));
-    beat();
+    sendKeepAlive();
   }
   std::string address() const { return address_.toString(); }
   /// How many watches were begun in all.
-  std::size_t begun() const { return begun_; }
+  std::size_t watchesBegun() const { return watchesBegun_; }
   /// How many watches are open.
-  std::size_t open() const {
+  std::size_t openWatches() const {
     return static_cast<std::size_t>(
         std::count_if(watches_.begin(), watches_.end(), [](const auto& watch) { return watch->open(); }));
   }
   /// Sends a list on all open watches; later ones begin with it.
-  void tell(const std::string& now) {
+  void publish(const std::string& now) {
     list = now;
     sendAll(list + "\n");
   }
@@ -41,11 +41,11 @@
   void start() { listen(address_); }
 
   std::string list;
-  bool silent = false;           // takes watches and says nothing
-  net::Micros answersAfter = 0;  // takes so long for the first list of each watch
+  bool silent = false;            // takes watches and says nothing
+  net::Micros responseDelay = 0;  // takes so long for the first list of each watch
 
  private:
-  static constexpr net::Micros kBeatEvery = 1'000'000;
+  static constexpr net::Micros kKeepAliveInterval = 1'000'000;
 
   void listen(const Poco::Net::SocketAddress& address) {
     server_ = std::make_unique<fake_engine::HttpServer>(
@@ -55,31 +55,31 @@
     address_ = server_->address();
   }
   void begin(std::shared_ptr<fake_engine::HttpReply> watch) {
-    ++begun_;
+    ++watchesBegun_;
     watches_.push_back(watch);
     if (silent) return;
-    if (answersAfter == 0) return answer(watch);
-    loop_.after(answersAfter, [this, watch] { answer(watch); });
+    if (responseDelay == 0) return respond(watch);
+    loop_.after(responseDelay, [this, watch] { respond(watch); });
   }
-  void answer(const std::shared_ptr<fake_engine::HttpReply>& watch) {
+  void respond(const std::shared_ptr<fake_engine::HttpReply>& watch) {
     if (!watch->open()) return;
     watch->begin(200, {});
     watch->piece(list + "\n");
   }
-  void beat() {
+  void sendKeepAlive() {
     if (!silent) sendAll("\n");
-    beatAlarm_.start(kBeatEvery, [this] { beat(); });
+    keepAliveAlarm_.start(kKeepAliveInterval, [this] { sendKeepAlive(); });
   }
   void sendAll(const std::string& bytes) {
     std::erase_if(watches_, [](const auto& watch) { return !watch->open(); });
-    if (answersAfter > 0) return;
+    if (responseDelay > 0) return;
     for (const auto& watch : watches_) watch->piece(bytes);
   }
 
   net::Loop& loop_;
-  timing::Alarm beatAlarm_;
+  timing::Alarm keepAliveAlarm_;
   Poco::Net::SocketAddress address_;
-  std::size_t begun_ = 0;
+  std::size_t watchesBegun_ = 0;
   std::vector<std::shared_ptr<fake_engine::HttpReply>> watches_;
   std::unique_ptr<fake_engine::HttpServer> server_;
 };
