--- a/tests/platform/process/router_logger_test.cpp
+++ b/tests/platform/process/router_logger_test.cpp
@@ -99,7 +99,7 @@
 }
 
 TEST_F(RouterLoggerTest, LogsAConnectionThatOwedAResponseAsAViolation) {
-  logger_.logConnectionClosed(CloseReason::unreadAnswer, "trace", true);
+  logger_.logConnectionClosed(CloseReason::unreadResponse, "trace", true);
   const auto all = lines();
   ASSERT_EQ(all.size(), 2u);
   EXPECT_EQ(
