--- a/src/engine/pool.h
+++ b/src/engine/pool.h
@@ -14,8 +14,8 @@
 #include "engine/options.h"
 #include "engine/reuse_policy.h"
 #include "engine/word.h"
-#include "membership/endpoint_list_file.h"
-#include "routing/types.h"
+#include "membership/endpoint_spec.h"
+#include "routing/engine_client.h"
 
 namespace garnethook::engine {
 
--- a/src/platform/discovery/endpoint_list.cpp
+++ b/src/platform/discovery/endpoint_list.cpp
@@ -36,8 +36,8 @@
     return;
   }
   const auto known = endpoints_.find(endpoint.name);  // the report itself may lack the start time
-  const bool usesReportedStart = endpoint.startedAt != 0 || known == endpoints_.end();
-  const Micros startedAt = usesReportedStart ? endpoint.startedAt : known->second.startedAt;
+  const bool usesReportedStart = endpoint.startedAt.isKnown() || known == endpoints_.end();
+  const timing::UnixTime startedAt = usesReportedStart ? endpoint.startedAt : known->second.startedAt;
   tombstones_[endpoint.name] = {version, startedAt, endpoint.state == EndpointState::removed};
 }
 
@@ -50,7 +50,7 @@
                                                                 std::int64_t version) const {
   const auto found = tombstones_.find(endpoint.name);
   if (found == tombstones_.end() || found->second.version <= version) return nullptr;
-  const bool isSameProcess = found->second.startedAt == endpoint.startedAt || endpoint.startedAt == 0;
+  const bool isSameProcess = found->second.startedAt == endpoint.startedAt || !endpoint.startedAt.isKnown();
   return isSameProcess ? &found->second : nullptr;
 }
 
--- a/src/platform/discovery/endpoint_list.h
+++ b/src/platform/discovery/endpoint_list.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "membership/endpoint_list_file.h"
+#include "membership/endpoint_spec.h"
 #include "platform/discovery/endpoint_list_parser.h"
 
 namespace garnethook::platform {
@@ -42,7 +42,7 @@
   // The report that an endpoint takes no new requests.
   struct Tombstone {
     std::int64_t version = 0;
-    Micros startedAt = 0;
+    timing::UnixTime startedAt;
     bool isRemoved = false;
   };
   static constexpr std::size_t kMaxTombstones = 8192;  // beyond it the oldest is forgotten
--- a/src/platform/discovery/endpoint_list_parser.cpp
+++ b/src/platform/discovery/endpoint_list_parser.cpp
@@ -17,7 +17,7 @@
 constexpr double kMaxInteger =
     1e15;  // still exact as a double, also as microseconds of a time in milliseconds
 constexpr int kMaxPort = 65'535;
-constexpr Micros kMicrosPerMillisecond = 1000;
+constexpr std::int64_t kMicrosPerMillisecond = 1000;
 
 // Carries the error of one entry out of the functions that read its fields.
 class EntryFailure : public std::exception {
@@ -95,8 +95,8 @@
   endpoint.zone = readText(entry, "locality", false);
   endpoint.cell = readCell(entry);
   endpoint.weight = readNumber(entry, "size", 1, kMaxWeight);
-  endpoint.startedAt =
-      static_cast<Micros>(readNumber(entry, "up_since_ms", 0, kMaxInteger)) * kMicrosPerMillisecond;
+  endpoint.startedAt = {static_cast<std::int64_t>(readNumber(entry, "up_since_ms", 0, kMaxInteger)) *
+                        kMicrosPerMillisecond};
   return endpoint;
 }
 
--- a/src/platform/discovery/endpoint_list_parser.h
+++ b/src/platform/discovery/endpoint_list_parser.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "membership/endpoint_list_file.h"
+#include "membership/endpoint_spec.h"
 
 namespace garnethook::platform {
 
--- a/src/platform/process/endpoint_publisher.cpp
+++ b/src/platform/process/endpoint_publisher.cpp
@@ -6,7 +6,7 @@
 
 namespace garnethook::platform {
 
-EndpointPublisher::EndpointPublisher(const net::Loop& loop, membership::Names names,
+EndpointPublisher::EndpointPublisher(const net::Loop& loop, membership::KindAndZoneNames names,
                                      PlatformEngineClient& engines, routing::Router& router,
                                      RouterLogger& logger)
     : loop_(loop), names_(std::move(names)), engines_(engines), router_(router), logger_(logger) {}
@@ -26,7 +26,7 @@
   logger_.logWatchError(address, error);
 }
 
-void EndpointPublisher::onWatchAlive() { startTimes_.heard(loop_.now()); }
+void EndpointPublisher::onWatchAlive() { startTimes_.recordContact(loop_.now()); }
 
 // The connections come first: the router may send requests at once.
 void EndpointPublisher::publish(const EndpointListChange& change) {
@@ -35,10 +35,12 @@
     engines_.apply(change.entries);
   else
     engines_.update(list_.endpoints());
-  const bool isStaleCopy = change.kind == EndpointUpdate::Kind::staleCopy;
-  const auto datedEntries = startTimes_.date(change.entries, isStaleCopy, loop_.now(), timing::unixNow());
-  if (change.kind == EndpointUpdate::Kind::snapshot) startTimes_.keepOnly(list_.endpoints());
-  router_.onList(membership::toEndpointUpdate(datedEntries, names_, change.kind));
+  const auto source = change.kind == EndpointUpdate::Kind::staleCopy
+                          ? membership::StartTimes::Source::persistedCopy
+                          : membership::StartTimes::Source::discovery;
+  const auto startTimes = startTimes_.toMonotonic(change.entries, source, loop_.now(), timing::unixNow());
+  if (change.kind == EndpointUpdate::Kind::snapshot) startTimes_.retainOnly(list_.endpoints());
+  router_.onEndpointUpdate(membership::toEndpointUpdate(change.entries, startTimes, names_, change.kind));
 }
 
 }  // namespace garnethook::platform
--- a/src/platform/process/endpoint_publisher.h
+++ b/src/platform/process/endpoint_publisher.h
@@ -16,7 +16,7 @@
 class EndpointPublisher final : public Watch::Listener {
  public:
   /// `names`: kinds and zones of the settings. All references must outlive the publisher.
-  EndpointPublisher(const net::Loop& loop, membership::Names names, PlatformEngineClient& engines,
+  EndpointPublisher(const net::Loop& loop, membership::KindAndZoneNames names, PlatformEngineClient& engines,
                     routing::Router& router, RouterLogger& logger);
 
   /// Begins with a stored copy of an earlier list and publishes it.
@@ -41,7 +41,7 @@
   void publish(const EndpointListChange& change);
 
   const net::Loop& loop_;
-  membership::Names names_;
+  membership::KindAndZoneNames names_;
   PlatformEngineClient& engines_;
   routing::Router& router_;
   RouterLogger& logger_;
--- a/src/platform/process/graceful_shutdown.cpp
+++ b/src/platform/process/graceful_shutdown.cpp
@@ -36,8 +36,10 @@
 }
 
 bool GracefulShutdown::isDrained() const {
-  const bool hasRequests = router_.open() > 0 || router_.lives() > 0 || frontend_.openRequests() > 0;
-  const bool hasKvReservations = router_.held().held() + router_.held().releasing() > 0;
+  const bool hasRequests =
+      router_.pendingRequests() > 0 || router_.activeRequests() > 0 || frontend_.openRequests() > 0;
+  const bool hasKvReservations =
+      router_.kvReservations().reservationCount() + router_.kvReservations().pendingReleaseCount() > 0;
   const bool hasConnections = frontend_.accepting() || frontend_.connections() > 0;
   return !hasRequests && !hasKvReservations && !hasConnections;
 }
--- a/src/platform/process/router_logger.cpp
+++ b/src/platform/process/router_logger.cpp
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "routing/policy_log.h"
+
 namespace garnethook::platform {
 namespace {
 
@@ -140,7 +142,7 @@
 
 void RouterLogger::onActionFailed(const std::string& what) { log_.error("internal", {{"error", what}}); }
 
-void RouterLogger::onModuleLog(const std::string& text) {
+void RouterLogger::onPolicyLog(const std::string& text) {
   const auto nameOf = [this](EndpointId id) { return endpointName(id); };
   log_.info("policy", {{"text", routing::withNames(text, nameOf)}});
 }
--- a/src/platform/process/router_logger.h
+++ b/src/platform/process/router_logger.h
@@ -55,7 +55,7 @@
   void onCompletion(RequestId id, const routing::Request& request, const routing::Completion& completion,
                     Micros duration) override;
   void onCancelled(RequestId id) override;
-  void onModuleLog(const std::string& text) override;
+  void onPolicyLog(const std::string& text) override;
   void onViolation(routing::Violation violation, RequestId id, const routing::Request& request) override;
   void onRelease(EndpointId endpoint, RequestId id, std::string_view traceId) override;
   void onReleaseEnded(EndpointId endpoint, RequestId id, bool ok) override;
--- a/src/platform/process/router_options.cpp
+++ b/src/platform/process/router_options.cpp
@@ -19,15 +19,15 @@
   options.settings = deployment.settings;
   options.seed = config.seed;
   options.instance = config.name;
-  options.openRequests = budget.clientConnections;
+  options.maxPendingRequests = budget.clientConnections;
   if (deployment.maxOpenRequests > 0)
-    options.openRequests = std::min(options.openRequests, deployment.maxOpenRequests);
-  options.streams.silence = kStreamSilenceTimeout;
-  options.streams.margin = 0;
-  options.streams.deadlineEnds = false;
+    options.maxPendingRequests = std::min(options.maxPendingRequests, deployment.maxOpenRequests);
+  options.streamGuard.stallTimeout = kStreamSilenceTimeout;
+  options.streamGuard.deadlineMargin = 0;
+  options.streamGuard.enforcesDeadline = false;
   const Micros releaseTimeout = deployment.settings.kvReleaseTimeout;
-  options.held.kvReleaseTimeout = releaseTimeout > 0 ? releaseTimeout : kDefaultKvReleaseTimeout;
-  options.held.sparesAwaited = true;
+  options.kvReservations.kvReleaseTimeout = releaseTimeout > 0 ? releaseTimeout : kDefaultKvReleaseTimeout;
+  options.kvReservations.releaseSparesAwaited = true;
   return options;
 }
 
--- a/src/platform/process/router_process.cpp
+++ b/src/platform/process/router_process.cpp
@@ -43,8 +43,8 @@
                                               static_cast<routing::Observer&>(logger_));
   engines_.setEvents(*router_);
   endpoints_ = std::make_unique<EndpointPublisher>(
-      loop_, membership::Names{config_.deployment.kindNames, config_.deployment.zoneNames}, engines_,
-      *router_, logger_);
+      loop_, membership::KindAndZoneNames{config_.deployment.kindNames, config_.deployment.zoneNames},
+      engines_, *router_, logger_);
   endpoints_->restore(config_.lastKnownEndpoints, config_.lastKnownVersion);
   watch_ = std::make_unique<Watch>(loop_, config_.discoveryAddress, *endpoints_);
 }
--- a/src/platform/process/status_summary.cpp
+++ b/src/platform/process/status_summary.cpp
@@ -48,27 +48,27 @@
 
 void addRequests(SummaryText& text, const routing::Router& router) {
   const auto& counters = router.counters();
-  text.count("received", counters.taken)
-      .count("completed", counters.served)
+  text.count("received", counters.accepted)
+      .count("completed", counters.completed)
       .count("rejected", counters.rejected)
       .count("failed", counters.failed)
-      .count("cancelled", counters.left)
-      .count("open", router.open())
+      .count("cancelled", counters.cancelled)
+      .count("open", router.pendingRequests())
       .count("attempts", counters.attempts);
   text.section("causes");
-  for (const auto& [cause, count] : counters.causes) text.item(name(cause), count);
+  for (const auto& [cause, count] : counters.failureReasons) text.item(name(cause), count);
   text.section("outcomes");
   for (const auto& [outcome, count] : counters.outcomes) text.item(routing::name(outcome), count);
 }
 
 void addKvReservations(SummaryText& text, const routing::KvReservationTracker& reservations) {
   text.section()
-      .count("kv reservations", reservations.held())
-      .count("releases in flight", reservations.releasing())
-      .count("released", reservations.released())
-      .count("abandoned", reservations.abandoned())
+      .count("kv reservations", reservations.reservationCount())
+      .count("releases in flight", reservations.pendingReleaseCount())
+      .count("released", reservations.releasedCount())
+      .count("abandoned", reservations.abandonedCount())
       .count("slowest release ms",
-             static_cast<std::uint64_t>(reservations.slowest() / kMicrosPerMillisecond));
+             static_cast<std::uint64_t>(reservations.longestRelease() / kMicrosPerMillisecond));
 }
 
 void addClients(SummaryText& text, const HttpFrontend& frontend) {
@@ -103,12 +103,12 @@
 std::string summarizeStatus(const StatusSources& sources) {
   SummaryText text;
   addRequests(text, sources.router);
-  addKvReservations(text, sources.router.held());
+  addKvReservations(text, sources.router.kvReservations());
   addClients(text, sources.frontend);
   addEngineConnections(text, sources.engines);
   addCloseReasons(text, sources.frontend);
   text.section()
-      .count("violations", sources.router.rules().all() + sources.frontend.counters().closedUnanswered)
+      .count("violations", sources.router.ruleGuard().total() + sources.frontend.counters().closedUnanswered)
       .count("internal failures", sources.router.counters().failedActions + sources.failedTasks);
   text.section().count("resident KiB", residentBytes() / kBytesPerKibibyte);
   return text.take();
--- a/tests/path/platform_world.h
+++ b/tests/path/platform_world.h
@@ -46,7 +46,7 @@
   }
   platform::PlatformConfig read(const std::string& discoveryAddress) const {
     return platform::readPlatformConfig(config::JsonFile::parse("config.json", config(discoveryAddress)),
-                                        [](const char*) { return std::nullopt; });
+                                [](const char*) { return std::nullopt; });
   }
   void start() {
     firstList = R"({"revision":1,"complete":true,"members":[)" + member("r", reader, "m1") + "," +
@@ -61,7 +61,8 @@
     return until(
         [&] {
           const auto& r = node->router();
-          return r.open() == 0 && r.lives() == 0 && r.held().held() + r.held().releasing() == 0 &&
+          return r.pendingRequests() == 0 && r.activeRequests() == 0 &&
+                 r.kvReservations().reservationCount() + r.kvReservations().pendingReleaseCount() == 0 &&
                  node->frontend().openRequests() == 0;
         },
         2'000'000);
--- a/tests/platform/discovery/endpoint_list_test.cpp
+++ b/tests/platform/discovery/endpoint_list_test.cpp
@@ -49,7 +49,7 @@
   EXPECT_EQ(first.cell, "3");
   EXPECT_EQ(first.state, EndpointState::running);
   EXPECT_DOUBLE_EQ(first.weight, 2.5);
-  EXPECT_EQ(first.startedAt, 1'700'000'000'123'000);
+  EXPECT_EQ(first.startedAt.sinceEpoch, 1'700'000'000'123'000);
   EXPECT_EQ(first.tokeniser, "");
 
   const auto& second = update.endpoints[1];
@@ -60,7 +60,7 @@
   EXPECT_EQ(second.kind, "");
   EXPECT_EQ(second.state, EndpointState::draining);
   EXPECT_DOUBLE_EQ(second.weight, 1);
-  EXPECT_EQ(second.startedAt, 0);
+  EXPECT_EQ(second.startedAt.sinceEpoch, 0);
 
   EXPECT_EQ(update.endpoints[2].state, EndpointState::removed);
   EXPECT_EQ(update.endpoints[2].port, 0);
@@ -106,7 +106,7 @@
   EndpointList list;
   list.apply(snapshot(5, entryText("a", "ready") + "," + entryText("b", "ready", 7)));
   EXPECT_EQ(list.endpoints().size(), 2u);
-  EXPECT_EQ(list.endpoints().at("b").startedAt, 7000);
+  EXPECT_EQ(list.endpoints().at("b").startedAt.sinceEpoch, 7000);
   EXPECT_DOUBLE_EQ(list.endpoints().at("a").weight, 1.5);
   const auto change = list.apply(delta(6, entryText("a", "draining") + "," + entryText("b", "gone")));
   ASSERT_TRUE(change.has_value());
--- a/tests/platform/process/router_logger_test.cpp
+++ b/tests/platform/process/router_logger_test.cpp
@@ -127,7 +127,7 @@
       R"("shared_prefix_tokens":10.0,"prompt_tokens":20.0,"session":"session","timeout_ms":250})");
   EXPECT_EQ(
       all[1].dump(),
-      R"({"event":"attempt-ended","request":7,"number":2,"engine":"51","outcome":"prefill done","cached_tokens":4.0,)"
+      R"({"event":"attempt-ended","request":7,"number":2,"engine":"51","outcome":"prefill-done","cached_tokens":4.0,)"
       R"("text":"text"})");
 }
 
@@ -169,7 +169,7 @@
   change.kind = EndpointUpdate::Kind::snapshot;
   change.entries["engine-a"].id = id;
   logger_.logEndpointList(change, EndpointList());
-  observer_->onModuleLog("server " + std::to_string(id.value) + " text");
+  observer_->onPolicyLog("server " + std::to_string(id.value) + " text");
   const auto all = lines();
   ASSERT_EQ(all.size(), 2u);
   EXPECT_EQ(all[1].dump(), R"({"event":"policy","text":"server engine-a text"})");
