--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -75,19 +75,19 @@
     const std::string_view verb = verbOf(line);
     if (verb == kStartVerb) return startInstance(line);
     if (verb == kStopVerb) {
-      instances_.erase(fieldsOf(line).whole("i"));
+      instances_.erase(fieldsOf(line).unsignedInteger("i"));
       return;
     }
     if (!isEventVerb(verb)) return;
     const FieldReader fields = fieldsOf(line);
-    const std::uint64_t number = fields.whole("i");
+    const std::uint64_t number = fields.unsignedInteger("i");
     const auto instance = instances_.find(number);
     if (instance == instances_.end()) throw LineError("i", "no such instance");
     deliver(number, decodeEvent(verb, fields, entries, instance->second.deployment));
   }
 
   void startInstance(std::string_view line) {
-    const std::uint64_t number = fieldsOf(line).whole("i");
+    const std::uint64_t number = fieldsOf(line).unsignedInteger("i");
     InstanceConfig config = decodeInstanceConfig(line);
     instances_.erase(number);
     endsInstanceOnError(number, [&] {
--- a/src/simulator_adapter/event_decoder.cpp
+++ b/src/simulator_adapter/event_decoder.cpp
@@ -36,15 +36,15 @@
 
 RequestArrived decodeArrival(const FieldReader& fields, const DeploymentConfig& deployment) {
   RequestArrived event;
-  event.id = {fields.whole("txn")};
+  event.id = {fields.unsignedInteger("txn")};
   event.requestClass = indexOf(deployment.classNames, fields.text("band"));
-  event.remaining = fields.time("remainingMs");
-  event.session = {fields.whole("session", 0)};
-  event.sharedPrefix = {fields.whole("template", 0)};
-  event.promptTokens = fields.amount("nPrompt", 0);
-  event.sharedPrefixTokens = fields.amount("prefixLen", 0);
-  event.maxOutput = fields.amount("outputCap", 0);
-  event.expectedOutput = std::max<Micros>(0, fields.time("expectedMs", 0));
+  event.remaining = fields.duration("remainingMs");
+  event.session = {fields.unsignedInteger("session", 0)};
+  event.sharedPrefix = {fields.unsignedInteger("template", 0)};
+  event.promptTokens = fields.nonNegativeNumber("nPrompt", 0);
+  event.sharedPrefixTokens = fields.nonNegativeNumber("prefixLen", 0);
+  event.maxOutput = fields.nonNegativeNumber("outputCap", 0);
+  event.expectedOutput = std::max<Micros>(0, fields.duration("expectedMs", 0));
   return event;
 }
 
@@ -68,9 +68,9 @@
 
 AttemptEnded decodeAttemptEnd(const FieldReader& fields, const DeploymentConfig& deployment) {
   AttemptEnded event;
-  event.id = {fields.whole("txn")};
-  event.attempt = fields.smallInt("trial");
-  event.endpoint = {fields.whole("engine")};
+  event.id = {fields.unsignedInteger("txn")};
+  event.attempt = fields.smallInteger("trial");
+  event.endpoint = {fields.unsignedInteger("engine")};
   event.outcome = decodeOutcome(fields.text("ending"));
   event.requestEnded = fields.flag("last");
   const double info = fields.number("info", 0);
@@ -90,12 +90,12 @@
 EndpointEntry decodeEndpointEntry(std::string_view line, const DeploymentConfig& deployment) {
   const FieldReader fields = fieldsOf(line);
   EndpointEntry entry;
-  entry.id = {fields.whole("engine")};
+  entry.id = {fields.unsignedInteger("engine")};
   entry.zone = indexOf(deployment.zoneNames, fields.text("hall", ""));
   entry.kind = indexOf(deployment.kindNames, fields.text("shape", ""));
-  entry.cell = fields.whole("pod", 0);
+  entry.cell = fields.unsignedInteger("pod", 0);
   entry.state = decodeEndpointState(fields.text("readiness"));
-  entry.startedAt = fields.time("cameUpMs", 0);
+  entry.startedAt = fields.duration("cameUpMs", 0);
   entry.weight = fields.number("rating", 1);
   return entry;
 }
@@ -111,7 +111,8 @@
 EndpointUpdate decodeEndpointUpdate(const FieldReader& fields, std::span<const std::string> entries,
                                     const DeploymentConfig& deployment) {
   EndpointUpdate update{decodeUpdateKind(fields.text("mode")), {}};
-  if (fields.whole("rows", 0) != entries.size()) throw LineError("rows", "differs from the ITEM lines");
+  if (fields.unsignedInteger("rows", 0) != entries.size())
+    throw LineError("rows", "differs from the ITEM lines");
   for (const std::string& line : entries) update.entries.push_back(decodeEndpointEntry(line, deployment));
   return update;
 }
@@ -133,7 +134,7 @@
 
 InstanceConfig decodeInstanceConfig(std::string_view line) {
   const FieldReader fields = fieldsOf(line);
-  return {deployment_config::readDeploymentConfig(fields), fields.whole("nonce64", 0)};
+  return {deployment_config::readDeploymentConfig(fields), fields.unsignedInteger("nonce64", 0)};
 }
 
 bool isEventVerb(std::string_view verb) {
@@ -149,11 +150,12 @@
   if (verb == kListVerb) return decodeEndpointUpdate(fields, entries, deployment);
   if (verb == kArrivalVerb) return decodeArrival(fields, deployment);
   if (verb == kAttemptEndVerb) return decodeAttemptEnd(fields, deployment);
-  if (verb == kTimerVerb) return TimerFired{{fields.whole("cookie")}};
-  if (verb == kCancellationVerb) return RequestCancelled{{fields.whole("txn")}};
-  if (verb == kStreamStartVerb) return StreamStarted{{fields.whole("txn")}, fields.smallInt("trial")};
+  if (verb == kTimerVerb) return TimerFired{{fields.unsignedInteger("cookie")}};
+  if (verb == kCancellationVerb) return RequestCancelled{{fields.unsignedInteger("txn")}};
+  if (verb == kStreamStartVerb)
+    return StreamStarted{{fields.unsignedInteger("txn")}, fields.smallInteger("trial")};
   return ProbeEnded{
-      {fields.whole("engine")}, fields.text("ending") == "OK", decodeReport(fields, deployment)};
+      {fields.unsignedInteger("engine")}, fields.text("ending") == "OK", decodeReport(fields, deployment)};
 }
 
 }  // namespace garnethook::simulator_adapter
--- a/tests/path/platform_world.h
+++ b/tests/path/platform_world.h
@@ -45,7 +45,7 @@
     return platformConfigText(discoveryAddress);
   }
   platform::PlatformConfig read(const std::string& discoveryAddress) const {
-    return platform::readConfig(config::JsonFile::parse("config.json", config(discoveryAddress)),
+    return platform::readPlatformConfig(config::JsonFile::parse("config.json", config(discoveryAddress)),
                                 [](const char*) { return std::nullopt; });
   }
   void start() {
@@ -53,7 +53,7 @@
                 member("w", writer, "m2") + "]}";
     node = std::make_unique<platform::RouterProcess>(loop, read(discovery->address().toString()),
                                                      log::Log::none());
-    EXPECT_TRUE(until([&] { return node->list().engines().size() == 2; }));
+    EXPECT_TRUE(until([&] { return node->endpointList().endpoints().size() == 2; }));
   }
   std::unique_ptr<RawClient> client() { return std::make_unique<RawClient>(loop, node->address()); }
   // No request, no attempt, nothing held.
@@ -63,7 +63,7 @@
           const auto& r = node->router();
           return r.pendingRequests() == 0 && r.activeRequests() == 0 &&
                  r.kvReservations().reservationCount() + r.kvReservations().pendingReleaseCount() == 0 &&
-                 node->front().openRequests() == 0;
+                 node->frontend().openRequests() == 0;
         },
         2'000'000);
   }
