--- /dev/null
+++ b/src/engine/completion_exchange.cpp
@@ -0,0 +1,89 @@
+#include "engine/completion_exchange.h"
+
+#include <utility>
+
+namespace garnethook::engine {
+namespace {
+
+constexpr std::size_t kMaxErrorBytes = std::size_t{64} * 1024;
+// So much of an unexpected content type is quoted.
+constexpr std::size_t kMaxQuotedType = 60;
+
+}  // namespace
+
+CompletionExchange::CompletionExchange(routing::EngineClientEvents& events, routing::AttemptId id,
+                                       routing::Phase phase, const Options& options)
+    : AttemptExchange(events, id),
+      phase_(phase),
+      options_(options),
+      parser_(options.eventBytes, [this](const http1::EventStreamParser::Event& event) { onEvent(event); }) {}
+
+bool CompletionExchange::onHead(const http1::Head& head) {
+  status_ = head.status;
+  if (const auto metrics = http1::find(head.fields, "endpoint-load-metrics"))
+    result().report = parseLoadMetrics(*metrics);
+  const auto type = http1::find(head.fields, "content-type").value_or("");
+  isStreamed_ = status_ == 200 && phase_ != routing::Phase::prefill;
+  if (!isStreamed_ || type.starts_with("text/event-stream")) return true;
+  finish(Outcome::error,
+         "an event stream was asked for, not \"" + std::string(type.substr(0, kMaxQuotedType)) + "\"");
+  return false;
+}
+
+bool CompletionExchange::onBody(std::string_view bytes) {
+  if (isStreamed_) {
+    if (!parser_.receive(bytes)) finish(Outcome::error, "an event of the answer is too large");
+    return !isFinished();
+  }
+  const std::size_t limit = status_ == 200 ? options_.answerBytes : kMaxErrorBytes;
+  if (body_.size() + bytes.size() > limit) {
+    if (status_ == 200)
+      finish(Outcome::error, "the answer is too large");
+    else
+      onEnd();
+    return false;
+  }
+  body_.append(bytes);
+  return true;
+}
+
+void CompletionExchange::onEnd() {
+  if (isFinished()) return;
+  if (status_ != 200) return finishErrorResponse();
+  if (!isStreamed_) return finishPrefill();
+  if (hasFinishReason_) return finish(Outcome::completed, {});
+  finish(Outcome::connectionReset, "the answer ended before its end");
+}
+
+void CompletionExchange::finishErrorResponse() {
+  auto failed = parseErrorResponse(status_, body_);
+  failed.report = result().report;
+  finish(failed);
+}
+
+void CompletionExchange::finishPrefill() {
+  const auto response = parsePrefillResponse(body_);
+  if (!response) return finish(Outcome::error, std::string(message(response.error())));
+  result().kvTransferParams = response->kvTransferParams;
+  result().cachedTokens = response->cachedTokens;
+  result().promptTokens = response->promptTokens;
+  finish(Outcome::prefillDone, {});
+}
+
+void CompletionExchange::onEvent(const http1::EventStreamParser::Event& event) {
+  if (isFinished()) return;
+  if (event.data == "[DONE]") return finish(Outcome::completed, {});
+  const auto chunk = parseChunk(event.data);
+  if (!chunk) return finish(Outcome::error, std::string(message(chunk.error())));
+  if (!chunk->engineError.empty()) return finish(Outcome::error, chunk->engineError);
+  if (chunk->promptTokens) result().promptTokens = *chunk->promptTokens;
+  if (chunk->outputTokens) result().outputTokens = *chunk->outputTokens;
+  if (chunk->cachedTokens) result().cachedTokens = *chunk->cachedTokens;
+  if (chunk->finishReason) {
+    result().reason = *chunk->finishReason;
+    hasFinishReason_ = true;
+  }
+  if (chunk->tokens > 0) reportTokens(chunk->text, chunk->tokens, chunk->tokenIds);
+}
+
+}  // namespace garnethook::engine
--- /dev/null
+++ b/src/engine/completion_exchange.h
@@ -0,0 +1,41 @@
+/// @file
+/// The exchange of one attempt in the OpenAI-compatible completions protocol.
+#pragma once
+
+#include <string>
+
+#include "engine/attempt_exchange.h"
+#include "engine/completions.h"
+#include "engine/options.h"
+#include "http1/event_stream.h"
+
+namespace garnethook::engine {
+
+/// Carries one attempt: a JSON response to a prefill, a stream of events for decode and combined attempts.
+class CompletionExchange final : public AttemptExchange {
+ public:
+  /// @param events notified of tokens and of the result; must outlive the exchange
+  /// @param id the attempt
+  /// @param phase decides which form of response is expected
+  /// @param options limits on sizes; must outlive the exchange
+  CompletionExchange(routing::EngineClientEvents& events, routing::AttemptId id, routing::Phase phase,
+                     const Options& options);
+  bool onHead(const http1::Head& head) override;
+  bool onBody(std::string_view bytes) override;
+  void onEnd() override;
+
+ private:
+  void onEvent(const http1::EventStreamParser::Event& event);
+  void finishErrorResponse();
+  void finishPrefill();
+
+  routing::Phase phase_;
+  const Options& options_;
+  http1::EventStreamParser parser_;
+  std::string body_;
+  int status_ = 0;
+  bool isStreamed_ = false;
+  bool hasFinishReason_ = false;  // an event named the reason for which generation ended
+};
+
+}  // namespace garnethook::engine
--- a/src/engine/completions.cpp
+++ b/src/engine/completions.cpp
@@ -10,8 +10,12 @@
 
 using nlohmann::json;
 
-// Discarded where it is no JSON, or nested so deep that writing it out again would run out of stack.
-json parse(std::string_view text) {
+constexpr double kMaxCount = 4e9;    // beyond that a count is nonsense
+constexpr double kMaxMetric = 1e12;  // and a metric
+constexpr std::size_t kMaxErrorText = 300;
+
+// Discarded where it is not JSON, or nested so deep that serialising it again would exhaust the stack.
+json parseJson(std::string_view text) {
   if (config::jsonDepth(text) > config::kDeepest) return json(json::value_t::discarded);
   return json::parse(text, nullptr, false);
 }
@@ -25,44 +29,117 @@
 std::optional<double> number(const json& object, const char* key) {
   const json* value = member(object, key);
   if (value == nullptr || !value->is_number()) return std::nullopt;
-  const double n = value->get<double>();
-  return n >= 0 && n < 4e9 ? std::optional(n) : std::nullopt;
+  const double result = value->get<double>();
+  return result >= 0 && result < kMaxCount ? std::optional(result) : std::nullopt;
 }
+
 std::optional<std::uint32_t> count(const json& object, const char* key) {
-  const auto n = number(object, key);
-  return n ? std::optional(static_cast<std::uint32_t>(*n)) : std::nullopt;
+  const auto value = number(object, key);
+  return value ? std::optional(static_cast<std::uint32_t>(*value)) : std::nullopt;
 }
-std::optional<double> cached(const json& usage) {
+
+std::optional<double> cachedTokensOf(const json& usage) {
   const json* details = member(usage, "prompt_tokens_details");
   return details == nullptr ? std::nullopt : number(*details, "cached_tokens");
 }
 
 std::string errorText(const json& body) {
   const json* error = member(body, "error");
-  const json& holder = error != nullptr && error->is_object() ? *error : body;
-  if (const json* text = member(holder, "message"); text != nullptr && text->is_string())
-    return text->get<std::string>().substr(0, 300);
-  if (error != nullptr && error->is_string()) return error->get<std::string>().substr(0, 300);
+  const json& container = error != nullptr && error->is_object() ? *error : body;
+  if (const json* text = member(container, "message"); text != nullptr && text->is_string())
+    return text->get<std::string>().substr(0, kMaxErrorText);
+  if (error != nullptr && error->is_string()) return error->get<std::string>().substr(0, kMaxErrorText);
   return {};
 }
 
-void take(std::string_view name, double value, LoadReport& out, bool& known) {
-  if (!(value >= 0) || value > 1e12) return;
+// Returns whether the metric is known and its value plausible.
+bool applyMetric(std::string_view name, double value, LoadReport& report) {
+  if (!(value >= 0) || value > kMaxMetric) return false;
   if (name == "kv_cache_usage_perc")
-    out.memoryShare = value;
+    report.memoryShare = value;
   else if (name == "num_requests_waiting")
-    out.queuedRequests = value;
+    report.queuedRequests = value;
   else if (name == "num_tokens_waiting")
-    out.queuedKiloTokens = value / 1000;
+    report.queuedKiloTokens = value / 1000;
   else
-    return;
-  known = true;
+    return false;
+  return true;
+}
+
+// `{"named_metrics": {name: value, ...}}`
+bool applyJsonMetrics(std::string_view text, LoadReport& report) {
+  bool anyKnown = false;
+  const json body = parseJson(text);
+  if (const json* named = member(body, "named_metrics"); named != nullptr && named->is_object())
+    for (const auto& [name, value] : named->items())
+      if (value.is_number() && applyMetric(name, value.get<double>(), report)) anyKnown = true;
+  return anyKnown;
+}
+
+// `named_metrics.name=value, ...`
+bool applyTextMetrics(std::string_view text, LoadReport& report) {
+  constexpr std::string_view kPrefix = "named_metrics.";
+  bool anyKnown = false;
+  while (!text.empty()) {
+    const auto comma = text.find(',');
+    auto item = text.substr(0, comma);
+    text.remove_prefix(comma == std::string_view::npos ? text.size() : comma + 1);
+    while (item.starts_with(' ')) item.remove_prefix(1);
+    const auto equals = item.find('=');
+    if (equals == std::string_view::npos || !item.starts_with(kPrefix)) continue;
+    double value = -1;
+    const auto digits = item.substr(equals + 1);
+    std::from_chars(digits.data(), digits.data() + digits.size(), value);
+    if (applyMetric(item.substr(kPrefix.size(), equals - kPrefix.size()), value, report)) anyKnown = true;
+  }
+  return anyKnown;
+}
+
+json prefillTransferParams() {
+  return {{"do_remote_decode", true},    {"do_remote_prefill", false}, {"remote_engine_id", nullptr},
+          {"remote_block_ids", nullptr}, {"remote_host", nullptr},     {"remote_port", nullptr}};
+}
+
+// What the prefill's response said, with the roles the other way round.
+json decodeTransferParams(std::string_view prefillParams) {
+  json params = parseJson(prefillParams);
+  if (!params.is_object()) params = json::object();
+  params["do_remote_prefill"] = true;
+  params["do_remote_decode"] = false;
+  return params;
+}
+
+std::string serialise(const json& value) {
+  return value.dump(-1, ' ', false, json::error_handler_t::replace);
+}
+
+void applyChoice(const json& choice, CompletionChunk& chunk) {
+  if (const json* text = member(choice, "text"); text != nullptr && text->is_string())
+    chunk.text = text->get<std::string>();
+  if (const json* ids = member(choice, "token_ids"); ids != nullptr && ids->is_array())
+    for (const json& id : *ids)
+      if (id.is_number_unsigned()) chunk.tokenIds.push_back(id.get<std::uint32_t>());
+  if (!chunk.tokenIds.empty())
+    chunk.tokens = static_cast<std::uint32_t>(chunk.tokenIds.size());
+  else
+    chunk.tokens = chunk.text.empty() ? 0 : 1;
+  if (const json* reason = member(choice, "finish_reason"); reason != nullptr && reason->is_string())
+    chunk.finishReason = *reason == "length" ? routing::FinishReason::length : routing::FinishReason::stop;
 }
 
 }  // namespace
 
-std::string requestBody(const routing::AttemptSpec& order, std::string_view defaultModel) {
-  const routing::Request& request = *order.request;
+std::string_view message(CompletionError error) {
+  switch (error) {
+    case CompletionError::prefillResponseNotObject: return "the answer to a read is not a JSON object";
+    case CompletionError::noKvTransferParams: return "the answer to a read has no kv_transfer_params";
+    case CompletionError::eventNotObject: return "an event of the answer is not a JSON object";
+  }
+  return {};
+}
+
+std::string requestBody(const routing::AttemptSpec& attempt, std::string_view defaultModel) {
+  const routing::Request& request = *attempt.request;
   json body;
   body["model"] = request.model.empty() ? std::string(defaultModel) : request.model;
   if (request.promptIds.empty())
@@ -72,126 +149,89 @@
   if (request.specialTokens) body["special_tokens"] = true;
   if (request.temperature) body["temperature"] = *request.temperature;
   if (request.seed) body["seed"] = *request.seed;
-  if (order.phase == routing::Phase::prefill) {
+  if (attempt.phase == routing::Phase::prefill) {
     body["max_tokens"] = 1;
     body["stream"] = false;
-    body["kv_transfer_params"] = {{"do_remote_decode", true},    {"do_remote_prefill", false},
-                                  {"remote_engine_id", nullptr}, {"remote_block_ids", nullptr},
-                                  {"remote_host", nullptr},      {"remote_port", nullptr}};
+    body["kv_transfer_params"] = prefillTransferParams();
   } else {
     body["max_tokens"] = request.maxOutput;
     body["stream"] = true;
     body["stream_options"] = {{"include_usage", true}};
     body["return_token_ids"] = true;
     if (!request.stop.empty()) body["stop"] = request.stop;
-    if (order.phase == routing::Phase::decode) {
-      json params = parse(order.kvTransferParams);
-      if (!params.is_object()) params = json::object();
-      params["do_remote_prefill"] = true;
-      params["do_remote_decode"] = false;
-      body["kv_transfer_params"] = std::move(params);
-    }
+    if (attempt.phase == routing::Phase::decode)
+      body["kv_transfer_params"] = decodeTransferParams(attempt.kvTransferParams);
   }
-  return body.dump(-1, ' ', false, json::error_handler_t::replace);
+  return serialise(body);
 }
 
-std::optional<ReadAnswer> parseReadAnswer(std::string_view text, std::string& error) {
-  const json body = parse(text);
-  if (!body.is_object()) {
-    error = "the answer to a read is not a JSON object";
-    return std::nullopt;
-  }
+Result<PrefillResponse, CompletionError> parsePrefillResponse(std::string_view text) {
+  const json body = parseJson(text);
+  if (!body.is_object()) return Failure{CompletionError::prefillResponseNotObject};
   const json* params = member(body, "kv_transfer_params");
-  if (params == nullptr || !params->is_object()) {
-    error = "the answer to a read has no kv_transfer_params";
-    return std::nullopt;
-  }
-  ReadAnswer out;
-  out.kvTransferParams = params->dump(-1, ' ', false, json::error_handler_t::replace);
+  if (params == nullptr || !params->is_object()) return Failure{CompletionError::noKvTransferParams};
+  PrefillResponse response;
+  response.kvTransferParams = serialise(*params);
   if (const json* usage = member(body, "usage")) {
-    out.cachedTokens = cached(*usage).value_or(0);
-    out.promptTokens = count(*usage, "prompt_tokens").value_or(0);
+    response.cachedTokens = cachedTokensOf(*usage).value_or(0);
+    response.promptTokens = count(*usage, "prompt_tokens").value_or(0);
   }
-  return out;
+  return response;
 }
 
-std::optional<Chunk> parseChunk(std::string_view data, std::string& error) {
-  const json body = parse(data);
-  if (!body.is_object()) {
-    error = "an event of the answer is not a JSON object";
-    return std::nullopt;
-  }
-  Chunk out;
+Result<CompletionChunk, CompletionError> parseChunk(std::string_view data) {
+  const json body = parseJson(data);
+  if (!body.is_object()) return Failure{CompletionError::eventNotObject};
+  CompletionChunk chunk;
   if (member(body, "error") != nullptr) {
-    out.error = errorText(body);
-    if (out.error.empty()) out.error = "the engine reports an error";
-    return out;
+    chunk.engineError = errorText(body);
+    if (chunk.engineError.empty()) chunk.engineError = "the engine reports an error";
+    return chunk;
   }
   if (const json* choices = member(body, "choices");
-      choices != nullptr && choices->is_array() && !choices->empty()) {
-    const json& choice = choices->front();
-    if (const json* text = member(choice, "text"); text != nullptr && text->is_string())
-      out.text = text->get<std::string>();
-    if (const json* ids = member(choice, "token_ids"); ids != nullptr && ids->is_array())
-      for (const json& id : *ids)
-        if (id.is_number_unsigned()) out.ids.push_back(id.get<std::uint32_t>());
-    out.tokens = out.ids.empty() ? (out.text.empty() ? 0 : 1) : static_cast<std::uint32_t>(out.ids.size());
-    if (const json* reason = member(choice, "finish_reason"); reason != nullptr && reason->is_string())
-      out.finish = *reason == "length" ? routing::FinishReason::length : routing::FinishReason::stop;
-  }
+      choices != nullptr && choices->is_array() && !choices->empty())
+    applyChoice(choices->front(), chunk);
   if (const json* usage = member(body, "usage")) {
-    out.promptTokens = count(*usage, "prompt_tokens");
-    out.outputTokens = count(*usage, "completion_tokens");
-    out.cachedTokens = cached(*usage);
+    chunk.promptTokens = count(*usage, "prompt_tokens");
+    chunk.outputTokens = count(*usage, "completion_tokens");
+    chunk.cachedTokens = cachedTokensOf(*usage);
   }
-  return out;
+  return chunk;
 }
 
-routing::AttemptResult failedAnswer(int status, std::string_view text) {
-  routing::AttemptResult r;
-  const json body = parse(text);
-  const std::string said = body.is_discarded() ? std::string() : errorText(body);
-  r.text = "HTTP " + std::to_string(status) + (said.empty() ? "" : ": " + said);
+routing::AttemptResult parseErrorResponse(int status, std::string_view text) {
+  routing::AttemptResult result;
+  const json body = parseJson(text);
+  const std::string engineError = body.is_discarded() ? std::string() : errorText(body);
+  result.text = "HTTP " + std::to_string(status) + (engineError.empty() ? "" : ": " + engineError);
   const json* error = body.is_object() ? member(body, "error") : nullptr;
   const json* code = error != nullptr ? member(*error, "code") : nullptr;
   if (code != nullptr && code->is_string() && *code == "kv_state_missing") {
-    r.outcome = Outcome::rejected;
-    r.kvStateMissing = true;
+    result.outcome = Outcome::rejected;
+    result.kvStateMissing = true;
   } else if (status == 429 || status == 503) {
-    r.outcome = Outcome::rejected;
+    result.outcome = Outcome::rejected;
   } else if (status == 400 || status == 404 || status == 413 || status == 422) {
-    r.outcome = Outcome::notSent;
-    r.badRequest = true;
+    result.outcome = Outcome::notSent;
+    result.badRequest = true;
   } else {
-    r.outcome = Outcome::error;
+    result.outcome = Outcome::error;
   }
-  return r;
+  return result;
 }
 
-std::optional<LoadReport> parseLoad(std::string_view header) {
-  LoadReport out;
-  bool known = false;
-  if (header.starts_with("JSON ") || header.starts_with("{")) {
-    const json body = parse(header.starts_with("{") ? header : header.substr(5));
-    if (const json* named = member(body, "named_metrics"); named != nullptr && named->is_object())
-      for (const auto& [name, value] : named->items())
-        if (value.is_number()) take(name, value.get<double>(), out, known);
+std::optional<LoadReport> parseLoadMetrics(std::string_view header) {
+  LoadReport report;
+  bool anyKnown = false;
+  if (header.starts_with("{")) {
+    anyKnown = applyJsonMetrics(header, report);
+  } else if (header.starts_with("JSON ")) {
+    anyKnown = applyJsonMetrics(header.substr(5), report);
   } else {
     if (header.starts_with("TEXT ")) header.remove_prefix(5);
-    while (!header.empty()) {
-      const auto comma = header.find(',');
-      auto item = header.substr(0, comma);
-      header.remove_prefix(comma == std::string_view::npos ? header.size() : comma + 1);
-      while (item.starts_with(' ')) item.remove_prefix(1);
-      const auto equals = item.find('=');
-      if (equals == std::string_view::npos || !item.starts_with("named_metrics.")) continue;
-      double value = -1;
-      const auto digits = item.substr(equals + 1);
-      std::from_chars(digits.data(), digits.data() + digits.size(), value);
-      take(item.substr(14, equals - 14), value, out, known);
-    }
+    anyKnown = applyTextMetrics(header, report);
   }
-  return known ? std::optional(out) : std::nullopt;
+  return anyKnown ? std::optional(report) : std::nullopt;
 }
 
 }  // namespace garnethook::engine
--- a/src/engine/connection.cpp
+++ b/src/engine/connection.cpp
@@ -4,139 +4,151 @@
 
 namespace garnethook::engine {
 
-Connection::Connection(net::Loop& loop, const Options& options, const Poco::Net::SocketAddress& to,
+using net::CloseCause;
+using routing::DeliveryState;
+
+Connection::Connection(net::Loop& loop, const Options& options, const Poco::Net::SocketAddress& address,
                        EndpointId endpoint, ConnectionOwner& owner)
     : loop_(loop),
       options_(options),
-      to_(to),
+      address_(address),
       endpoint_(endpoint),
       owner_(owner),
       timer_(loop),
       parser_(http1::MessageParser::Kind::response, options.message, *this) {
-  dial();
+  connect();
 }
 
-void Connection::dial() {
-  stream_ = std::make_unique<net::Stream>(loop_, to_, options_.sourceAddress, options_.connectTimeout,
+void Connection::connect() {
+  stream_ = std::make_unique<net::Stream>(loop_, address_, options_.sourceAddress, options_.connectTimeout,
                                           static_cast<net::StreamEvents&>(*this));
 }
 
-void Connection::run(std::unique_ptr<Exchange> exchange, RequestWriter request, Micros limit, bool redial) {
+void Connection::start(std::unique_ptr<Exchange> exchange, RequestWriter request, Micros timeout,
+                       bool retryIfRefused) {
   exchange_ = std::move(exchange);
-  answered_ = heard_ = false;
-  redial_ = redial;
-  reusedAfter_ = restedAt_ == 0 ? -1 : loop_.now() - restedAt_;
+  hasResponseHead_ = hasReceivedBytes_ = false;
+  retryIfRefused_ = retryIfRefused;
+  idleBeforeReuse_ = idleSince_ == 0 ? std::nullopt : std::optional(idleTime());
   timer_.stop();
-  if (limit > 0) timer_.start(limit, [this] { fail(Outcome::timedOut, "no answer in time"); });
+  if (timeout > 0) timer_.start(timeout, [this] { fail(Outcome::timedOut, "no answer in time"); });
   request_ = std::move(request);
-  if (stream_->connected()) write();
+  if (stream_->connected()) sendRequest();
 }
 
-void Connection::abandon() {
-  if (!heard_) owner_.onHeard(*this, false);
-  if (exchange_) exchange_->mute();
-  muted_ = std::move(exchange_);
-  free(false);
+void Connection::cancel() {
+  if (!hasReceivedBytes_) owner_.onResponsiveness(*this, false);
+  if (exchange_) exchange_->detach();
+  cancelledExchange_ = std::move(exchange_);
+  finish(false);
 }
 
-void Connection::rest() {
-  restedAt_ = loop_.now();
-  timer_.start(options_.idleTimeout, [this] { free(false); });
+void Connection::parkIdle() {
+  idleSince_ = loop_.now();
+  timer_.start(options_.idleTimeout, [this] { finish(false); });
 }
 
-routing::DeliveryState Connection::deliveryState() const {
-  if (!stream_->connected() || stream_->pending() > 0) return routing::DeliveryState::undelivered;
-  if (heard_) return routing::DeliveryState::confirmed;
-  return reusedAfter_ >= 0 || !stream_->delivered() ? routing::DeliveryState::written
-                                                    : routing::DeliveryState::connected;
+DeliveryState Connection::deliveryState() const {
+  if (!stream_->connected() || stream_->pending() > 0) return DeliveryState::undelivered;
+  if (hasReceivedBytes_) return DeliveryState::confirmed;
+  return idleBeforeReuse_ || !stream_->delivered() ? DeliveryState::written : DeliveryState::connected;
 }
 
-void Connection::onConnected() { write(); }
-
-void Connection::write() {
+void Connection::sendRequest() {
   const auto text = std::exchange(request_, {})(loop_.now());
   if (text) return stream_->send(*text);
-  loop_.post([this, alive = std::weak_ptr<bool>(alive_)] {  // the owner may be in the middle of run()
+  loop_.post([this, alive = std::weak_ptr<bool>(alive_)] {  // the owner may be in the middle of start()
     if (!alive.expired() && exchange_) fail(Outcome::connectFailed, "it was too late to send it");
   });
 }
 
 void Connection::onBytes(std::string_view bytes) {
-  if (!exchange_) return free(false);  // bytes that nobody asked for
-  if (!std::exchange(heard_, true)) owner_.onHeard(*this, true);
-  if (reusedAfter_ >= 0) owner_.onReused(*this, std::exchange(reusedAfter_, -1), false);
-  const bool good = parser_.receive(bytes);
-  if (exchange_ && !good) return fail(Outcome::error, "bad HTTP: " + std::string(parser_.error()));
-  // What is left of a request that was answered early would come before the next one.
-  if (std::exchange(over_, false)) free(good && keepAlive_ && !parser_.midway() && stream_->pending() == 0);
-}
-
-void Connection::onClosed(net::CloseCause cause) {
-  if (!exchange_) return free(false);
-  if (!stream_->connected() && cause == net::CloseCause::refused && std::exchange(redial_, false)) {
-    loop_.post([this, alive = std::weak_ptr<bool>(alive_)] {
-      if (!alive.expired() && exchange_) dial();
-    });
-    return;
-  }
-  // This machine's own failure tells nothing of the engine, like a pool without a free connection.
-  if (cause == net::CloseCause::unavailable) return failHere("this machine can't connect at the moment");
-  if (!stream_->connected())
-    return fail(Outcome::connectFailed,
-                cause == net::CloseCause::timedOut ? "no connection in time" : "no connection");
-  // What was never written whole was never begun.
-  if (stream_->unsent() > 0 && !answered_)
+  if (!exchange_) return finish(false);  // unsolicited bytes
+  if (!std::exchange(hasReceivedBytes_, true)) owner_.onResponsiveness(*this, true);
+  reportReuse(false);
+  const bool isValid = parser_.receive(bytes);
+  if (exchange_ && !isValid) return fail(Outcome::error, "bad HTTP: " + std::string(parser_.error()));
+  if (!std::exchange(isExchangeOver_, false)) return;
+  // The rest of a request that was answered early would come before the next one.
+  finish(isValid && keepAlive_ && !parser_.midway() && stream_->pending() == 0);
+}
+
+void Connection::onClosed(CloseCause cause) {
+  if (!exchange_) return finish(false);
+  if (!stream_->connected()) return onClosedBeforeConnected(cause);
+  // This machine's own failure says nothing about the endpoint, like a pool without a free connection.
+  if (cause == CloseCause::unavailable) return failNotSent("this machine can't connect at the moment");
+  // A request that was never written completely was never executed.
+  if (stream_->unsent() > 0 && !hasResponseHead_)
     return fail(Outcome::connectFailed, "the connection broke off before the request was written");
-  if (cause == net::CloseCause::peerClosed && parser_.close() && over_) return free(false);
-  const bool kept = reusedAfter_ >= 0;
-  if (kept) owner_.onReused(*this, std::exchange(reusedAfter_, -1), true);
-  fail(Outcome::connectionReset,
-       answered_ ? "the connection broke off in the answer"
-       : kept    ? "a kept connection broke off"
-                 : "the connection broke off",
-       kept);
+  if (cause == CloseCause::peerClosed && parser_.close() && isExchangeOver_) return finish(false);
+  const bool wasReused = idleBeforeReuse_.has_value();
+  reportReuse(true);
+  if (hasResponseHead_)
+    return fail(Outcome::connectionReset, "the connection broke off in the answer", wasReused);
+  fail(Outcome::connectionReset, wasReused ? "a kept connection broke off" : "the connection broke off",
+       wasReused);
+}
+
+void Connection::onClosedBeforeConnected(CloseCause cause) {
+  if (cause == CloseCause::refused && std::exchange(retryIfRefused_, false)) return retryConnect();
+  if (cause == CloseCause::unavailable) return failNotSent("this machine can't connect at the moment");
+  fail(Outcome::connectFailed, cause == CloseCause::timedOut ? "no connection in time" : "no connection");
+}
+
+// The stream is calling, so it is replaced in the loop's next turn.
+void Connection::retryConnect() {
+  loop_.post([this, alive = std::weak_ptr<bool>(alive_)] {
+    if (!alive.expired() && exchange_) connect();
+  });
 }
 
 void Connection::onHead(const http1::Head& head) {
-  answered_ = true;
-  keepAlive_ = head.keepAlive && exchange_;  // an answer that nobody asked for ends the connection
-  if (!exchange_ || exchange_->onHead(head)) return;
-  exchange_.reset();
-  over_ = true;
-  keepAlive_ = false;
+  hasResponseHead_ = true;
+  keepAlive_ = head.keepAlive && exchange_;  // an unsolicited response ends the connection
+  if (exchange_ && !exchange_->onHead(head)) dropExchange();
 }
 
 void Connection::onBody(std::string_view bytes) {
-  if (!exchange_ || exchange_->onBody(bytes)) return;
+  if (exchange_ && !exchange_->onBody(bytes)) dropExchange();
+}
+
+// The exchange knows enough, though the response is not complete.
+void Connection::dropExchange() {
   exchange_.reset();
-  over_ = true;
+  isExchangeOver_ = true;
   keepAlive_ = false;
 }
 
 void Connection::onEnd() {
   if (!exchange_) return;
-  over_ = true;
+  isExchangeOver_ = true;
   const auto exchange = std::move(exchange_);
   exchange->onEnd();
 }
 
-void Connection::fail(Outcome outcome, const std::string& text, bool kept) {
-  if (!heard_) owner_.onHeard(*this, false);
+void Connection::reportReuse(bool wasDead) {
+  if (const auto idleTime = std::exchange(idleBeforeReuse_, std::nullopt))
+    owner_.onReuseOutcome(*this, *idleTime, wasDead);
+}
+
+void Connection::fail(Outcome outcome, const std::string& text, bool reusedConnection) {
+  if (!hasReceivedBytes_) owner_.onResponsiveness(*this, false);
   const auto exchange = std::move(exchange_);
-  free(false);
-  if (exchange) exchange->onFailed(outcome, text, kept);
+  finish(false);
+  if (exchange) exchange->onFailed(outcome, text, reusedConnection);
 }
 
-void Connection::failHere(const std::string& text) {
+void Connection::failNotSent(const std::string& text) {
   const auto exchange = std::move(exchange_);
-  free(false);
+  finish(false);
   if (exchange) exchange->onNotSent(text);
 }
 
-void Connection::free(bool reusable) {
+void Connection::finish(bool isReusable) {
   timer_.stop();
-  if (!reusable) stream_->close();
-  owner_.onFree(*this, reusable);
+  if (!isReusable) stream_->close();
+  owner_.onFinished(*this, isReusable);
 }
 
 }  // namespace garnethook::engine
--- /dev/null
+++ b/src/engine/connection_pool.cpp
@@ -0,0 +1,257 @@
+#include "engine/connection_pool.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace garnethook::engine {
+
+void ConnectionPool::post(std::function<void()> task) {
+  loop_.post([task = std::move(task), alive = alive_] {
+    if (*alive) task();
+  });
+}
+
+// ---- endpoints ----
+
+ConnectionPool::Endpoint* ConnectionPool::findEndpoint(EndpointId id) {
+  const auto found = endpoints_.find(id.value);
+  return found == endpoints_.end() ? nullptr : &found->second;
+}
+
+const membership::EndpointSpec* ConnectionPool::find(EndpointId endpoint) const {
+  const auto found = endpoints_.find(endpoint.value);
+  return found == endpoints_.end() || !found->second.isResolved ? nullptr : &found->second.spec;
+}
+
+bool ConnectionPool::isRunning(EndpointId endpoint) const {
+  const auto found = endpoints_.find(endpoint.value);
+  return found != endpoints_.end() && found->second.isListed &&
+         found->second.spec.state == EndpointState::running;
+}
+
+const std::vector<EndpointId>& ConnectionPool::listedEndpoints() const {
+  if (!listedEndpoints_) {
+    listedEndpoints_.emplace();
+    for (const auto& [id, endpoint] : endpoints_)
+      if (endpoint.isListed && endpoint.isResolved) listedEndpoints_->push_back({id});
+    std::sort(listedEndpoints_->begin(), listedEndpoints_->end());
+  }
+  return *listedEndpoints_;
+}
+
+Responsiveness ConnectionPool::responsiveness(EndpointId endpoint) const {
+  const auto found = endpoints_.find(endpoint.value);
+  return found == endpoints_.end() ? Responsiveness::unknown : found->second.responsiveness;
+}
+
+void ConnectionPool::update(const membership::EndpointMap& endpoints) {
+  std::unordered_set<std::uint64_t> listed;
+  for (const auto& [name, spec] : endpoints) listed.insert(spec.id.value);
+  for (auto& [id, endpoint] : endpoints_)
+    if (!listed.contains(id)) unlist(endpoint);
+  apply(endpoints);
+}
+
+void ConnectionPool::apply(const membership::EndpointMap& changes) {
+  listedEndpoints_.reset();
+  for (const auto& [name, spec] : changes) {
+    if (spec.state != EndpointState::removed)
+      list(spec);
+    else if (Endpoint* const known = findEndpoint(spec.id))
+      unlist(*known);
+  }
+  forgetUnlisted();
+}
+
+void ConnectionPool::list(const membership::EndpointSpec& spec) {
+  Endpoint& endpoint = endpoints_[spec.id.value];
+  const bool hasMoved = endpoint.spec.host != spec.host || endpoint.spec.port != spec.port;
+  if (hasMoved || endpoint.spec.startedAt != spec.startedAt) {
+    closeIdle(endpoint);
+    endpoint.responsiveness = Responsiveness::unknown;
+  }
+  endpoint.spec = spec;
+  endpoint.isListed = true;
+  if (!hasMoved && endpoint.isResolved) return;
+  try {
+    endpoint.address = Poco::Net::SocketAddress(spec.host, spec.port);
+    endpoint.isResolved = true;
+  } catch (const Poco::Exception&) {
+    endpoint.isResolved = false;  // attempts there fail without a connection
+  }
+}
+
+void ConnectionPool::unlist(Endpoint& endpoint) {
+  endpoint.isListed = false;
+  closeIdle(endpoint);
+  unlisted_.insert(endpoint.spec.id.value);
+}
+
+// Endpoints that have left are forgotten once their exchanges are over.
+void ConnectionPool::forgetUnlisted() {
+  std::erase_if(unlisted_, [this](std::uint64_t id) {
+    const auto found = endpoints_.find(id);
+    if (found == endpoints_.end() || found->second.isListed) return true;
+    if (found->second.busyCount > 0) return false;
+    withIdle_.erase(&found->second);
+    endpoints_.erase(found);
+    return true;
+  });
+}
+
+// ---- limits ----
+
+bool ConnectionPool::isFull(EndpointId endpoint) const {
+  const auto found = endpoints_.find(endpoint.value);
+  if (found == endpoints_.end()) return false;
+  return found->second.busyCount >= options_.connections ||
+         (options_.allConnections > 0 && attempts_.size() >= options_.allConnections);
+}
+
+bool ConnectionPool::isControlFull() const {
+  return options_.controlConnections > 0 && busy_.size() - attempts_.size() >= options_.controlConnections;
+}
+
+// Idle connections give way to new ones where there is a limit on all together: the endpoint with most of
+// them gives up the one that has been idle for the longest time.
+void ConnectionPool::makeRoom() {
+  if (options_.allConnections == 0 || busy_.size() + idleCount_ < options_.allConnections) return;
+  std::erase_if(withIdle_, [](const Endpoint* endpoint) { return endpoint->idle.empty(); });
+  Endpoint* most = nullptr;
+  for (Endpoint* endpoint : withIdle_)
+    if (most == nullptr || endpoint->idle.size() > most->idle.size()) most = endpoint;
+  if (most == nullptr) return;
+  discard(std::move(most->idle.front()));
+  most->idle.erase(most->idle.begin());
+  --idleCount_;
+}
+
+// ---- idle connections ----
+
+void ConnectionPool::park(Endpoint& endpoint, std::unique_ptr<Connection> connection) {
+  connection->parkIdle();
+  endpoint.idle.push_back(std::move(connection));
+  withIdle_.insert(&endpoint);
+  ++idleCount_;
+}
+
+void ConnectionPool::closeIdle(Endpoint& endpoint) {
+  idleCount_ -= endpoint.idle.size();
+  for (auto& connection : endpoint.idle) discard(std::move(connection));
+  endpoint.idle.clear();
+}
+
+// Takes the connection that has been idle for the shortest time, except those on which a stray response may
+// still arrive; where that one has been idle for too long, no other will do. Nothing where none may be used.
+std::unique_ptr<Connection> ConnectionPool::takeIdle(Endpoint& endpoint, ConnectionReuse reuse) {
+  if (reuse == ConnectionReuse::never) return nullptr;
+  const bool nonRepeatable = reuse == ConnectionReuse::onlyIfProven;
+  for (std::size_t index = endpoint.idle.size(); index-- > 0;) {
+    const Micros idleTime = endpoint.idle[index]->idleTime();
+    if (ReusePolicy::mayReceiveStrayResponse(idleTime)) continue;
+    if (!reusePolicy_.mayReuse(idleTime, nonRepeatable, loop_.now())) return nullptr;
+    auto connection = std::move(endpoint.idle[index]);
+    endpoint.idle.erase(endpoint.idle.begin() + static_cast<std::ptrdiff_t>(index));
+    --idleCount_;
+    if (connection->isReusable()) return connection;
+    discard(std::move(connection));
+  }
+  return nullptr;
+}
+
+// A connection is often given up from within its own call, so it ends in the loop's next turn.
+void ConnectionPool::discard(std::unique_ptr<Connection> connection) {
+  loop_.post([owned = std::shared_ptr<Connection>(std::move(connection))] {});
+}
+
+// ---- exchanges ----
+
+void ConnectionPool::start(EndpointId endpoint, std::unique_ptr<Exchange> exchange, std::string request,
+                           Micros timeout) {
+  acquire(endpoints_.at(endpoint.value), ConnectionReuse::allowed)
+      .start(std::move(exchange), fixedRequest(std::move(request)), timeout);
+}
+
+void ConnectionPool::start(routing::AttemptId attempt, EndpointId endpoint,
+                           std::unique_ptr<Exchange> exchange, RequestWriter request, ConnectionReuse reuse) {
+  Endpoint& target = endpoints_.at(endpoint.value);
+  // An endpoint with other open connections refuses one only by chance, and is tried once more.
+  const bool retryIfRefused = target.busyCount > 0 || !target.idle.empty();
+  Connection& connection = acquire(target, reuse);
+  connection.attempt = attempt;
+  attempts_[attempt] = &connection;
+  connection.start(std::move(exchange), std::move(request), 0, retryIfRefused);
+}
+
+Connection& ConnectionPool::acquire(Endpoint& endpoint, ConnectionReuse reuse) {
+  std::unique_ptr<Connection> owned = takeIdle(endpoint, reuse);
+  if (!owned) {
+    makeRoom();
+    ++opened_;
+    owned = std::make_unique<Connection>(loop_, options_, endpoint.address, endpoint.spec.id,
+                                         static_cast<ConnectionOwner&>(*this));
+  }
+  Connection& connection = *owned;
+  busy_[&connection] = std::move(owned);
+  ++endpoint.busyCount;
+  return connection;
+}
+
+void ConnectionPool::cancel(routing::AttemptId attempt) {
+  const auto found = attempts_.find(attempt);
+  if (found != attempts_.end()) found->second->cancel();
+}
+
+routing::DeliveryState ConnectionPool::deliveryState(routing::AttemptId attempt) const {
+  const auto found = attempts_.find(attempt);
+  return found == attempts_.end() ? routing::DeliveryState::undelivered : found->second->deliveryState();
+}
+
+void ConnectionPool::onResponsiveness(Connection& connection, bool isResponsive) {
+  if (Endpoint* const endpoint = findEndpoint(connection.endpoint()))
+    endpoint->responsiveness = isResponsive ? Responsiveness::responsive : Responsiveness::unresponsive;
+}
+
+void ConnectionPool::onFinished(Connection& connection, bool isReusable) {
+  Endpoint* const endpoint = findEndpoint(connection.endpoint());
+  std::unique_ptr<Connection> owned = release(connection, endpoint);
+  if (!owned) return;
+  if (owned->attempt) attempts_.erase(*std::exchange(owned->attempt, std::nullopt));
+  if (isReusable && endpoint != nullptr && endpoint->isListed && endpoint->idle.size() < options_.idle)
+    park(*endpoint, std::move(owned));
+  else
+    discard(std::move(owned));
+}
+
+// Takes a connection, busy or idle, out of the pool's books. Nothing where it has been discarded already.
+std::unique_ptr<Connection> ConnectionPool::release(Connection& connection, Endpoint* endpoint) {
+  std::unique_ptr<Connection> owned;
+  if (const auto busy = busy_.find(&connection); busy != busy_.end()) {
+    owned = std::move(busy->second);
+    busy_.erase(busy);
+    if (endpoint != nullptr) --endpoint->busyCount;
+  } else if (endpoint != nullptr) {
+    const auto idle = std::find_if(endpoint->idle.begin(), endpoint->idle.end(),
+                                   [&](const auto& candidate) { return candidate.get() == &connection; });
+    if (idle == endpoint->idle.end()) return nullptr;
+    owned = std::move(*idle);
+    endpoint->idle.erase(idle);
+    --idleCount_;
+  }
+  return owned;
+}
+
+// Where one connection was dead, those that have been idle for longer most likely are so too.
+void ConnectionPool::onReuseOutcome(Connection& connection, Micros idleTime, bool wasDead) {
+  reusePolicy_.record(idleTime, wasDead, loop_.now());
+  Endpoint* const endpoint = findEndpoint(connection.endpoint());
+  if (!wasDead || endpoint == nullptr) return;
+  auto& idle = endpoint->idle;
+  const auto older = std::partition(idle.begin(), idle.end(),
+                                    [&](const auto& candidate) { return candidate->idleTime() < idleTime; });
+  idleCount_ -= static_cast<std::size_t>(idle.end() - older);
+  for (auto dead = older; dead != idle.end(); ++dead) discard(std::move(*dead));
+  idle.erase(older, idle.end());
+}
+
+}  // namespace garnethook::engine
--- /dev/null
+++ b/src/engine/control_exchange.h
@@ -0,0 +1,63 @@
+/// @file
+/// Exchanges beside those of attempts: releases, probes, and documents that are fetched.
+#pragma once
+
+#include <functional>
+#include <optional>
+#include <string>
+#include <utility>
+
+#include "engine/exchange.h"
+
+namespace garnethook::engine {
+
+/// An exchange of which only the status counts, such as a release or a probe.
+class ControlExchange final : public Exchange {
+ public:
+  /// Called once with the response's status, or 0 where there was none, and its load report.
+  using Done = std::function<void(int status, const std::optional<LoadReport>& report)>;
+  /// @param done called once, unless the exchange is detached before
+  explicit ControlExchange(Done done) : done_(std::move(done)) {}
+  bool onHead(const http1::Head& head) override;
+  bool onBody(std::string_view bytes) override;
+  void onEnd() override { finish(status_); }
+  void onFailed(Outcome, const std::string&, bool) override { finish(0); }
+  void onNotSent(const std::string&) override { finish(0); }
+  void detach() override { isFinished_ = true; }
+
+ private:
+  void finish(int status);
+
+  Done done_;
+  bool isFinished_ = false;
+  int status_ = 0;
+  std::size_t bodyBytes_ = 0;
+  std::optional<LoadReport> report_;
+};
+
+/// An exchange that collects a body of bounded size.
+class DocumentExchange final : public Exchange {
+ public:
+  /// Longest body in bytes.
+  static constexpr std::size_t kMaxBytes = std::size_t{256} << 10;
+  /// Called once with status and body, or with 0 and an empty body where there was no complete response.
+  using Done = std::function<void(int status, const std::string& body)>;
+  /// @param done called once, unless the exchange is detached before
+  explicit DocumentExchange(Done done) : done_(std::move(done)) {}
+  bool onHead(const http1::Head& head) override;
+  bool onBody(std::string_view bytes) override;
+  void onEnd() override;
+  void onFailed(Outcome outcome, const std::string& text, bool reusedConnection) override;
+  void onNotSent(const std::string& text) override { onFailed(Outcome::connectFailed, text, false); }
+  void detach() override { isFinished_ = true; }
+
+ private:
+  void finishWithoutDocument();
+
+  Done done_;
+  bool isFinished_ = false;
+  int status_ = 0;
+  std::string body_;
+};
+
+}  // namespace garnethook::engine
--- a/src/engine/exchange.h
+++ b/src/engine/exchange.h
@@ -1,4 +1,5 @@
-// What is asked of an engine on one connection, and what is made of its answer.
+/// @file
+/// One request to an engine and its response, as a connection sees them.
 #pragma once
 
 #include <functional>
@@ -12,28 +13,40 @@
 
 namespace garnethook::engine {
 
-// Makes the text of a request in the moment in which it is written, as a connection may come up late: it may
-// tell how much time is left. Nothing: it must not be sent any more, and the exchange fails as never begun.
+/// Makes the text of a request at the moment at which it is written, since the connection may be established
+/// late and the request may say how much time is left. Nothing: the request must not be sent any more, and
+/// the exchange fails as never sent.
 using RequestWriter = std::function<std::optional<std::string>(Micros now)>;
+
+/// A request whose text does not depend on the time at which it is written.
 inline RequestWriter fixedRequest(std::string text) {
   return [text = std::move(text)](Micros) { return text; };
 }
 
+/// Handles the response to one request. Exactly one of onEnd, onFailed and onNotSent is called, unless onHead
+/// or onBody returned false or the exchange was detached; nothing is called after it.
 class Exchange {
  public:
   virtual ~Exchange() = default;
-  // False from either: enough is known, the connection may be given up.
+  /// The head of the response. @return false: enough is known, the connection may be closed
   virtual bool onHead(const http1::Head& head) = 0;
+  /// Bytes of the body. @return false: enough is known, the connection may be closed
   virtual bool onBody(std::string_view bytes) = 0;
-  // The answer is whole.
+  /// The response is complete.
   virtual void onEnd() = 0;
-  // It never will be. `kept`: the connection had been used before and broke without a sign, which tells of
-  // that connection and not of the engine.
-  virtual void onFailed(Outcome outcome, const std::string& text, bool kept) = 0;
-  // Nothing of it left this machine, for a reason of this machine's own: no word on the engine.
+  /// The response will never be complete.
+  /// @param outcome how it failed
+  /// @param text what happened, for the log
+  /// @param reusedConnection the connection had been used before and broke without a sign, which says
+  /// something
+  ///     about that connection and nothing about the engine
+  virtual void onFailed(Outcome outcome, const std::string& text, bool reusedConnection) = 0;
+  /// Nothing left this machine, for a reason of its own, which says nothing about the engine.
+  /// @param text the reason, for the log
   virtual void onNotSent(const std::string& text) = 0;
-  // Nobody wants to know any more. May come from within one of the calls above.
-  virtual void mute() = 0;
+  /// The result is not wanted any more: nothing is reported from now on. May be called from within any of the
+  /// calls above.
+  virtual void detach() = 0;
 };
 
 }  // namespace garnethook::engine
--- a/src/engine/options.h
+++ b/src/engine/options.h
@@ -1,4 +1,5 @@
-// Settings of the engine client; docs/configuration.md tells their names in the file.
+/// @file
+/// Settings of the engine clients; docs/configuration.md lists their names in the settings file.
 #pragma once
 
 #include <cstddef>
@@ -9,25 +10,41 @@
 
 namespace garnethook::engine {
 
+/// Settings of an engine client; all times are in microseconds.
 struct Options {
+  /// Model of requests that name none.
   std::string model = "default";
+  /// Path of attempts.
   std::string completionsPath = "/v1/completions";
-  std::string releasePath;  // empty: engines let go of states by their own time-out
+  /// Path of releases; empty: engines free KV caches by their own timeout.
+  std::string releasePath;
+  /// Path of probes.
   std::string probePath = "/health";
-  std::string tokeniserPath = "/tokenizer_info";  // empty: engines are not asked
-  std::string sourceAddress;                      // local address of connections; empty: the system's choice
+  /// Path of the description of an engine's tokeniser; empty: engines are not asked for it.
+  std::string tokeniserPath = "/tokenizer_info";
+  /// Local address of connections; empty: the system's choice.
+  std::string sourceAddress;
+  /// Time to establish a connection.
   Micros connectTimeout = 250'000;
-  Micros controlTimeout = 400'000;      // of a release or a probe
-  Micros idleTimeout = 30'000'000;      // an idle connection is closed after it
-  std::size_t connections = 1024;       // to one engine, releases and probes aside
-  std::size_t idle = 64;                // of them kept idle
-  std::size_t allConnections = 0;       // to all engines, releases and probes aside; 0: no bound of their own
-  std::size_t controlConnections = 0;   // busy with releases, probes and the like; 0: no bound of their own
-  std::size_t answerBytes = 4u << 20;   // of an answer that is not streamed
-  std::size_t eventBytes = 256u << 10;  // of one event of a streamed answer
-  // A streamed answer has no bound of its own here: its events do, and the router ends those that go on too
-  // long.
-  http1::MessageLimits message{.headBytes = 32 * 1024, .bodyBytes = std::size_t{1} << 32};
+  /// Time for a release or a probe.
+  Micros controlTimeout = 400'000;
+  /// An idle connection is closed after this time.
+  Micros idleTimeout = 30'000'000;
+  /// Connections to one endpoint, those of releases and probes not counted.
+  std::size_t connections = 1024;
+  /// Idle connections that are kept to one endpoint.
+  std::size_t idle = 64;
+  /// Connections to all endpoints, those of releases and probes not counted; 0: unlimited.
+  std::size_t allConnections = 0;
+  /// Connections that are busy with releases, probes and the like; 0: unlimited.
+  std::size_t controlConnections = 0;
+  /// Bytes of a response that is not streamed.
+  std::size_t answerBytes = std::size_t{4} << 20;
+  /// Bytes of one event of a streamed response.
+  std::size_t eventBytes = std::size_t{256} << 10;
+  /// Limits on every response. A streamed one has no limit of its own here: its events have, and the router
+  /// ends those that go on for too long.
+  http1::MessageLimits message{.headBytes = std::size_t{32} * 1024, .bodyBytes = std::size_t{1} << 32};
 };
 
 }  // namespace garnethook::engine
--- a/src/engine/reuse_policy.h
+++ b/src/engine/reuse_policy.h
@@ -1,75 +1,92 @@
-// Whether a kept connection may carry the next request, by how kept ones of its age fared of late. Free of
-// I/O and clocks.
-//
-// Engines, and what stands before them, end idle connections earlier than they say, some without a word: a
-// request written to such a one comes back as a reset, and may have run for all that is known. Where it can
-// be sent again that costs an attempt; where it can't, it is lost, so it goes on a new connection unless kept
-// ones of that age are known to be good.
+/// @file
+/// Whether an idle connection may carry the next request, judged by how idle connections of its age fared
+/// recently. Free of I/O and clocks.
+///
+/// Engines and the proxies in front of them close idle connections earlier than they announce, some without a
+/// sign: a request that is written to such a connection comes back as a reset, and may have been executed.
+/// Where it can be sent again, that costs one attempt; where it can't, the request is lost, so it gets a new
+/// connection unless idle ones of that age are known to be good.
 #pragma once
 
 #include <algorithm>
 #include <array>
 #include <bit>
 #include <cmath>
+#include <cstddef>
 #include <cstdint>
 
 #include "policy/routing_policy.h"
 
 namespace garnethook::engine {
 
-// What a request may be sent on: a kept connection as a rule, one that is good for certain, or a new one.
-enum class Reuse { usual, careful, none };
+/// Whether a request may be sent on an idle connection.
+enum class ConnectionReuse {
+  allowed,       ///< An idle connection will do unless such connections have often been dead.
+  onlyIfProven,  ///< Only one of an age at which idle connections are known to be good.
+  never          ///< The request needs a new connection.
+};
 
+/// Remembers how requests on reused connections fared, by how long the connection had been idle.
 class ReusePolicy {
  public:
-  // How a request on a kept connection fared that had rested so long: `dead`, reset without a sign.
-  void note(Micros rested, bool dead, Micros now) {
-    Bin& bin = bins_[binOf(rested)];
-    fade(bin, now);
-    bin.tries += 1;
-    if (dead) {
-      bin.dead += 1;
-      lastDead_ = now;
+  /// Records how a request on a reused connection fared.
+  /// @param idleTime microseconds for which the connection had been idle
+  /// @param wasDead it was reset without any response
+  /// @param now the current time
+  void record(Micros idleTime, bool wasDead, Micros now) {
+    AgeGroup& group = groups_[groupOf(idleTime)];
+    decay(group, now);
+    group.requests += 1;
+    if (wasDead) {
+      group.dead += 1;
+      lastDeadAt_ = now;
     }
   }
-  // Whether a stray second answer may still follow the one that a connection has rested since: it would be
-  // taken for the answer to the next request. They come some milliseconds behind; one that comes while the
-  // connection rests ends it.
-  static bool mayStray(Micros rested) { return rested < kStrayWithin; }
-  // `nonRepeatable`: a request that can't be sent again once it may have run.
-  bool mayReuse(Micros rested, bool nonRepeatable, Micros now) const {
-    if (lastDead_ == 0 || now - lastDead_ > kMemory) return true;
-    Bin bin = bins_[binOf(rested)];
-    fade(bin, now);
-    // A bin without news is thought as bad as half a death in one try.
-    const double risk = (bin.dead + kPrior / 2) / (bin.tries + kPrior);
-    return risk < (nonRepeatable ? kCostlyRisk : kUsualRisk);
+  /// Whether a second, unsolicited response may still follow the one that the connection had before it became
+  /// idle: it would be taken for the response to the next request. Such responses come some milliseconds
+  /// later; one that comes while the connection is idle closes it.
+  static bool mayReceiveStrayResponse(Micros idleTime) { return idleTime < kStrayResponseWindow; }
+  /// Whether a connection that has been idle for this long may carry a request.
+  /// @param idleTime microseconds for which the connection has been idle
+  /// @param nonRepeatable the request can't be sent again once it may have been executed
+  /// @param now the current time
+  bool mayReuse(Micros idleTime, bool nonRepeatable, Micros now) const {
+    if (lastDeadAt_ == 0 || now - lastDeadAt_ > kMemory) return true;
+    AgeGroup group = groups_[groupOf(idleTime)];
+    decay(group, now);
+    // A group without recent requests counts as half a dead connection in one request.
+    const double deadShare = (group.dead + kPriorRequests / 2) / (group.requests + kPriorRequests);
+    return deadShare < (nonRepeatable ? kMaxDeadShareNonRepeatable : kMaxDeadShare);
   }
 
  private:
-  static constexpr Micros kStrayWithin = 20'000;
+  static constexpr Micros kStrayResponseWindow = 20'000;
   static constexpr Micros kMemory = 20'000'000;
-  static constexpr double kPrior = 0.5;
-  static constexpr double kCostlyRisk = 0.01;
-  static constexpr double kUsualRisk = 0.3;
-  struct Bin {
-    double tries = 0;
+  static constexpr double kPriorRequests = 0.5;
+  static constexpr double kMaxDeadShareNonRepeatable = 0.01;
+  static constexpr double kMaxDeadShare = 0.3;
+  static constexpr std::size_t kGroups = 16;
+  struct AgeGroup {
+    double requests = 0;
     double dead = 0;
-    Micros at = 0;
+    Micros updatedAt = 0;
   };
+
   // By powers of two of milliseconds.
-  static std::size_t binOf(Micros rested) {
-    const auto ms = static_cast<std::uint64_t>(std::max<Micros>(0, rested) / 1000);
-    return std::min<std::size_t>(static_cast<std::size_t>(std::bit_width(ms)), 15);
+  static std::size_t groupOf(Micros idleTime) {
+    const auto milliseconds = static_cast<std::uint64_t>(std::max<Micros>(0, idleTime) / 1000);
+    return std::min<std::size_t>(static_cast<std::size_t>(std::bit_width(milliseconds)), kGroups - 1);
   }
-  static void fade(Bin& bin, Micros now) {
-    const double kept = std::exp(-static_cast<double>(now - bin.at) / static_cast<double>(kMemory));
-    bin.tries *= kept;
-    bin.dead *= kept;
-    bin.at = now;
+  static void decay(AgeGroup& group, Micros now) {
+    const double factor =
+        std::exp(-static_cast<double>(now - group.updatedAt) / static_cast<double>(kMemory));
+    group.requests *= factor;
+    group.dead *= factor;
+    group.updatedAt = now;
   }
-  std::array<Bin, 16> bins_{};
-  Micros lastDead_ = 0;
+
+  std::array<AgeGroup, kGroups> groups_{};
+  Micros lastDeadAt_ = 0;
 };
 
 }  // namespace garnethook::engine
--- a/src/platform/engine/platform_engine_client.cpp
+++ b/src/platform/engine/platform_engine_client.cpp
@@ -2,113 +2,132 @@
 
 #include <utility>
 
-#include "engine/attempt.h"
+#include "engine/control_exchange.h"
 #include "platform/engine/protocol.h"
 #include "platform/engine/relay_exchange.h"
 
 namespace garnethook::platform {
 namespace {
 
-// An answer takes a few milliseconds; what is held has 300 ms more than the settings say.
-constexpr Micros kConfirmWithin = 120'000;
-constexpr Micros kControlPause = 10'000;  // before a release that found no free connection looks again
+// A response takes a few milliseconds; the time for a release is 300 ms longer than the settings say.
+constexpr Micros kLivenessTimeout = 120'000;
+// Before a release that found no free connection tries again.
+constexpr Micros kControlRetryDelay = 10'000;
+
+bool isSuccess(int status) { return status >= 200 && status < 300; }
 
 }  // namespace
 
-void PlatformEngineClient::begin(const routing::AttemptSpec& order) {
-  const auto* spec = pool_.find(order.endpoint);
-  if (spec == nullptr || pool_.full(order.endpoint)) {
-    const bool full = spec != nullptr;
-    return pool_.later([this, id = order.attempt, full] {
-      events_->onAttemptEnded(id, {.outcome = full ? Outcome::rejected : Outcome::connectFailed,
-                                   .leftRouter = false,
-                                   .text = full ? "all connections are in use" : "no address of the engine"});
-    });
-  }
-  auto write = [this, endpoint = order.endpoint, request = engineRequest(*spec, order, loop_.now())](
-                   Micros now) -> std::optional<std::string> {
-    // Whoever drains may get nothing new, though it was chosen before that was known.
-    if (!pool_.running(endpoint) || (request.sendBy > 0 && now > request.sendBy)) return std::nullopt;
-    return requestText(request, now);
+PlatformEngineClient::PlatformEngineClient(net::Loop& loop, const engine::Options& options,
+                                           deployment_config::ReportMeanings meanings,
+                                           Micros kvReleaseTimeout, std::string ownZone, bool canProbe)
+    : PooledEngineClient(loop, options),
+      loop_(loop),
+      meanings_(std::move(meanings)),
+      hedgeDelay_(releaseHedgeDelay(kvReleaseTimeout > 0 ? kvReleaseTimeout : options.controlTimeout)),
+      ownZone_(std::move(ownZone)),
+      canProbe_(canProbe),
+      timers_(loop) {}
+
+void PlatformEngineClient::begin(const routing::AttemptSpec& attempt) {
+  const auto* const spec = findForAttempt(attempt, "all connections are in use");
+  if (spec == nullptr) return;
+  auto writer =
+      [this, endpoint = attempt.endpoint,
+       request = makeAttemptRequest(*spec, attempt, loop_.now())](Micros now) -> std::optional<std::string> {
+    // A draining endpoint may get nothing new, though it was chosen before it was known to drain.
+    const bool isTooLate = request.sendBy > 0 && now > request.sendBy;
+    if (isTooLate || !connections().isRunning(endpoint)) return std::nullopt;
+    return formatAttemptRequest(request, now);
   };
-  pool_.run(order.attempt, order.endpoint,
-            std::make_unique<RelayExchange>(*events_, order.attempt, order.phase, meanings_),
-            std::move(write), engine::reuseFor(order));
+  connections().start(attempt.attempt, attempt.endpoint,
+                      std::make_unique<RelayExchange>(events(), attempt.attempt, attempt.phase, meanings_),
+                      std::move(writer), engine::reuseFor(attempt));
 }
 
 void PlatformEngineClient::release(EndpointId endpoint, RequestId request, const std::string& traceId) {
-  std::vector<ReleaseCandidate> listed;
-  for (const EndpointId id : releaseWindow(pool_.listed(), endpoint, request.value)) {
-    const auto& spec = *pool_.find(id);
-    listed.push_back({id, spec.cell, spec.zone, spec.state == EndpointState::running, pool_.word(id)});
+  std::vector<ReleaseCandidate> candidates;
+  for (const EndpointId id :
+       selectReleaseCandidates(connections().listedEndpoints(), endpoint, request.value)) {
+    const auto& spec = *connections().find(id);
+    candidates.push_back(
+        {id, spec.cell, spec.zone, spec.state == EndpointState::running, connections().responsiveness(id)});
   }
-  auto release = std::make_shared<Release>();
-  release->route = releaseRoute(endpoint, ownZone_, std::move(listed), request.value);
+  auto release = std::make_shared<PendingRelease>();
+  release->route = releaseRoute(endpoint, ownZone_, std::move(candidates), request.value);
   release->holder = endpoint;
   release->request = request;
   release->traceId = traceId;
-  askNext(release);
+  tryNextTarget(release);
 }
 
-// A release may be said any number of times, so the next engine is asked while another is still waited for.
-void PlatformEngineClient::askNext(const std::shared_ptr<Release>& release) {
-  // In a cut many releases wait for engines that say nothing: they take turns.
-  if (pool_.controlsFull()) {
-    timers_.after(kControlPause, [this, release] {
-      if (!release->over) askNext(release);
+// A release may be sent any number of times, so the next endpoint is tried while another is still waited for.
+void PlatformEngineClient::tryNextTarget(const std::shared_ptr<PendingRelease>& release) {
+  // In a partition many releases wait for silent endpoints: they take turns.
+  if (connections().isControlFull()) {
+    timers_.after(kControlRetryDelay, [this, release] {
+      if (!release->isFinished) tryNextTarget(release);
     });
     return;
   }
-  auto& at = release->next;
-  while (at < release->route.size() && pool_.find(release->route[at]) == nullptr) ++at;
-  if (at == release->route.size()) {
-    if (release->out == 0) end(release, false);
+  const auto& route = release->route;
+  auto& next = release->nextTarget;
+  while (next < route.size() && connections().find(route[next]) == nullptr) ++next;
+  if (next == route.size()) {
+    if (release->outstanding == 0) finishRelease(release, false);
     return;
   }
-  const EndpointId target = release->route[at++];
-  ++release->out;
+  sendRelease(release, route[next++]);
+  if (next == route.size()) return;
+  timers_.after(hedgeDelay_, [this, release, expected = next] {
+    if (!release->isFinished && release->nextTarget == expected) tryNextTarget(release);
+  });
+}
+
+void PlatformEngineClient::sendRelease(const std::shared_ptr<PendingRelease>& release, EndpointId target) {
+  ++release->outstanding;
   auto done = [this, release](int status, const std::optional<LoadReport>&) {
-    --release->out;
-    if (release->over) return;
-    if (status >= 200 && status < 300) return end(release, true);
-    askNext(release);
+    --release->outstanding;
+    if (release->isFinished) return;
+    if (isSuccess(status)) return finishRelease(release, true);
+    tryNextTarget(release);
   };
-  pool_.run(target, std::make_unique<engine::ControlExchange>(std::move(done)),
-            callText(*pool_.find(target), "DELETE", releaseTarget(release->traceId)),
-            pool_.options().controlTimeout);
-  if (at < release->route.size())
-    timers_.after(hedge_, [this, release, after = at] {
-      if (!release->over && release->next == after) askNext(release);
-    });
+  connections().start(
+      target, std::make_unique<engine::ControlExchange>(std::move(done)),
+      formatControlRequest(*connections().find(target), "DELETE", releasePath(release->traceId)),
+      connections().options().controlTimeout);
 }
 
-void PlatformEngineClient::end(const std::shared_ptr<Release>& release, bool ok) {
-  if (std::exchange(release->over, true)) return;
-  pool_.later([this, holder = release->holder, request = release->request, ok] {
-    events_->onReleaseEnded(holder, request, ok);
+void PlatformEngineClient::finishRelease(const std::shared_ptr<PendingRelease>& release, bool succeeded) {
+  if (std::exchange(release->isFinished, true)) return;
+  connections().post([this, holder = release->holder, request = release->request, succeeded] {
+    events().onReleaseEnded(holder, request, succeeded);
   });
 }
 
-// Any answer is a sign of life, whatever its status.
+// Any response shows that the endpoint is alive, whatever its status.
 void PlatformEngineClient::checkLiveness(routing::AttemptId attempt, EndpointId endpoint) {
-  const auto* spec = pool_.find(endpoint);
-  if (spec == nullptr) return pool_.later([this, attempt] { events_->onLivenessChecked(attempt, false); });
+  const auto* const spec = connections().find(endpoint);
+  if (spec == nullptr)
+    return connections().post([this, attempt] { events().onLivenessChecked(attempt, false); });
   auto done = [this, attempt](int status, const std::string&) {
-    events_->onLivenessChecked(attempt, status != 0);
+    events().onLivenessChecked(attempt, status != 0);
   };
-  pool_.run(endpoint, std::make_unique<engine::DocumentExchange>(std::move(done)),
-            callText(*spec, "GET", pool_.options().probePath), kConfirmWithin);
+  connections().start(endpoint, std::make_unique<engine::DocumentExchange>(std::move(done)),
+                      formatControlRequest(*spec, "GET", connections().options().probePath),
+                      kLivenessTimeout);
 }
 
 void PlatformEngineClient::probe(EndpointId endpoint) {
-  const auto* spec = pool_.find(endpoint);
+  const auto* const spec = connections().find(endpoint);
   if (spec == nullptr)
-    return pool_.later([this, endpoint] { events_->onProbeEnded(endpoint, false, std::nullopt); });
+    return connections().post([this, endpoint] { events().onProbeEnded(endpoint, false, std::nullopt); });
   auto done = [this, endpoint](int status, const std::string& body) {
-    events_->onProbeEnded(endpoint, status >= 200 && status < 300, parseReport(body, meanings_));
+    events().onProbeEnded(endpoint, isSuccess(status), parseLoadReport(body, meanings_));
   };
-  pool_.run(endpoint, std::make_unique<engine::DocumentExchange>(std::move(done)),
-            callText(*spec, "GET", pool_.options().probePath), pool_.options().controlTimeout);
+  connections().start(endpoint, std::make_unique<engine::DocumentExchange>(std::move(done)),
+                      formatControlRequest(*spec, "GET", connections().options().probePath),
+                      connections().options().controlTimeout);
 }
 
 }  // namespace garnethook::platform
--- a/src/platform/engine/platform_engine_client.h
+++ b/src/platform/engine/platform_engine_client.h
@@ -1,72 +1,67 @@
-// Engines by the platform's protocol, on the engine package's pooled connections.
+/// @file
+/// Engines that speak the platform's protocol.
 #pragma once
 
-#include <functional>
 #include <memory>
 #include <string>
 #include <vector>
 
 #include "deployment_config/deployment_config.h"
-#include "engine/pool.h"
+#include "engine/pooled_engine_client.h"
 #include "platform/engine/release_route.h"
 #include "routing/types.h"
 #include "timing/owned_timers.h"
 
 namespace garnethook::platform {
 
-class PlatformEngineClient final : public routing::EngineClient {
+/// Sends attempts, releases and probes to engines. A release is tried at several endpoints.
+class PlatformEngineClient final : public engine::PooledEngineClient {
  public:
-  // `releaseWithin`: what rule 5 gives for a release; 0: no limit told. `ownZone`: as the list names it.
-  // `mayProbe`: the settings allow probes.
+  /// @param loop runs everything; must outlive the client
+  /// @param options limits and timeouts
+  /// @param meanings what the values of load reports mean
+  /// @param kvReleaseTimeout time for a release, in microseconds; 0: no limit is configured
+  /// @param ownZone this router's zone, as the endpoint list names it
+  /// @param canProbe whether probes are allowed
   PlatformEngineClient(net::Loop& loop, const engine::Options& options,
                        deployment_config::ReportMeanings meanings, Micros kvReleaseTimeout,
-                       std::string ownZone, bool canProbe = false)
-      : loop_(loop),
-        pool_(loop, options),
-        meanings_(std::move(meanings)),
-        hedge_(releaseHedge(kvReleaseTimeout > 0 ? kvReleaseTimeout : options.controlTimeout)),
-        ownZone_(std::move(ownZone)),
-        mayProbe_(canProbe),
-        timers_(loop) {}
-  // Before the first call of any other.
-  void setEvents(routing::EngineClientEvents& events) { events_ = &events; }
+                       std::string ownZone, bool canProbe = false);
 
-  void update(const membership::EndpointMap& engines) { pool_.update(engines); }
-  void apply(const membership::EndpointMap& changes) { pool_.apply(changes); }
+  /// Applies changes to the list of endpoints; those that are not among them stay as they are.
+  void apply(const membership::EndpointMap& changes) { connections().apply(changes); }
 
-  void begin(const routing::AttemptSpec& order) override;
-  void cancel(routing::AttemptId attempt) override { pool_.abandon(attempt); }
-  routing::DeliveryState deliveryState(routing::AttemptId attempt) const override {
-    return pool_.deliveryState(attempt);
-  }
+  /// Sends an attempt; its result is reported later.
+  void begin(const routing::AttemptSpec& attempt) override;
+  /// Frees the KV cache of a request; the result is reported later.
   void release(EndpointId endpoint, RequestId request, const std::string& traceId) override;
+  /// Probes an endpoint; the result is reported later.
   void probe(EndpointId endpoint) override;
-  bool canCheckLiveness() const override { return mayProbe_; }
+  /// Whether checkLiveness() may be called.
+  bool canCheckLiveness() const override { return canProbe_; }
+  /// Asks the endpoint of an attempt for any sign of life; the result is reported later.
   void checkLiveness(routing::AttemptId attempt, EndpointId endpoint) override;
 
-  const engine::Pool& pool() const { return pool_; }
-
  private:
-  struct Release {
+  // A release that is under way at one endpoint or several.
+  struct PendingRelease {
     std::vector<EndpointId> route;
-    std::size_t next = 0;
-    int out = 0;  // engines that were asked and have not answered
-    bool over = false;
+    std::size_t nextTarget = 0;  // index into the route
+    int outstanding = 0;         // endpoints that were tried and have not responded
+    bool isFinished = false;
     EndpointId holder;
     RequestId request;
     std::string traceId;
   };
-  void askNext(const std::shared_ptr<Release>& release);
-  void end(const std::shared_ptr<Release>& release, bool ok);
+  void tryNextTarget(const std::shared_ptr<PendingRelease>& release);
+  void sendRelease(const std::shared_ptr<PendingRelease>& release, EndpointId target);
+  void finishRelease(const std::shared_ptr<PendingRelease>& release, bool succeeded);
 
   net::Loop& loop_;
-  engine::Pool pool_;
   deployment_config::ReportMeanings meanings_;
-  Micros hedge_;
+  Micros hedgeDelay_;
   std::string ownZone_;
-  bool mayProbe_;
+  bool canProbe_;
   timing::OwnedTimers timers_;
-  routing::EngineClientEvents* events_ = nullptr;
 };
 
 }  // namespace garnethook::platform
--- a/src/platform/engine/relay_exchange.h
+++ b/src/platform/engine/relay_exchange.h
@@ -1,54 +1,52 @@
-// The exchange of one attempt: a read's short answer, or a stream whose events are handed on as they come.
+/// @file
+/// The exchange of one attempt in the platform's protocol.
 #pragma once
 
+#include <cstdint>
 #include <string>
-#include <utility>
 
-#include "engine/exchange.h"
+#include "engine/attempt_exchange.h"
 #include "http1/event_stream.h"
 #include "platform/engine/protocol.h"
-#include "routing/types.h"
 
 namespace garnethook::platform {
 
-class RelayExchange final : public engine::Exchange {
+/// Carries one attempt: the short response to a prefill, or a stream whose events are passed on unchanged as
+/// they arrive.
+class RelayExchange final : public engine::AttemptExchange {
  public:
-  static constexpr std::size_t kEventBytes = 64 * 1024;
-  static constexpr std::size_t kAnswerBytes = 64 * 1024;
-
+  /// Longest event in bytes.
+  static constexpr std::size_t kMaxEventBytes = std::size_t{64} * 1024;
+  /// Longest response that is not streamed, in bytes.
+  static constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
+
+  /// @param events notified of tokens and of the result; must outlive the exchange
+  /// @param id the attempt
+  /// @param phase decides which form of response is expected
+  /// @param meanings what the values of load reports mean; must outlive the exchange
   RelayExchange(routing::EngineClientEvents& events, routing::AttemptId id, routing::Phase phase,
                 const deployment_config::ReportMeanings& meanings);
   bool onHead(const http1::Head& head) override;
   bool onBody(std::string_view bytes) override;
   void onEnd() override;
-  void onFailed(Outcome outcome, const std::string& text, bool kept) override {
-    result_.reusedConnection = kept;
-    finish(outcome, text);
-  }
-  void onNotSent(const std::string& text) override {
-    result_.leftRouter = false;
-    finish(Outcome::rejected, text);
-  }
-  void mute() override { told_ = true; }
 
  private:
+  bool onStreamBytes(std::string_view bytes);
   void onEvent(const http1::EventStreamParser::Event& event);
-  void finish(Outcome outcome, std::string text);
+  void onComment(std::string_view text);
+  void finishStream();
 
-  routing::EngineClientEvents& events_;
-  routing::AttemptId id_;
   routing::Phase phase_;
   const deployment_config::ReportMeanings& meanings_;
   http1::EventStreamParser parser_;
-  routing::AttemptResult result_;
-  Verdict verdict_ = Verdict::failed;
+  ResponseKind kind_ = ResponseKind::failed;
   int status_ = 0;
-  bool framed_ = false;  // the answer tells its own end; one that ends with its connection may be cut short
+  bool hasFraming_ = false;  // a response that ends with its connection may have been cut short
   std::string body_;
-  std::string piece_;  // the whole events of this turn, as they go on to the client
-  std::uint32_t pieces_ = 0;
-  std::uint64_t seen_ = 0;
-  bool told_ = false;
+  // The complete events of the bytes that are being parsed, as they are passed on to the client.
+  std::string pendingText_;
+  std::uint32_t pendingEvents_ = 0;
+  std::uint64_t eventCount_ = 0;
 };
 
 }  // namespace garnethook::platform
--- a/src/platform/http_frontend/http_connection.cpp
+++ b/src/platform/http_frontend/http_connection.cpp
@@ -168,8 +168,8 @@
 // Decodes the request that has arrived and gives it to the router, or responds with an error.
 void HttpFrontend::Connection::dispatch(std::string body, std::size_t bodyBytes) {
   auto decoded = decodeRequest(head_, std::move(body), owner_.deployment_);
-  if (const auto* error = std::get_if<DecodeError>(&decoded)) return reject(error->status, error->text);
-  auto& request = std::get<routing::Request>(decoded);
+  if (!decoded) return reject(decoded.error().status, decoded.error().text);
+  routing::Request& request = decoded.value();
   if (owner_.openTraceIds_.contains(request.traceId))
     return reject(409, "X-Trace-Id: is that of an open request");
   // The process may end before it could answer.
--- a/src/platform/http_frontend/request_decoder.cpp
+++ b/src/platform/http_frontend/request_decoder.cpp
@@ -172,23 +172,23 @@
 
 }  // namespace
 
-std::variant<routing::Request, DecodeError> decodeRequest(
-    const http1::Head& head, std::string body, const deployment_config::DeploymentConfig& deployment,
-    const RequestLimits& limits) {
+Result<routing::Request, DecodeError> decodeRequest(const http1::Head& head, std::string body,
+                                                    const deployment_config::DeploymentConfig& deployment,
+                                                    const RequestLimits& limits) {
   const auto path = std::string_view(head.target).substr(0, head.target.find('?'));
-  if (path != "/v1/chat/completions") return DecodeError{404, "no such resource"};
-  if (head.method != "POST") return DecodeError{405, "POST is wanted"};
+  if (path != "/v1/chat/completions") return Failure{DecodeError{404, "no such resource"}};
+  if (head.method != "POST") return Failure{DecodeError{405, "POST is wanted"}};
   const RequestFields fields(head.fields);
-  if (fields.anyRepeated()) return DecodeError{400, "a field of the request stands twice"};
+  if (fields.anyRepeated()) return Failure{DecodeError{400, "a field of the request stands twice"}};
 
   routing::Request request;
-  if (auto error = decodeFields(fields, deployment, limits, request)) return std::move(*error);
+  if (auto error = decodeFields(fields, deployment, limits, request)) return Failure{std::move(*error)};
   bool promptLengthGiven = false;
   if (fields.properties.value)
     if (auto error = decodeProperties(*fields.properties.value, limits, request, promptLengthGiven))
-      return std::move(*error);
-  if (body.size() > limits.bodyBytes) return DecodeError{413, "the body is too large"};
-  if (!isJsonObject(body)) return DecodeError{400, "the body is no JSON object"};
+      return Failure{std::move(*error)};
+  if (body.size() > limits.bodyBytes) return Failure{DecodeError{413, "the body is too large"}};
+  if (!isJsonObject(body)) return Failure{DecodeError{400, "the body is no JSON object"}};
   if (!promptLengthGiven) {
     request.promptTokens = std::ceil(static_cast<double>(body.size()) / kCharactersPerToken);
     request.estimated = true;
--- a/src/platform/http_frontend/request_decoder.h
+++ b/src/platform/http_frontend/request_decoder.h
@@ -4,8 +4,8 @@
 
 #include <string>
 #include <string_view>
-#include <variant>
 
+#include "common/result.h"
 #include "deployment_config/deployment_config.h"
 #include "http1/message.h"
 #include "routing/types.h"
@@ -30,8 +30,8 @@
 /// @param body the whole body
 /// @param deployment names the request classes
 /// @param limits what a request may ask for
-std::variant<routing::Request, DecodeError> decodeRequest(
-    const http1::Head& head, std::string body, const deployment_config::DeploymentConfig& deployment,
-    const RequestLimits& limits = {});
+Result<routing::Request, DecodeError> decodeRequest(const http1::Head& head, std::string body,
+                                                    const deployment_config::DeploymentConfig& deployment,
+                                                    const RequestLimits& limits = {});
 
 }  // namespace garnethook::platform
--- /dev/null
+++ b/tests/engine/reuse_policy_test.cpp
@@ -0,0 +1,26 @@
+// Whether idle connections to engines are reused.
+#include "engine/reuse_policy.h"
+
+#include <gtest/gtest.h>
+
+namespace garnethook::engine {
+namespace {
+
+constexpr Micros kMillisecond = 1'000;
+constexpr Micros kSecond = 1'000'000;
+
+TEST(ReusePolicy, AllowsReuseUntilAReusedConnectionIsDead) {
+  ReusePolicy policy;
+  EXPECT_TRUE(policy.mayReuse(10 * kSecond, true, kSecond));
+  for (int i = 0; i < 20; ++i) policy.record(3 * kMillisecond, false, kSecond);
+  for (int i = 0; i < 5; ++i) policy.record(600 * kMillisecond, true, kSecond);
+  EXPECT_TRUE(policy.mayReuse(3 * kMillisecond, false, kSecond));
+  EXPECT_FALSE(policy.mayReuse(3 * kMillisecond, true, kSecond));  // one in fifty would be too many
+  EXPECT_FALSE(policy.mayReuse(600 * kMillisecond, false, kSecond));
+  for (int i = 0; i < 200; ++i) policy.record(3 * kMillisecond, false, 2 * kSecond);
+  EXPECT_TRUE(policy.mayReuse(3 * kMillisecond, true, 2 * kSecond));
+  EXPECT_TRUE(policy.mayReuse(600 * kMillisecond, true, 60 * kSecond));  // forgotten
+}
+
+}  // namespace
+}  // namespace garnethook::engine
--- a/tests/fuzz/codecs.cpp
+++ b/tests/fuzz/codecs.cpp
@@ -125,11 +125,10 @@
     require(membership::readList(config::JsonFile::parse("g", membership::writeList(list)), {}, errors) ==
             list);
   } catch (const config::Error& e) { require(std::string_view(e.what()).substr(0, 2) == "f:"); }
-  std::string error;
-  engine::parseReadAnswer(in, error);
-  engine::parseChunk(in, error);
-  engine::parseLoad(in);
-  engine::failedAnswer(500, in);
+  (void)engine::parsePrefillResponse(in);
+  (void)engine::parseChunk(in);
+  engine::parseLoadMetrics(in);
+  engine::parseErrorResponse(500, in);
 }
 
 struct Relayed final : routing::EngineClientEvents {
@@ -184,8 +183,8 @@
     list.apply(platform::parseEndpointList(in));
     for (const auto& [name, e] : list.engines()) require(name == e.name && e.state != EndpointState::removed);
   } catch (const std::runtime_error&) {}
-  platform::parseReport(in, {"share_of_memory", ""});
-  require(platform::cachedTokens(in) >= 0);
+  platform::parseLoadReport(in, {"share_of_memory", ""});
+  require(platform::parseCachedTokens(in) >= 0);
   struct Events final : http1::MessageEvents {
     void onHead(const http1::Head& h) override { head = h; }
     void onBody(std::string_view o) override { body += o; }
@@ -193,7 +192,7 @@
       deployment_config::DeploymentConfig p;
       p.classNames = {"chat"};
       const auto out = platform::decodeRequest(head, std::exchange(body, {}), p);
-      if (const auto* request = std::get_if<routing::Request>(&out))
+      if (const auto* request = out.hasValue() ? &out.value() : nullptr)
         require(!request->traceId.empty() && request->remaining > 0 && request->promptTokens >= 0 &&
                 request->sharedPrefixTokens <= request->promptTokens && request->body &&
                 request->requestClass == 0);
--- a/tests/path/engine_connection_endings_test.cpp
+++ b/tests/path/engine_connection_endings_test.cpp
@@ -2,7 +2,7 @@
 // exchange.
 #include <sys/socket.h>
 
-#include "engine/pool.h"
+#include "engine/connection_pool.h"
 #include "support/pool_peers.h"
 
 namespace garnethook::test {
@@ -13,8 +13,8 @@
 
 struct EngineConnectionEnding : testing::Test {
   // An exchange with the engine, as an attempt.
-  void run(engine::Pool& pool, std::uint64_t attempt = 1, EndpointId endpoint = {7}) {
-    pool.run({{attempt}, 0}, endpoint, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
+  void run(engine::ConnectionPool& pool, std::uint64_t attempt = 1, EndpointId endpoint = {7}) {
+    pool.start({{attempt}, 0}, endpoint, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
   }
   LoopRunner w;
   ScriptedEngine e{w.loop};
@@ -39,7 +39,7 @@
 // ---- at rest ----
 
 TEST_F(EngineConnectionEnding, OneThatItsEngineClosesAtRestIsNotUsedAgain) {
-  engine::Pool pool(w.loop, {});
+  engine::ConnectionPool pool(w.loop, {});
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
   rest(w);
   e.seen[0].stream->close();
@@ -52,7 +52,7 @@
 TEST_F(EngineConnectionEnding, HalfALineAtRestGoesIntoNoOtherAnswer) {
   for (const bool seenBefore : {false, true}) {
     ScriptedEngine engine(w.loop);
-    engine::Pool pool(w.loop, {});
+    engine::ConnectionPool pool(w.loop, {});
     ASSERT_NO_FATAL_FAILURE(keepOne(w, engine, pool));
     rest(w);
     engine.seen[0].stream->send("HTTP/1.1 20");
@@ -60,7 +60,7 @@
       EXPECT_TRUE(w.until([&] { return pool.idleConnections() == 0; }, kSecond));
     }
     Heard second;
-    pool.run({{1}, 0}, {7}, std::make_unique<Listening>(second), engine::fixedRequest(kGet));
+    pool.start({{1}, 0}, {7}, std::make_unique<Listening>(second), engine::fixedRequest(kGet));
     ASSERT_TRUE(w.until([&] { return second.ends == 1; }, kSecond));
     EXPECT_EQ(second.body, "mine");
     EXPECT_EQ(pool.opened(), 2u);
@@ -68,14 +68,14 @@
 }
 
 TEST_F(EngineConnectionEnding, OneThatRestedForItsIdleTimeIsClosed) {
-  engine::Pool pool(w.loop, {.idleTimeout = kShort});
+  engine::ConnectionPool pool(w.loop, {.idleTimeout = kShort});
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
   EXPECT_TRUE(w.until([&] { return e.gone() == 1; }, kSecond));
   EXPECT_EQ(pool.idleConnections(), 0u);
 }
 
 TEST_F(EngineConnectionEnding, OneThatIsTakenAsItsIdleTimeEndsKeepsItsExchange) {
-  engine::Pool pool(w.loop, {.idleTimeout = kShort});
+  engine::ConnectionPool pool(w.loop, {.idleTimeout = kShort});
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
   w.stall(2 * kShort);  // the timer is due
   run(pool);
@@ -86,7 +86,7 @@
 
 TEST_F(EngineConnectionEnding, ARestingOneGivesWayWhereAllAreInUse) {
   ScriptedEngine other(w.loop);
-  engine::Pool pool(w.loop, {.allConnections = 1});
+  engine::ConnectionPool pool(w.loop, {.allConnections = 1});
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
   auto engines = only(Poco::Net::SocketAddress(e.address()));
   engines["f"] = only(Poco::Net::SocketAddress(other.address())).at("e");
@@ -102,7 +102,7 @@
 // ---- its engine leaves, moves or starts anew ----
 
 TEST_F(EngineConnectionEnding, RestingOnesEndWithTheirEnginesStart) {
-  engine::Pool pool(w.loop, {});
+  engine::ConnectionPool pool(w.loop, {});
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
   auto restarted = only(Poco::Net::SocketAddress(e.address()));
   restarted["e"].startedAt = 1;
@@ -115,11 +115,11 @@
   enum class Change { leaves, drains, restarts };
   for (const Change change : {Change::leaves, Change::drains, Change::restarts}) {
     ScriptedEngine engine(w.loop);  // answers when the test says so
-    engine::Pool pool(w.loop, {});
+    engine::ConnectionPool pool(w.loop, {});
     auto list = only(Poco::Net::SocketAddress(engine.address()));
     pool.update(list);
     Heard open;
-    pool.run({{1}, 0}, {7}, std::make_unique<Listening>(open), engine::fixedRequest(kGet));
+    pool.start({{1}, 0}, {7}, std::make_unique<Listening>(open), engine::fixedRequest(kGet));
     ASSERT_TRUE(w.until([&] { return engine.seen.size() == 1; }, kSecond));
     if (change == Change::leaves) list.clear();
     if (change == Change::drains) list["e"].state = EndpointState::draining;
@@ -138,7 +138,7 @@
 
 TEST_F(EngineConnectionEnding, OneThatDoesNotComeUpInTimeProvesThatNothingRan) {
   SilentMachine machine;
-  engine::Pool pool(w.loop, {.connectTimeout = kShort});
+  engine::ConnectionPool pool(w.loop, {.connectTimeout = kShort});
   pool.update(only(machine.address()));
   const net::Micros before = w.loop.now();
   run(pool);
@@ -149,7 +149,7 @@
 }
 
 TEST_F(EngineConnectionEnding, OneThatComesUpWithItsTimersEndCarriesNothing) {
-  engine::Pool pool(w.loop, {.connectTimeout = kShort});
+  engine::ConnectionPool pool(w.loop, {.connectTimeout = kShort});
   pool.update(only(Poco::Net::SocketAddress(e.address())));
   run(pool);
   w.stall(2 * kShort);  // it is up, and its timer is due
@@ -160,10 +160,10 @@
 }
 
 TEST_F(EngineConnectionEnding, NothingIsWrittenForAnAttemptGivenUpWhileItComesUp) {
-  engine::Pool pool(w.loop, {});
+  engine::ConnectionPool pool(w.loop, {});
   pool.update(only(Poco::Net::SocketAddress(e.address())));
   run(pool);
-  pool.abandon({{1}, 0});
+  pool.cancel({{1}, 0});
   w.pass(2 * kShort);
   EXPECT_TRUE(e.seen.empty());
   EXPECT_EQ(pool.busyConnections() + pool.idleConnections(), 0u);
@@ -173,9 +173,9 @@
 // ---- beside its exchange ----
 
 TEST_F(EngineConnectionEnding, ACallThatIsNotAnsweredInItsTimeEnds) {
-  engine::Pool pool(w.loop, {});
+  engine::ConnectionPool pool(w.loop, {});
   pool.update(only(Poco::Net::SocketAddress(e.address())));
-  pool.run({7}, std::make_unique<Listening>(heard), kGet, kShort);
+  pool.start({7}, std::make_unique<Listening>(heard), kGet, kShort);
   ASSERT_TRUE(w.until([&] { return heard.failed.has_value() && e.gone() == 1; }, kSecond));
   EXPECT_EQ(*heard.failed, Outcome::timedOut);
   EXPECT_EQ(pool.busyConnections(), 0u);
@@ -186,10 +186,10 @@
   std::vector<Poco::Net::StreamSocket> accepted;  // never read
   net::Listener listener(w.loop, Poco::Net::SocketAddress("127.0.0.1", 0),
                          [&](auto socket) { accepted.push_back(socket); });
-  engine::Pool pool(w.loop, {});
+  engine::ConnectionPool pool(w.loop, {});
   pool.update(only(listener.address()));
-  pool.run({{1}, 0}, {7}, std::make_unique<Listening>(heard),
-           engine::fixedRequest(kGet + std::string(32u << 20, 'x')));
+  pool.start({{1}, 0}, {7}, std::make_unique<Listening>(heard),
+             engine::fixedRequest(kGet + std::string(32u << 20, 'x')));
   ASSERT_TRUE(w.until([&] { return accepted.size() == 1; }, kSecond));
   w.pass(kShort);
   const std::string early = answer("early");
--- a/tests/path/hard_cases_test.cpp
+++ b/tests/path/hard_cases_test.cpp
@@ -198,12 +198,11 @@
 TEST(Engine, AnswersNestedTooDeepAreNoAnswers) {
   const std::string deep =
       "{\"kv_transfer_params\":" + std::string(500'000, '[') + std::string(500'000, ']') + "}";
-  std::string error;
-  EXPECT_FALSE(engine::parseReadAnswer(deep, error));
-  EXPECT_FALSE(engine::parseChunk(deep, error));
-  EXPECT_EQ(engine::failedAnswer(500, deep).outcome, Outcome::error);
-  EXPECT_FALSE(engine::parseLoad("JSON " + deep));
-  EXPECT_TRUE(engine::parseReadAnswer(R"({"kv_transfer_params":{"a":"[[[[{{{{\"["}})", error));
+  EXPECT_FALSE(engine::parsePrefillResponse(deep));
+  EXPECT_FALSE(engine::parseChunk(deep));
+  EXPECT_EQ(engine::parseErrorResponse(500, deep).outcome, Outcome::error);
+  EXPECT_FALSE(engine::parseLoadMetrics("JSON " + deep));
+  EXPECT_TRUE(engine::parsePrefillResponse(R"({"kv_transfer_params":{"a":"[[[[{{{{\"["}})"));
 }
 
 TEST(Path, AnEmptyListRefusesAtOnceWithAHint) {
--- a/tests/path/pool_test.cpp
+++ b/tests/path/pool_test.cpp
@@ -1,8 +1,7 @@
 // The pool of connections to engines, against peers that refuse, reset and talk out of turn.
-#include "engine/pool.h"
-
 #include <gtest/gtest.h>
 
+#include "engine/connection_pool.h"
 #include "platform/engine/platform_engine_client.h"
 #include "support/pool_peers.h"
 
@@ -13,12 +12,12 @@
 TEST(Pool, AKeptConnectionOnWhichBytesWaitIsNotUsed) {
   LoopRunner w;
   ScriptedEngine e(w.loop);
-  engine::Pool pool(w.loop, {});
+  engine::ConnectionPool pool(w.loop, {});
   Heard second;
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
   rest(w);
   e.seen[0].stream->send(answer("foreign"));  // and in the same turn, before the loop sees it:
-  pool.run({7}, std::make_unique<Listening>(second), kGet, 0);
+  pool.start({7}, std::make_unique<Listening>(second), kGet, 0);
   ASSERT_TRUE(w.until([&] { return second.ends == 1; }, 1'000'000));
   EXPECT_EQ(second.body, "mine");
   EXPECT_EQ(pool.opened(), 2u);
@@ -29,10 +28,10 @@
 TEST(Pool, AConnectionThatHasJustHadItsAnswerIsNotUsedYet) {
   LoopRunner w;
   ScriptedEngine e(w.loop);
-  engine::Pool pool(w.loop, {});
+  engine::ConnectionPool pool(w.loop, {});
   Heard second;
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
-  pool.run({7}, std::make_unique<Listening>(second), kGet, 0);
+  pool.start({7}, std::make_unique<Listening>(second), kGet, 0);
   e.seen[0].stream->send(answer("stray"));  // right behind the second request
   ASSERT_TRUE(w.until([&] { return second.ends == 1; }, 1'000'000));
   EXPECT_EQ(second.body, "mine");
@@ -44,26 +43,26 @@
   constexpr net::Micros kLate = 200'000;
   LoopRunner w;
   ScriptedEngine e(w.loop);
-  engine::Pool pool(w.loop, {});
+  engine::ConnectionPool pool(w.loop, {});
   pool.update(only(Poco::Net::SocketAddress(e.address())));
   Heard heard;
   net::Micros written = 0;
   const net::Micros ordered = w.loop.now();
-  pool.run({{1}, 0}, {7}, std::make_unique<Listening>(heard), [&](net::Micros now) {
+  pool.start({{1}, 0}, {7}, std::make_unique<Listening>(heard), [&](net::Micros now) {
     written = now;
     return kGet;
   });
   w.stall(kLate);  // the loop sees the connection only then
   ASSERT_TRUE(w.until([&] { return e.seen.size() == 1; }, 1'000'000));
   EXPECT_GE(written - ordered, kLate);
-  pool.abandon({{1}, 0});
+  pool.cancel({{1}, 0});
 }
 
 TEST(Pool, ARequestThatIsTooLateWhenItsConnectionIsUpIsNotWritten) {
   for (const bool kept : {false, true}) {
     LoopRunner w;
     ScriptedEngine e(w.loop);
-    engine::Pool pool(w.loop, {});
+    engine::ConnectionPool pool(w.loop, {});
     if (kept) {
       ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
       rest(w);
@@ -72,7 +71,7 @@
     }
     const std::size_t before = e.seen.size();
     Heard heard;
-    pool.run({{1}, 0}, {7}, std::make_unique<Listening>(heard), [](net::Micros) { return std::nullopt; });
+    pool.start({{1}, 0}, {7}, std::make_unique<Listening>(heard), [](net::Micros) { return std::nullopt; });
     EXPECT_FALSE(heard.failed);  // not from within the call
     ASSERT_TRUE(w.until([&] { return heard.failed.has_value(); }, 1'000'000));
     EXPECT_EQ(*heard.failed, Outcome::connectFailed);
@@ -84,20 +83,21 @@
 
 // A request whose arrival has to show goes on a new connection, though a kept one is good.
 TEST(Pool, ANewConnectionIsMadeWhereNoKeptOneWillDo) {
-  for (const auto reuse : {engine::Reuse::usual, engine::Reuse::none}) {
+  for (const auto reuse : {engine::ConnectionReuse::allowed, engine::ConnectionReuse::never}) {
     LoopRunner w;
     ScriptedEngine e(w.loop);
-    engine::Pool pool(w.loop, {});
+    engine::ConnectionPool pool(w.loop, {});
     Heard second;
     ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
     rest(w);
     e.script = nullptr;  // it takes the request and says nothing
-    pool.run({{1}, 0}, {7}, std::make_unique<Listening>(second), engine::fixedRequest(kGet), reuse);
+    pool.start({{1}, 0}, {7}, std::make_unique<Listening>(second), engine::fixedRequest(kGet), reuse);
     ASSERT_TRUE(w.until([&] { return e.seen.size() == 2; }, 1'000'000));
-    EXPECT_EQ(pool.opened(), reuse == engine::Reuse::none ? 2u : 1u);
-    EXPECT_EQ(pool.deliveryState({{1}, 0}), reuse == engine::Reuse::none ? routing::DeliveryState::connected
-                                                                         : routing::DeliveryState::written);
-    pool.abandon({{1}, 0});
+    EXPECT_EQ(pool.opened(), reuse == engine::ConnectionReuse::never ? 2u : 1u);
+    EXPECT_EQ(pool.deliveryState({{1}, 0}), reuse == engine::ConnectionReuse::never
+                                                ? routing::DeliveryState::connected
+                                                : routing::DeliveryState::written);
+    pool.cancel({{1}, 0});
   }
 }
 
@@ -108,48 +108,48 @@
   engine::Options options;
   options.allConnections = 2;
   options.controlConnections = 3;
-  engine::Pool pool(w.loop, options);
+  engine::ConnectionPool pool(w.loop, options);
   pool.update(only(Poco::Net::SocketAddress(e.address())));
   Heard heard;
   for (int i = 0; i < 3; ++i) {
-    EXPECT_FALSE(pool.controlsFull());
-    pool.run({7}, std::make_unique<Listening>(heard), kGet, 0);
+    EXPECT_FALSE(pool.isControlFull());
+    pool.start({7}, std::make_unique<Listening>(heard), kGet, 0);
   }
-  EXPECT_TRUE(pool.controlsFull());
+  EXPECT_TRUE(pool.isControlFull());
   for (int i = 0; i < 2; ++i) {
-    EXPECT_FALSE(pool.full({7}));
-    pool.run({{1}, i}, {7}, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
+    EXPECT_FALSE(pool.isFull({7}));
+    pool.start({{1}, i}, {7}, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
   }
-  EXPECT_TRUE(pool.full({7}));
-  pool.abandon({{1}, 0});
-  EXPECT_FALSE(pool.full({7}));
+  EXPECT_TRUE(pool.isFull({7}));
+  pool.cancel({{1}, 0});
+  EXPECT_FALSE(pool.isFull({7}));
 }
 
 // A list of changes leaves the others as they are; what has gone is forgotten once its exchanges are over.
 TEST(Pool, ChangesOfTheListLeaveOtherEnginesAsTheyAre) {
   LoopRunner w;
   ScriptedEngine e(w.loop);  // answers when the test says so
-  engine::Pool pool(w.loop, {});
+  engine::ConnectionPool pool(w.loop, {});
   auto engine = only(Poco::Net::SocketAddress(e.address()));
   pool.update(engine);
   membership::EndpointMap changes{{"f", engine.at("e")}};
   changes["f"].name = "f";
   changes["f"].id = {8};
   pool.apply(changes);
-  EXPECT_EQ(pool.listed(), (std::vector<EndpointId>{{7}, {8}}));
+  EXPECT_EQ(pool.listedEndpoints(), (std::vector<EndpointId>{{7}, {8}}));
   Heard heard;
-  pool.run({{1}, 0}, {7}, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
+  pool.start({{1}, 0}, {7}, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
   ASSERT_TRUE(w.until([&] { return e.seen.size() == 1; }, 1'000'000));
   engine["e"].state = EndpointState::removed;
   pool.apply(engine);
-  EXPECT_EQ(pool.listed(), (std::vector<EndpointId>{{8}}));
-  EXPECT_FALSE(pool.running({7}));
+  EXPECT_EQ(pool.listedEndpoints(), (std::vector<EndpointId>{{8}}));
+  EXPECT_FALSE(pool.isRunning({7}));
   EXPECT_NE(pool.find({7}), nullptr);  // its exchange goes on
   e.seen[0].stream->send(answer("whole"));
   ASSERT_TRUE(w.until([&] { return heard.ends == 1; }, 1'000'000));
   pool.apply({});
   EXPECT_EQ(pool.find({7}), nullptr);
-  EXPECT_TRUE(pool.running({8}));
+  EXPECT_TRUE(pool.isRunning({8}));
 }
 
 // An engine that others of its connections stand with is dialled once more; one that none stands with is not.
@@ -158,17 +158,17 @@
     LoopRunner w;
     auto e = std::make_unique<ScriptedEngine>(w.loop);
     const Poco::Net::SocketAddress address(e->address());
-    engine::Pool pool(w.loop, {});
+    engine::ConnectionPool pool(w.loop, {});
     pool.update(only(address));
     Heard open, tried;
     if (standing) {
-      pool.run({{1}, 0}, {7}, std::make_unique<Listening>(open), engine::fixedRequest(kGet));
+      pool.start({{1}, 0}, {7}, std::make_unique<Listening>(open), engine::fixedRequest(kGet));
       ASSERT_TRUE(w.until([&] { return e->seen.size() == 1; }, 1'000'000));
     }
     e->stopListening();
     std::unique_ptr<net::Listener> again;
     std::vector<Poco::Net::StreamSocket> accepted;
-    pool.run({{2}, 0}, {7}, std::make_unique<Listening>(tried), engine::fixedRequest(kGet));
+    pool.start({{2}, 0}, {7}, std::make_unique<Listening>(tried), engine::fixedRequest(kGet));
     w.loop.post([&] {
       again = std::make_unique<net::Listener>(w.loop, address, [&](auto s) { accepted.push_back(s); });
     });
@@ -185,11 +185,11 @@
     std::vector<Poco::Net::StreamSocket> accepted;  // never read
     net::Listener listener(w.loop, Poco::Net::SocketAddress("127.0.0.1", 0),
                            [&](auto s) { accepted.push_back(s); });
-    engine::Pool pool(w.loop, {});
+    engine::ConnectionPool pool(w.loop, {});
     pool.update(only(listener.address()));
     Heard heard;
-    pool.run({{1}, 0}, {7}, std::make_unique<Listening>(heard),
-             engine::fixedRequest(kGet + (whole ? std::string() : std::string(32u << 20, 'x'))));
+    pool.start({{1}, 0}, {7}, std::make_unique<Listening>(heard),
+               engine::fixedRequest(kGet + (whole ? std::string() : std::string(32u << 20, 'x'))));
     ASSERT_TRUE(w.until([&] { return accepted.size() == 1; }, 1'000'000));
     w.pass(30'000);
     accepted[0].setLinger(true, 0);
--- a/tests/platform/request_decoder_test.cpp
+++ b/tests/platform/request_decoder_test.cpp
@@ -30,14 +30,14 @@
 }
 int statusOf(const http1::Head& head, const std::string& body = R"({"model":"chat"})") {
   const auto out = decodeRequest(head, body, deploymentConfig());
-  return std::holds_alternative<DecodeError>(out) ? std::get<DecodeError>(out).status : 200;
+  return out.hasValue() ? 200 : out.error().status;
 }
 
 // Engines recognise the repeat of a request with an idempotency key by a field that its client sent.
 TEST(RequestDecoder, ForwardsOtherFieldsButNotThoseOfTheConnection) {
   const auto fieldsOf = [](http1::Fields more) {
     const auto out = decodeRequest(requestHead(std::move(more)), "{}", deploymentConfig());
-    return std::get<routing::Request>(out).fields;
+    return out->fields;
   };
   const std::string key = "idempotency-key: f1b8db70\r\n";
   EXPECT_NE(fieldsOf({{"idempotency-key", "f1b8db70"}}).find(key), std::string::npos);
@@ -61,8 +61,8 @@
 
 TEST(RequestDecoder, DecodesAValidRequest) {
   const auto out = decodeRequest(requestHead(), R"({"model":"chat"})", deploymentConfig());
-  ASSERT_TRUE(std::holds_alternative<routing::Request>(out));
-  const auto& request = std::get<routing::Request>(out);
+  ASSERT_TRUE(out.hasValue());
+  const routing::Request& request = out.value();
   EXPECT_EQ(request.traceId, "9b1f03aa5c7e2d41");
   EXPECT_EQ(request.requestClass, 0u);
   EXPECT_EQ(request.remaining, 4'800'000);
@@ -76,7 +76,7 @@
 
 TEST(RequestDecoder, EstimatesThePromptLengthFromTheBodyWhenNoneIsGiven) {
   const auto out = decodeRequest(requestHead({{"x-props", "-"}}), R"({"model":"chat"})", deploymentConfig());
-  EXPECT_DOUBLE_EQ(std::get<routing::Request>(out).promptTokens, 4);
+  EXPECT_DOUBLE_EQ(out->promptTokens, 4);
 }
 
 TEST(RequestDecoder, RejectsWhatCannotBeServed) {
--- a/tests/support/pool_peers.h
+++ b/tests/support/pool_peers.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "engine/pool.h"
+#include "engine/connection_pool.h"
 #include "support/loop_runner.h"
 #include "support/platform_peers.h"
 
@@ -30,7 +30,7 @@
   void onEnd() override { ++heard.ends; }
   void onFailed(Outcome outcome, const std::string&, bool) override { heard.failed = outcome; }
   void onNotSent(const std::string&) override { heard.failed = Outcome::rejected; }
-  void mute() override {}
+  void detach() override {}
   Heard& heard;
 };
 
@@ -48,11 +48,11 @@
 }
 
 // One exchange with an engine that answers "mine", after which its connection is kept.
-inline void keepOne(LoopRunner& w, ScriptedEngine& e, engine::Pool& pool) {
+inline void keepOne(LoopRunner& w, ScriptedEngine& e, engine::ConnectionPool& pool) {
   e.script = [](ScriptedEngine::Request& r) { r.stream->send(answer("mine")); };
   pool.update(only(Poco::Net::SocketAddress(e.address())));
   Heard first;
-  pool.run({7}, std::make_unique<Listening>(first), kGet, 0);
+  pool.start({7}, std::make_unique<Listening>(first), kGet, 0);
   ASSERT_TRUE(w.until([&] { return pool.idleConnections() == 1; }, 1'000'000));
   EXPECT_EQ(first.ends, 1);
 }
