--- a/src/engine/completions.h
+++ b/src/engine/completions.h
@@ -35,7 +35,7 @@
   std::uint32_t promptTokens = 0;  ///< Length of the prompt; 0: not given.
 };
 /// Parses the response to a prefill.
-Result<PrefillResponse, CompletionError> parsePrefillResponse(std::string_view body);
+Result<PrefillResponse, CompletionError> parsePrefillResponse(std::string_view text);
 
 /// One event of a streamed response.
 struct CompletionChunk {
@@ -53,8 +53,8 @@
 
 /// What a status other than 200 says about the attempt.
 /// @param status HTTP status code
-/// @param body the response's body, of whatever form
-routing::AttemptResult parseErrorResponse(int status, std::string_view body);
+/// @param text the response's body, of whatever form
+routing::AttemptResult parseErrorResponse(int status, std::string_view text);
 
 /// Parses endpoint-load-metrics in its JSON or TEXT form. Known names: kv_cache_usage_perc (share of the KV
 /// cache in use), num_requests_waiting, and the extension num_tokens_waiting.
--- a/src/fake_engine/http_server.h
+++ b/src/fake_engine/http_server.h
@@ -7,6 +7,7 @@
 #include <unordered_map>
 
 #include "http1/message.h"
+#include "net/listener.h"
 #include "net/stream.h"
 
 namespace garnethook::fake_engine {
--- a/src/grpc_frontend/grpc_server.h
+++ b/src/grpc_frontend/grpc_server.h
@@ -10,6 +10,7 @@
 #include "grpc_frontend/request_decoder.h"
 #include "grpc_frontend/service_calls.h"
 #include "http2/connection.h"
+#include "net/listener.h"
 #include "net/stream.h"
 
 namespace garnethook::grpc_frontend {
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -104,7 +104,7 @@
     wake();
 }
 
-// A full pair has an byte in it already.
+// A full pair has a byte in it already.
 void Loop::wake() {
   const char byte = 0;
   [[maybe_unused]] const auto sent = ::send(waker_, &byte, 1, MSG_NOSIGNAL);
@@ -143,9 +143,9 @@
 void Loop::runTask(const std::function<void()>& task) {
   try {
     task();
-  } catch (const std::exception& e) {
+  } catch (const std::exception& error) {
     ++failedTasks_;
-    if (taskFailed_) taskFailed_(e.what());
+    if (taskFailed_) taskFailed_(error.what());
   }
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,5 +1,5 @@
-// The event loop: POCO's SocketReactor with a clock, timers on a wheel and tasks for the next turn.
-// All of it runs on the thread that calls run(), post() excepted.
+/// @file
+/// The event loop: POCO's SocketReactor with a clock, timers on a wheel and tasks for the next turn.
 #pragma once
 
 #include <Poco/Net/Socket.h>
@@ -21,37 +21,45 @@
 
 using timing::Micros;
 
+/// Runs timers, posted tasks and socket events on the thread that calls run(). Only post() and stop() may be
+/// called from other threads.
 class Loop final : public timing::Timers, private Poco::Net::SocketReactor {
  public:
-  // Throws Poco::Exception where the system refuses a descriptor or a registration.
+  /// @throws Poco::Exception where the system refuses a descriptor or a registration.
   Loop();
   ~Loop() override;
-  // A loop for the process's life: what the system refuses for a moment is tried again for some seconds.
+  Loop(const Loop&) = delete;
+  Loop& operator=(const Loop&) = delete;
+  /// A loop for the process's life: what the system refuses for a moment is tried again for some seconds.
   static std::unique_ptr<Loop> create();
 
-  // The monotonic clock, from an origin of its own: no Unix time.
+  /// The monotonic clock in microseconds, from an origin of its own: not Unix time.
   Micros now() const override;
+  /// Runs the task once the delay (microseconds) is over, never inside this call.
   timing::TimerKey after(Micros delay, timing::TimerWheel::Task task) override;
+  /// Cancels a timer. @return false: it has run, or was cancelled before
   bool cancel(timing::TimerKey key) override { return wheel_.cancel(key); }
 
-  // Told of each timer's or posted task that threw: what it threw. The others of the turn run all the same.
-  // Must not throw.
+  /// Sets what is called with the error text of each timer's or posted task that throws. The other tasks of
+  /// the turn run all the same. Must not throw.
   void onTaskFailed(std::function<void(const std::string& what)> call) { taskFailed_ = std::move(call); }
+  /// Number of tasks that threw.
   std::uint64_t failedTasks() const { return failedTasks_; }
 
-  // Runs `task` on the loop's thread in its next turn. May be called from any thread.
+  /// Runs the task on the loop's thread in its next turn. May be called from any thread.
   void post(std::function<void()> task);
-  void run();
-  // From any thread, and from signal handlers' threads; run() returns after its turn.
+  /// Runs the loop on this thread until stop().
+  void run() override;
+  /// Ends run() after its turn. May be called from any thread, also one that handles signals.
   void stop();
+  /// For the registration of sockets.
   Poco::Net::SocketReactor& reactor() { return *this; }
 
- protected:
+ private:
   void onTimeout() override { turn(); }
   void onIdle() override { turn(); }
   void onBusy() override { turn(); }
 
- private:
   void turn();
   void setWait();
   void wake();
@@ -65,7 +73,7 @@
   std::vector<std::function<void()>> posted_;
   std::atomic<bool> hasPosted_ = false;
   std::atomic<std::thread::id> thread_{};
-  // POCO's own wakeUp() ends no poll; an byte on this pair does.
+  // POCO's own wakeUp() ends no poll; a byte on this pair does.
   Poco::Net::StreamSocket woken_;
   int waker_ = -1;
   // A periodic timer of the monotonic clock that ends every wait. POCO (1.11.0) counts what is left of an
--- a/src/net/socket_watch.cpp
+++ b/src/net/socket_watch.cpp
@@ -3,7 +3,9 @@
 #include <Poco/NObserver.h>
 #include <Poco/Net/SocketNotification.h>
 
-#include <algorithm>
+#include <utility>
+
+#include "net/retry_delay.h"
 
 namespace garnethook::net {
 namespace {
@@ -12,9 +14,6 @@
 using Poco::Net::ReadableNotification;
 using Poco::Net::WritableNotification;
 
-constexpr Micros kFirstPause = 1'000;
-constexpr Micros kLongestPause = 50'000;
-
 }  // namespace
 
 // POCO's observers by type of notification, on one object.
@@ -44,24 +43,25 @@
 SocketWatch::SocketWatch(Loop& loop, Events events)
     : loop_(loop),
       events_(std::move(events)),
-      again_(loop),
+      retryAlarm_(loop),
       observers_(std::make_unique<Observers>(events_)) {}
 
-SocketWatch::~SocketWatch() { forget(); }
+SocketWatch::~SocketWatch() { unregister(); }
 
 void SocketWatch::await(bool reading, bool writing, bool failure) {
   const Interest wanted{reading, writing, failure};
   if (wanted == wanted_) return;
   wanted_ = wanted;
-  pause_ = 0;
+  retryDelay_ = 0;
   apply();
 }
 
-// All observers go before those that are wanted come: the reactor (POCO 1.11.0) asks the system for readiness
-// that a removed observer wanted for as long as another one of the socket stands, and then spins on it.
+// All observers are removed before the wanted ones are added: the reactor (POCO 1.11.0) goes on asking the
+// system for the readiness that a removed observer wanted for as long as the socket has another one, and
+// spins on it.
 void SocketWatch::apply() {
-  again_.stop();
-  forget();
+  retryAlarm_.stop();
+  unregister();
   auto& reactor = loop_.reactor();
   try {
     registered_ = wanted_;
@@ -69,17 +69,17 @@
     if (wanted_.writing) reactor.addEventHandler(socket_, observers_->write());
     if (wanted_.failure) reactor.addEventHandler(socket_, observers_->failure());
   } catch (const Poco::Exception&) {  // refused by the system; nothing may be half registered
-    forget();
-    pause_ = std::clamp(2 * pause_, kFirstPause, kLongestPause);
-    again_.start(pause_, [this] { apply(); });
+    unregister();
+    retryDelay_ = nextRetryDelay(retryDelay_);
+    retryAlarm_.start(retryDelay_, [this] { apply(); });
   }
 }
 
-void SocketWatch::forget() {
+void SocketWatch::unregister() {
   auto& reactor = loop_.reactor();
-  const auto remove = [&](bool& standing, const Poco::AbstractObserver& observer) {
-    if (!standing) return;
-    standing = false;
+  const auto remove = [&](bool& isRegistered, const Poco::AbstractObserver& observer) {
+    if (!isRegistered) return;
+    isRegistered = false;
     try {
       reactor.removeEventHandler(socket_, observer);
     } catch (const Poco::Exception&) {  // the system never had it
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -5,35 +5,22 @@
 
 #include <algorithm>
 #include <array>
-#include <chrono>
-#include <thread>
 #include <utility>
 
+#include "net/retry_delay.h"
 #include "net/system_calls.h"
 
 namespace garnethook::net {
 namespace {
 
-constexpr std::size_t kReadPiece = 64 * 1024;
-constexpr int kBacklog = 1024;      // connections that wait to be accepted
-constexpr int kAcceptsInTurn = 64;  // the rest waits for the next turn
-// Where this machine has no room for a connection that waits, or to begin one: soon again, as such failures
-// pass, then twice as late each time.
-constexpr Micros kFirstFailurePause = 1'000;
-constexpr Micros kLongestFailurePause = 50'000;
-// A listener that closes tries so long to take whoever waits.
-constexpr Micros kCloseWithin = 500'000;
-// An address may be taken for a moment, above all by the process before this one.
-constexpr int kListenTries = 100;
-constexpr std::chrono::milliseconds kListenPause{20};
-// One peer's turn: the rest waits for the next, so that a flooding peer does not keep the others waiting.
-constexpr int kReadsInTurn = 4;
-// How often a stream that is no longer read asks whether its peer has closed: soon at first, as most peers
-// close at once, then twice as late each time.
+constexpr std::size_t kReadSize = std::size_t{64} * 1024;
+// Reads of one peer in one turn: the rest waits for the next, so that a flooding peer does not keep others
+// waiting.
+constexpr int kReadsPerTurn = 4;
+// How often a stream that is no longer read checks whether its peer has closed: soon at first, as
+// most peers close at once, then after twice the time.
 constexpr Micros kFirstPeerClosePoll = 1'000;
-constexpr Micros kLastPeerClosePoll = 32'000;
-
-Micros longer(Micros pause) { return std::clamp(2 * pause, kFirstFailurePause, kLongestFailurePause); }
+constexpr Micros kLongestPeerClosePoll = 32'000;
 
 }  // namespace
 
@@ -41,69 +28,70 @@
   return {[this] { onReadable(); }, [this] { onWritable(); }, [this] { onError(); }};
 }
 
-Stream::Stream(Loop& loop, Poco::Net::StreamSocket socket, StreamEvents& events)
+Stream::Stream(Loop& loop, const Poco::Net::StreamSocket& socket, StreamEvents& events)
     : loop_(loop),
-      socket_(std::move(socket)),
+      socket_(socket),
       events_(events),
       watch_(loop, watchEvents()),
-      dialAlarm_(loop),
-      connectAlarm_(loop),
+      connectRetryAlarm_(loop),
+      connectTimeoutAlarm_(loop),
       closeAlarm_(loop) {
   sendWithoutDelay(descriptor());
   watch_.attach(socket_);
-  connected_ = begun_ = true;
+  isConnected_ = hasSocket_ = true;
   watchReading(true);
 }
 
-Stream::Stream(Loop& loop, const Poco::Net::SocketAddress& to, const std::string& from, Micros connectTimeout,
-               StreamEvents& events)
+Stream::Stream(Loop& loop, const Poco::Net::SocketAddress& peer, const std::string& sourceAddress,
+               Micros connectTimeout, StreamEvents& events)
     : loop_(loop),
       events_(events),
       watch_(loop, watchEvents()),
-      to_(to),
-      from_(from),
-      dialAlarm_(loop),
-      connectAlarm_(loop),
+      peer_(peer),
+      sourceAddress_(sourceAddress),
+      connectRetryAlarm_(loop),
+      connectTimeoutAlarm_(loop),
       closeAlarm_(loop) {
-  connectAlarm_.start(connectTimeout,
-                      [this] { over(begun_ ? CloseCause::timedOut : CloseCause::unavailable); });
-  dial();
+  connectTimeoutAlarm_.start(connectTimeout,
+                             [this] { finish(hasSocket_ ? CloseCause::timedOut : CloseCause::unavailable); });
+  connect();
 }
 
-void Stream::dial() {
+void Stream::connect() {
   const Poco::Net::SocketAddress local =
-      from_.empty() ? Poco::Net::SocketAddress() : Poco::Net::SocketAddress(from_, 0);
-  const ConnectResult result = beginConnection(
-      to_.addr(), to_.length(), from_.empty() ? nullptr : local.addr(), from_.empty() ? 0 : local.length());
-  if (result.connect == Connect::refused) return failLater(CloseCause::refused);
-  if (result.connect == Connect::unavailable) return dialLater();
-  begun_ = true;
+      sourceAddress_.empty() ? Poco::Net::SocketAddress() : Poco::Net::SocketAddress(sourceAddress_, 0);
+  const ConnectResult result =
+      beginConnection(peer_.addr(), peer_.length(), sourceAddress_.empty() ? nullptr : local.addr(),
+                      sourceAddress_.empty() ? 0 : local.length());
+  if (result.connect == Connect::refused) return postFailure(CloseCause::refused);
+  if (result.connect == Connect::unavailable) return retryConnect();
+  hasSocket_ = true;
   socket_ = Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(result.descriptor));
   sendWithoutDelay(descriptor());
   watch_.attach(socket_);
   watchWriting(true);
 }
 
-void Stream::dialLater() {
-  begun_ = false;
-  dialPause_ = longer(dialPause_);
-  dialAlarm_.start(dialPause_, [this] { dial(); });
+void Stream::retryConnect() {
+  hasSocket_ = false;
+  connectRetryDelay_ = nextRetryDelay(connectRetryDelay_);
+  connectRetryAlarm_.start(connectRetryDelay_, [this] { connect(); });
 }
 
-// What became of the connection that was begun.
-void Stream::onProgress() {
+// The connection is established, or has failed.
+void Stream::onConnectProgress() {
   switch (connectionProgress(descriptor())) {
     case Progress::unknown: return;  // asked again in the next turn
-    case Progress::refused: return over(CloseCause::refused);
-    case Progress::timedOut: return over(CloseCause::timedOut);
+    case Progress::refused: return finish(CloseCause::refused);
+    case Progress::timedOut: return finish(CloseCause::timedOut);
     case Progress::unavailable:
       watch(false, false);
       socket_.close();
-      return dialLater();
+      return retryConnect();
     case Progress::up: break;
   }
-  connectAlarm_.stop();
-  connected_ = true;
+  connectTimeoutAlarm_.stop();
+  isConnected_ = true;
   watch(true, false);
   events_.onConnected();
 }
@@ -113,97 +101,100 @@
   close();
 }
 
-void Stream::watch(bool reading, bool writing) { watch_.await(reading, writing, writing && !connected_); }
+void Stream::watch(bool reading, bool writing) { watch_.await(reading, writing, writing && !isConnected_); }
 void Stream::watchReading(bool on) { watch(on, watch_.writing()); }
 void Stream::watchWriting(bool on) { watch(watch_.reading(), on); }
 
 void Stream::pauseReading(bool paused) {
-  if (open_ && connected_ && !closing_) watchReading(!paused);
+  if (isOpen_ && isConnected_ && !closesAfterSending_) watchReading(!paused);
 }
 
-bool Stream::quiet() const { return open_ && connected_ && lookAtUnread(descriptor()) == Unread::nothing; }
+bool Stream::quiet() const {
+  return isOpen_ && isConnected_ && lookAtUnread(descriptor()) == Unread::nothing;
+}
 
 bool Stream::delivered() const {
-  if (!open_ || !connected_ || pending() > 0) return false;
+  if (!isOpen_ || !isConnected_ || pending() > 0) return false;
   return unacknowledgedBytes(descriptor()).value_or(0) == 0;
 }
 
 Micros Stream::sinceLatestBytes() const {
-  return open_ && connected_ ? net::sinceLatestBytes(descriptor()).value_or(0) : 0;
+  return isOpen_ && isConnected_ ? net::sinceLatestBytes(descriptor()).value_or(0) : 0;
 }
 
 bool Stream::peerGone() const {
-  if (!open_) return true;
-  return connected_ && peerHasClosed(descriptor());
+  if (!isOpen_) return true;
+  return isConnected_ && peerHasClosed(descriptor());
 }
 
 void Stream::onError() {
-  if (open_ && !connected_) onProgress();
+  if (isOpen_ && !isConnected_) onConnectProgress();
 }
 
 void Stream::onReadable() {
-  std::array<char, kReadPiece> piece;  // NOLINT: filled by the read
+  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init): filled by the read, too large to clear each time
+  std::array<char, kReadSize> buffer;
   const auto alive = alive_;
-  for (int i = 0; i < kReadsInTurn && *alive && open_ && watch_.reading(); ++i) {
-    const TransferResult read = receiveBytes(descriptor(), piece);
+  for (int i = 0; i < kReadsPerTurn && *alive && isOpen_ && watch_.reading(); ++i) {
+    const TransferResult read = receiveBytes(descriptor(), buffer);
     switch (read.transfer) {
       case Transfer::notNow: return;
-      case Transfer::ended: return over(CloseCause::peerClosed);
-      case Transfer::broken: return over(CloseCause::reset);
+      case Transfer::ended: return finish(CloseCause::peerClosed);
+      case Transfer::broken: return finish(CloseCause::reset);
       case Transfer::done: break;
     }
-    if (!closing_) events_.onBytes({piece.data(), read.count});
-    if (read.count < piece.size()) return;
+    if (!closesAfterSending_) events_.onBytes({buffer.data(), read.count});
+    if (read.count < buffer.size()) return;
   }
 }
 
 void Stream::onWritable() {
-  if (!open_) return;
+  if (!isOpen_) return;
   const auto alive = alive_;
-  if (!connected_) {
-    onProgress();
-    if (!*alive || !open_ || !connected_) return;
+  if (!isConnected_) {
+    onConnectProgress();
+    if (!*alive || !isOpen_ || !isConnected_) return;
   }
   flush();
-  if (!*alive || !open_) return;
+  if (!*alive || !isOpen_) return;
   if (pending() > 0) return watchWriting(true);
   watchWriting(false);
-  if (closing_) return over(CloseCause::local);
+  if (closesAfterSending_) return finish(CloseCause::local);
   shutdownIfSent();
-  if (std::exchange(wantDrained_, false)) events_.onDrained();
+  if (std::exchange(notifiesDrained_, false)) events_.onDrained();
 }
 
 std::size_t Stream::trySend(std::string_view bytes) {
-  if (!open_ || closing_ || finishing_ || bytes.empty()) return 0;
-  if (!connected_ || pending() > 0) {
-    wantDrained_ = true;
+  if (!isOpen_ || closesAfterSending_ || finishesSending_ || bytes.empty()) return 0;
+  if (!isConnected_ || pending() > 0) {
+    notifiesDrained_ = true;
     return 0;
   }
   std::size_t done = 0;
   while (done < bytes.size()) {
-    const auto n = write(bytes.substr(done));
-    if (!n) {
-      failLater(CloseCause::reset);
+    const auto written = write(bytes.substr(done));
+    if (!written) {
+      postFailure(CloseCause::reset);
       return bytes.size();
     }
-    if (*n == 0) break;
-    done += *n;
+    if (*written == 0) break;
+    done += *written;
   }
   if (done < bytes.size()) {
-    wantDrained_ = true;
+    notifiesDrained_ = true;
     watchWriting(true);
   }
   return done;
 }
 
 void Stream::send(std::string_view bytes) {
-  if (!open_ || closing_ || finishing_) return;
-  out_.append(bytes);
-  if (connected_) flush();
-  if (open_ && connected_ && pending() > 0) watchWriting(true);
+  if (!isOpen_ || closesAfterSending_ || finishesSending_) return;
+  sendBuffer_.append(bytes);
+  if (isConnected_) flush();
+  if (isOpen_ && isConnected_ && pending() > 0) watchWriting(true);
 }
 
-// As much as the socket takes, 0 where it is full; nothing where the connection is broken.
+// Writes as much as the socket takes, 0 bytes where it is full. Nothing where the connection is broken.
 std::optional<std::size_t> Stream::write(std::string_view bytes) {
   const TransferResult sent = sendBytes(descriptor(), bytes);
   if (sent.transfer == Transfer::broken) return std::nullopt;
@@ -212,48 +203,48 @@
 
 void Stream::flush() {
   while (pending() > 0) {
-    const auto n = write(std::string_view(out_).substr(outAt_));
-    if (!n) {
+    const auto written = write(std::string_view(sendBuffer_).substr(sentBytes_));
+    if (!written) {
       unsent_ = pending();
-      out_.clear();
-      outAt_ = 0;
-      return failLater(CloseCause::reset);
+      sendBuffer_.clear();
+      sentBytes_ = 0;
+      return postFailure(CloseCause::reset);
     }
-    if (*n == 0) break;
-    outAt_ += *n;
+    if (*written == 0) break;
+    sentBytes_ += *written;
   }
   if (pending() == 0) {
-    out_.clear();
-    outAt_ = 0;
-  } else if (outAt_ > kReadPiece) {
-    out_.erase(0, outAt_);
-    outAt_ = 0;
+    sendBuffer_.clear();
+    sentBytes_ = 0;
+  } else if (sentBytes_ > kReadSize) {
+    sendBuffer_.erase(0, sentBytes_);
+    sentBytes_ = 0;
   }
 }
 
-// A failure inside a call of the owner's is told in the next turn.
-void Stream::failLater(CloseCause cause) {
-  if (std::exchange(failing_, true)) return;
+// A failure inside a call by the owner is reported in the next turn.
+void Stream::postFailure(CloseCause cause) {
+  if (std::exchange(failurePosted_, true)) return;
   loop_.post([this, cause, alive = alive_] {
-    if (*alive) over(cause);
+    if (*alive) finish(cause);
   });
 }
 
-void Stream::over(CloseCause cause) {
-  if (!open_) return;
-  const bool told = closing_;
+void Stream::finish(CloseCause cause) {
+  if (!isOpen_) return;
+  const bool isExpected = closesAfterSending_;
   close();
-  if (!told) events_.onClosed(cause);
+  if (!isExpected) events_.onClosed(cause);
 }
 
 void Stream::close(bool abort) {
-  if (!std::exchange(open_, false)) return;
+  if (!std::exchange(isOpen_, false)) return;
   unsent_ = std::max(unsent_, pending());
-  dialAlarm_.stop();
-  connectAlarm_.stop();
+  connectRetryAlarm_.stop();
+  connectTimeoutAlarm_.stop();
   closeAlarm_.stop();
   watch(false, false);
-  if (!begun_) return;
+  if (!hasSocket_) return;
   try {
     if (abort) socket_.setLinger(true, 0);
     socket_.close();
@@ -261,140 +252,40 @@
   }
 }
 
-void Stream::closeAfterSending(Micros limit) {
-  if (!open_ || closing_) return;
-  if (!connected_ || pending() == 0) {
+void Stream::closeAfterSending(Micros timeout) {
+  if (!isOpen_ || closesAfterSending_) return;
+  if (!isConnected_ || pending() == 0) {
     try {
-      if (connected_) socket_.shutdownSend();
+      if (isConnected_) socket_.shutdownSend();
     } catch (const Poco::Exception&) {}
     return close();
   }
-  closing_ = true;
+  closesAfterSending_ = true;
   watchReading(false);
-  closeAlarm_.start(limit, [this] { over(CloseCause::local); });
+  closeAlarm_.start(timeout, [this] { finish(CloseCause::local); });
 }
 
 void Stream::finishSending(Inbound inbound) {
-  if (!open_ || closing_ || std::exchange(finishing_, true)) return;
-  watchReading(connected_ && inbound == Inbound::read);
+  if (!isOpen_ || closesAfterSending_ || std::exchange(finishesSending_, true)) return;
+  watchReading(isConnected_ && inbound == Inbound::read);
   shutdownIfSent();
-  if (inbound == Inbound::leave) awaitPeerClose(kFirstPeerClosePoll);
+  if (inbound == Inbound::leave) pollPeerClose(kFirstPeerClosePoll);
 }
 
-// Without reading, the peer's FIN is seen by asking for it; unread bytes in front of it do not hide it.
-void Stream::awaitPeerClose(Micros pause) {
-  closeAlarm_.start(pause, [this, pause] {
-    if (peerGone()) return over(CloseCause::peerClosed);
-    awaitPeerClose(std::min(2 * pause, kLastPeerClosePoll));
+// A stream that is not read sees its peer's FIN only by asking for it; unread bytes before it do not hide it.
+void Stream::pollPeerClose(Micros delay) {
+  closeAlarm_.start(delay, [this, delay] {
+    if (peerGone()) return finish(CloseCause::peerClosed);
+    pollPeerClose(std::min(2 * delay, kLongestPeerClosePoll));
   });
 }
 
 void Stream::shutdownIfSent() {
-  if (!finishing_ || !open_ || !connected_ || pending() > 0) return;
+  if (!finishesSending_ || !isOpen_ || !isConnected_ || pending() > 0) return;
   try {
     socket_.shutdownSend();
-  } catch (const Poco::Exception&) {  // the peer is gone already, which reading tells
-  }
-}
-
-Listener::Listener(Loop& loop, const Poco::Net::SocketAddress& address, Accept accept)
-    : loop_(loop),
-      accept_(std::move(accept)),
-      watch_(loop, {.readable = [this] { onReadable(); }, .writable = [] {}, .failed = {}}),
-      retry_(loop) {
-  for (int tries = 1;; ++tries) {
-    try {
-      listen(address);
-      break;
-    } catch (const Poco::Exception& e) {
-      if (tries == kListenTries)
-        throw Poco::Net::NetException("can't listen on " + address.toString() + ": " + e.displayText());
-      std::this_thread::sleep_for(kListenPause);
-    }
-  }
-  watch_.attach(socket_);
-  watchQueue(true);
-}
-
-void Listener::listen(const Poco::Net::SocketAddress& address) {
-  socket_ = Poco::Net::ServerSocket();
-  socket_.bind(address, true, false);
-  socket_.listen(kBacklog);
-  socket_.setBlocking(false);
-  address_ = socket_.address();
-}
-
-Listener::~Listener() { shut(); }
-
-void Listener::watchQueue(bool on) {
-  paused_ = !on;
-  if (paused_ && !backlogSince_) backlogSince_ = loop_.now();
-  watch_.await(on, false);
-}
-
-void Listener::pause() {
-  if (!open_ || closing_) return;
-  retry_.stop();
-  watchQueue(false);
-}
-
-// Looks by itself, so that an empty queue is known for one: the owner may pause it again before the system
-// tells that it is readable.
-void Listener::resume() {
-  if (!open_ || closing_ || !paused_) return;
-  watchQueue(true);
-  retry_.start(0, [this] { onReadable(); });
-}
-
-void Listener::close() {
-  if (!open_ || std::exchange(closing_, true)) return;
-  watchQueue(false);
-  closeOnceEmpty(loop_.now() + kCloseWithin);
-}
-
-void Listener::closeOnceEmpty(Micros until) {
-  if (acceptWaiting(kBacklog) || loop_.now() >= until) return shut();
-  pause_ = longer(pause_);
-  retry_.start(pause_, [this, until] { closeOnceEmpty(until); });
-}
-
-void Listener::shut() {
-  if (!open_) return;
-  watchQueue(false);
-  open_ = false;
-  retry_.stop();
-  socket_.close();
-}
-
-void Listener::onReadable() {
-  if (paused_) return;
-  if (acceptWaiting(kAcceptsInTurn))
-    pause_ = 0;
-  else
-    restOutOfRoom();
-}
-
-// Leaves the queue alone for a while, so that the loop does not spin on a listener that stays readable.
-void Listener::restOutOfRoom() {
-  pause_ = longer(pause_);
-  pause();
-  retry_.start(pause_, [this] { resume(); });
-}
-
-bool Listener::acceptWaiting(int most) {
-  const bool paused = paused_;  // an owner that pauses the listener from within a call ends the round
-  for (int i = 0; i < most && open_ && paused_ == paused; ++i) {
-    const AcceptResult next = acceptConnection(socket_.impl()->sockfd());
-    switch (next.accept) {
-      case net::Accept::none: backlogSince_.reset(); return true;
-      case net::Accept::noRoom: return false;
-      case net::Accept::tryAgain: break;
-      case net::Accept::done:
-        accept_(Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(next.descriptor)));
-        break;
-    }
+  } catch (const Poco::Exception&) {  // the peer has gone already, which reading shows
   }
-  return true;
 }
 
 }  // namespace garnethook::net
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,16 +1,14 @@
-// A non-blocking TCP stream on the loop, and a listener of them.
+/// @file
+/// A non-blocking TCP connection on the loop.
 #pragma once
 
 #include <Poco/Net/NetException.h>
-#include <Poco/Net/ServerSocket.h>
 #include <Poco/Net/SocketAddress.h>
 #include <Poco/Net/StreamSocket.h>
 
-#include <cstdint>
-#include <functional>
+#include <cstddef>
 #include <memory>
 #include <optional>
-#include <span>
 #include <string>
 #include <string_view>
 
@@ -19,64 +17,91 @@
 
 namespace garnethook::net {
 
-// `unavailable`: this machine could not begin the connection in its time (no descriptor, memory, port or
-// route), which tells nothing of the peer.
-enum class CloseCause { peerClosed, reset, refused, timedOut, unavailable, local };
+/// Why a stream ended.
+enum class CloseCause {
+  peerClosed,   ///< The peer closed it.
+  reset,        ///< The peer reset it, or it broke.
+  refused,      ///< The peer's machine refused the connection, or the network knows no way to it.
+  timedOut,     ///< The connection was not established in time.
+  unavailable,  ///< This machine could not start the connection in time (no descriptor, memory, port or
+                ///< route), which says nothing about the peer.
+  local         ///< This side closed it.
+};
 
+/// Notified of what happens to a stream, on the loop's thread.
 class StreamEvents {
  public:
   virtual ~StreamEvents() = default;
+  /// The connection is established.
   virtual void onConnected() {}
+  /// Bytes have arrived.
   virtual void onBytes(std::string_view bytes) = 0;
-  // What was pending went out; more may be sent.
+  /// What was pending has been sent; more may be sent.
   virtual void onDrained() {}
-  // The peer is gone. Called at most once, never from inside send() or close(), and nothing comes after it.
+  /// The peer is gone. Called at most once, never from inside send() or close(); nothing is called after it.
   virtual void onClosed(CloseCause cause) = 0;
 };
 
+/// A TCP connection. Lives on the loop's thread.
 class Stream {
  public:
-  // An accepted, connected socket.
-  Stream(Loop& loop, Poco::Net::StreamSocket socket, StreamEvents& events);
-  // Starts to connect; onConnected, or onClosed with refused, timedOut or unavailable, tells the end of it.
-  // Where this machine can't begin it, it is tried again until the time is over. `from`: local address to
-  // bind to, port 0; empty: the system's choice.
-  Stream(Loop& loop, const Poco::Net::SocketAddress& to, const std::string& from, Micros connectTimeout,
-         StreamEvents& events);
+  /// Wraps an accepted, connected socket.
+  /// @param loop runs everything; must outlive the stream
+  /// @param socket the connection
+  /// @param events is notified; must outlive the stream
+  Stream(Loop& loop, const Poco::Net::StreamSocket& socket, StreamEvents& events);
+  /// Starts to connect; onConnected follows, or onClosed with refused, timedOut or unavailable. Where this
+  /// machine can't start the connection, that is tried again until the timeout.
+  /// @param loop runs everything; must outlive the stream
+  /// @param peer address to connect to
+  /// @param sourceAddress local address, with a port of the system's choice; empty: the system's choice
+  /// @param connectTimeout in microseconds
+  /// @param events is notified; must outlive the stream
+  Stream(Loop& loop, const Poco::Net::SocketAddress& peer, const std::string& sourceAddress,
+         Micros connectTimeout, StreamEvents& events);
   ~Stream();
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  // Takes all bytes; what the socket does not take at once waits in pending().
+  /// Takes all bytes; what the socket does not take at once waits in pending().
   void send(std::string_view bytes);
-  // Takes as many bytes as the socket does, none while some are pending, and tells how many; onDrained
-  // follows where it was not all.
+  /// Takes as many bytes as the socket does, none while some are pending. Where it was not all, onDrained
+  /// follows.
+  /// @return number of bytes taken
   std::size_t trySend(std::string_view bytes);
-  std::size_t pending() const { return out_.size() - outAt_; }
-  // Once closed: bytes of send() that the socket never took.
+  /// Bytes of send() that the socket has not taken yet.
+  std::size_t pending() const { return sendBuffer_.size() - sentBytes_; }
+  /// Once closed: bytes of send() that the socket never took.
   std::size_t unsent() const { return unsent_; }
-  // Stops reading, so that the peer's socket fills; and goes on.
+  /// Stops reading, so that the peer's socket fills, or continues.
   void pauseReading(bool paused);
-  bool connected() const { return connected_; }
-  // Connected, and the peer has neither sent what was not read yet nor closed: asks the system.
+  /// Whether the connection has been established.
+  bool connected() const { return isConnected_; }
+  /// Whether the stream is connected and the peer has neither sent anything that is still unread nor closed;
+  /// asks the system.
   bool quiet() const;
-  // Connected, and the peer's system has acknowledged all that was sent, as far as this system tells.
+  /// Whether the stream is connected and the peer's system has acknowledged all that was sent, as far as this
+  /// system knows.
   bool delivered() const;
-  bool open() const { return open_; }
-  // Closes at once; nothing is called after. `abort`: with a reset in place of an orderly end.
+  /// Whether the stream has not been closed.
+  bool open() const { return isOpen_; }
+  /// Closes at once; nothing is called after it.
+  /// @param abort with a reset instead of an orderly end
   void close(bool abort = false);
-  // Closes once what is pending went out, or after `limit`.
-  void closeAfterSending(Micros limit);
-  // Takes no more to send; once what is pending went out the peer is told that nothing follows (FIN).
-  // onClosed tells when the peer has closed too; the owner bounds how long that may take. `Inbound::read`:
-  // reading goes on, as a close over unread bytes would reset the connection and take with it what the peer
-  // has not read yet. `Inbound::leave`: nothing is read any more, so that a request which crosses the FIN
-  // stays unread.
-  enum class Inbound { read, leave };
+  /// Closes once what is pending has been sent, or after the timeout.
+  void closeAfterSending(Micros timeout);
+  /// What happens to input after finishSending().
+  enum class Inbound {
+    read,  ///< Reading continues, since a close with unread bytes would reset the connection and take away
+           ///< what the peer has not read yet.
+    leave  ///< Nothing is read any more, so that a request which crosses the FIN stays unread.
+  };
+  /// Takes nothing more to send; once what is pending has been sent, the peer is told that nothing follows
+  /// (FIN). onClosed follows when the peer has closed too; the owner bounds how long that may take.
   void finishSending(Inbound inbound = Inbound::read);
-  // How long ago the latest bytes came, as far as this system tells; 0 where it does not.
+  /// Microseconds since the latest bytes arrived, as far as this system knows; 0 where it does not.
   Micros sinceLatestBytes() const;
-  // Whether the peer has closed or reset the connection, also where that was not read yet: asks the system.
+  /// Whether the peer has closed or reset the connection, even if that was not read yet; asks the system.
   bool peerGone() const;
 
  private:
@@ -84,84 +109,41 @@
   void onReadable();
   void onWritable();
   void onError();
-  void dial();
-  void dialLater();
-  void onProgress();
+  void connect();
+  void retryConnect();
+  void onConnectProgress();
   int descriptor() const { return socket_.impl()->sockfd(); }
   void watch(bool reading, bool writing);
   void watchReading(bool on);
   void watchWriting(bool on);
   void flush();
   std::optional<std::size_t> write(std::string_view bytes);
-  void over(CloseCause cause);
-  void failLater(CloseCause cause);
+  void finish(CloseCause cause);
+  void postFailure(CloseCause cause);
   void shutdownIfSent();
-  void awaitPeerClose(Micros pause);
+  void pollPeerClose(Micros delay);
 
   Loop& loop_;
   Poco::Net::StreamSocket socket_;
   StreamEvents& events_;
   SocketWatch watch_;
-  Poco::Net::SocketAddress to_;
-  std::string from_;
-  Micros dialPause_ = 0;
-  bool begun_ = false;  // the system has taken the connection up
-  timing::Alarm dialAlarm_;
-  timing::Alarm connectAlarm_;
+  Poco::Net::SocketAddress peer_;
+  std::string sourceAddress_;
+  Micros connectRetryDelay_ = 0;
+  bool hasSocket_ = false;  // the system has accepted the connection, or started to establish it
+  timing::Alarm connectRetryAlarm_;
+  timing::Alarm connectTimeoutAlarm_;
   timing::Alarm closeAlarm_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  std::string out_;
-  std::size_t outAt_ = 0;
+  std::string sendBuffer_;
+  std::size_t sentBytes_ = 0;  // of the buffer
   std::size_t unsent_ = 0;
-  bool connected_ = false;
-  bool open_ = true;
-  bool closing_ = false;
-  bool finishing_ = false;
-  bool wantDrained_ = false;
-  bool failing_ = false;
-};
-
-class Listener {
- public:
-  using Accept = std::function<void(Poco::Net::StreamSocket)>;
-  // Listens at once; throws Poco::Net::NetException naming the address where that fails.
-  Listener(Loop& loop, const Poco::Net::SocketAddress& address, Accept accept);
-  ~Listener();
-  const Poco::Net::SocketAddress& address() const { return address_; }
-  // Takes the connections that wait in the system's queue, as their requests may have been written already;
-  // then accepts no more and gives up the port. Where the system has no descriptor for one that waits, that
-  // is tried again for a while.
-  void close();
-  // Since when connections may have waited in the system's queue; nothing where it was found empty since it
-  // was last left alone.
-  std::optional<Micros> backlogSince() const { return backlogSince_; }
-  // It has not closed yet: connections may still come of it.
-  bool open() const { return open_; }
-  // Leaves new connections in the system's queue until resume(). Does nothing once it closes.
-  void pause();
-  // Accepts again, first those that wait in the queue, in the loop's next turn. Does nothing once it closes.
-  void resume();
-
- private:
-  void listen(const Poco::Net::SocketAddress& address);
-  void onReadable();
-  void watchQueue(bool on);
-  // False: the system has no room for one that waits.
-  bool acceptWaiting(int most);
-  void restOutOfRoom();
-  void closeOnceEmpty(Micros until);
-  void shut();
-  Loop& loop_;
-  Poco::Net::ServerSocket socket_;
-  Poco::Net::SocketAddress address_;
-  Accept accept_;
-  SocketWatch watch_;
-  timing::Alarm retry_;
-  Micros pause_ = 0;
-  std::optional<Micros> backlogSince_;
-  bool paused_ = true;
-  bool closing_ = false;
-  bool open_ = true;
+  bool isConnected_ = false;
+  bool isOpen_ = true;
+  bool closesAfterSending_ = false;
+  bool finishesSending_ = false;
+  bool notifiesDrained_ = false;
+  bool failurePosted_ = false;
 };
 
 }  // namespace garnethook::net
--- a/src/net/system_calls.h
+++ b/src/net/system_calls.h
@@ -1,3 +1,4 @@
+/// @file
 /// Non-blocking socket calls of Linux with their errors sorted by what they mean for the caller. The one
 /// place that knows error numbers; POCO's own calls throw where a call was merely interrupted, or memory was
 /// short for a moment, as if the connection were broken.
@@ -23,16 +24,26 @@
   notNow,  ///< Nothing yet: the socket is empty or full, or the system short of memory for the moment.
   broken   ///< The connection is lost.
 };
+/// The result of a transfer.
 struct TransferResult {
-  Transfer transfer = Transfer::notNow;
-  std::size_t count = 0;
+  Transfer transfer = Transfer::notNow;  ///< How it went.
+  std::size_t count = 0;                 ///< Bytes transferred.
 };
 
+/// Receives as many bytes as are there, at most as many as fit.
 TransferResult receiveBytes(int descriptor, std::span<char> into);
+/// Sends as many bytes as the socket takes.
 TransferResult sendBytes(int descriptor, std::string_view bytes);
 
 /// What waits unread at a socket.
-enum class Unread { nothing, bytes, end, broken, unknown };
+enum class Unread {
+  nothing,  ///< The socket is empty.
+  bytes,    ///< Bytes.
+  end,      ///< The peer's end (FIN).
+  broken,   ///< The connection is lost.
+  unknown   ///< The system does not tell at the moment.
+};
+/// Looks at what waits unread without taking it.
 Unread lookAtUnread(int descriptor);
 
 /// Whether the peer has closed or reset the connection, also behind bytes that were not read yet.
@@ -53,10 +64,12 @@
   tryAgain,  ///< One that waited has failed, or the call was interrupted; others may wait.
   noRoom     ///< No descriptor or memory: whoever waits goes on waiting.
 };
+/// The result of an attempt to accept a connection.
 struct AcceptResult {
-  Accept accept = Accept::none;
-  int descriptor = -1;
+  Accept accept = Accept::none;  ///< How it went.
+  int descriptor = -1;           ///< The connection's, where it is done.
 };
+/// Accepts the oldest connection that waits.
 AcceptResult acceptConnection(int listener);
 
 /// How the beginning of a connection went.
@@ -66,21 +79,23 @@
   unavailable  ///< This machine cannot at the moment: no descriptor, memory, port or route. Tells nothing of
                ///< the peer.
 };
+/// The result of starting to connect.
 struct ConnectResult {
-  Connect connect = Connect::unavailable;
-  int descriptor = -1;
+  Connect connect = Connect::unavailable;  ///< How it went.
+  int descriptor = -1;                     ///< The connection's, where it has begun.
 };
-/// `from`: a local address to bind to; none: the system's choice.
+/// Starts to connect. `from`: a local address to bind to; none: the system's choice.
 ConnectResult beginConnection(const sockaddr* to, socklen_t toSize, const sockaddr* from, socklen_t fromSize);
 
 /// What has become of a connection that was begun.
 enum class Progress {
-  unknown,  ///< The system does not tell at the moment.
-  up,
+  unknown,     ///< The system does not tell at the moment.
+  up,          ///< The connection is established.
   refused,     ///< As `Connect::refused`.
   timedOut,    ///< No answer in the system's own time.
   unavailable  ///< As `Connect::unavailable`.
 };
+/// What has become of a connection that was begun.
 Progress connectionProgress(int descriptor);
 
 /// Small writes go out at once. Tries a bounded number of times.
--- a/src/platform/http_frontend/http_frontend.h
+++ b/src/platform/http_frontend/http_frontend.h
@@ -12,6 +12,7 @@
 #include <unordered_map>
 #include <unordered_set>
 
+#include "net/listener.h"
 #include "net/stream.h"
 #include "platform/http_frontend/byte_budget.h"
 #include "platform/http_frontend/close_reason.h"
--- a/src/platform/http_frontend/response_writer.h
+++ b/src/platform/http_frontend/response_writer.h
@@ -20,6 +20,7 @@
   /// Tells a client that waits with its body to go on.
   void sendContinue();
   /// Starts a streamed response, with its first events.
+  /// @param events the first events
   /// @param keepAlive false: announces that the connection ends after this response
   void startStream(std::string_view events, bool keepAlive);
   /// Sends further events of the streamed response.
--- a/src/timing/retry.h
+++ b/src/timing/retry.h
@@ -1,3 +1,4 @@
+/// @file
 /// Repeating what fails for a moment, by the monotonic clock, while the caller waits. For the start of a
 /// process alone: a running loop uses timers.
 #pragma once
@@ -7,9 +8,10 @@
 
 namespace garnethook::timing {
 
-/// How long a start goes on trying, and the pause between two tries. A process has 10 s until it has to
+/// How long a start goes on trying. A process has 10 s until it has to
 /// serve.
 inline constexpr std::chrono::milliseconds kStartWithin{4000};
+/// The pause between two tries.
 inline constexpr std::chrono::milliseconds kStartPause{10};
 
 /// The result of `call`, made again for as long as it throws a Failure and `within` is not over; then the
--- a/src/timing/timer_wheel.h
+++ b/src/timing/timer_wheel.h
@@ -1,8 +1,9 @@
-// Timers on a hierarchical wheel: add and cancel in constant time, whatever the number outstanding. Free of
-// clocks: the time comes in. Four levels of 256 slots of 1, 256, 65,536 and 16,777,216 ticks; a timer further
-// off waits in the last level and is looked at again there.
-//
-// Plain alternative: std::multimap by due time (bench/timing_bench.cpp measures both).
+/// @file
+/// Timers on a hierarchical wheel: add and cancel in constant time, whatever the number outstanding. Free of
+/// clocks: the time comes in. Four levels of 256 slots of 1, 256, 65,536 and 16,777,216 ticks; a timer
+/// further off waits in the last level and is looked at again there.
+///
+/// Plain alternative: std::multimap by due time (bench/timing_bench.cpp measures both).
 #pragma once
 
 #include <array>
@@ -14,32 +15,38 @@
 
 namespace garnethook::timing {
 
+/// Microseconds.
 using Micros = std::int64_t;
 
-// Names one timer; never reused while anything may still hold it (slot and generation).
+/// Names one timer; never reused while anything may still hold it.
 struct TimerKey {
-  std::uint32_t slot = 0;
-  std::uint32_t generation = 0;  // 0: no timer
+  std::uint32_t slot = 0;        ///< Where the timer is stored.
+  std::uint32_t generation = 0;  ///< Tells timers of one slot apart; 0: no timer.
+  /// Whether it names a timer.
   explicit operator bool() const { return generation != 0; }
 };
 
+/// Runs tasks at their times.
 class TimerWheel {
  public:
+  /// What a timer runs.
   using Task = std::function<void()>;
-  // `tick`: resolution in microseconds; `start`: the time of the first tick.
+  /// @param tick resolution in microseconds
+  /// @param start time of the first tick
   TimerWheel(Micros tick, Micros start);
 
-  // Runs `task` at the first advance() at or past `due`, rounded up to a tick; never inside add().
+  /// Runs `task` at the first advance() at or past `due`, rounded up to a tick; never inside add().
   TimerKey add(Micros due, Task task);
-  // False: it has run, or was cancelled before.
+  /// Cancels a timer. @return false: it has run, or was cancelled before.
   bool cancel(TimerKey key);
-  // Runs what is due by `now`, in order of ticks and, within one, of adding. Tasks may add and cancel.
+  /// Runs what is due by `now`, in order of ticks and, within one, of adding. Tasks may add and cancel.
   void advance(Micros now);
-  // No timer is due before this time (it may be earlier than the first one: a slot of a higher level).
+  /// No timer is due before this time (it may be earlier than the first one: a slot of a higher level).
   std::optional<Micros> next() const;
+  /// Number of timers.
   std::size_t size() const { return size_; }
-  // Drops all timers. What their tasks hold may cancel timers of its own while it goes; so does the
-  // destructor.
+  /// Drops all timers, as the destructor does. What their tasks own may cancel timers of its own while it is
+  /// destroyed.
   void clear();
   ~TimerWheel() { clear(); }
   TimerWheel(const TimerWheel&) = delete;
@@ -49,6 +56,7 @@
   static constexpr unsigned kBits = 8;
   static constexpr std::uint32_t kSlots = 1u << kBits;
   static constexpr unsigned kLevels = 4;
+  static constexpr std::size_t kLists = std::size_t{kLevels} * kSlots;
   static constexpr std::uint32_t kNone = 0xffffffff;
   struct Node {
     Task task;
@@ -74,7 +82,7 @@
   std::int64_t at_ = 0;  // ticks done
   std::vector<Node> nodes_;
   std::vector<std::uint32_t> free_;
-  std::array<List, kLevels * kSlots> lists_{};
+  std::array<List, kLists> lists_{};
   std::array<std::size_t, kLevels> counts_{};
   std::size_t size_ = 0;
   std::exception_ptr failed_;  // what the first task of this advance threw
--- a/src/timing/wall_clock.h
+++ b/src/timing/wall_clock.h
@@ -1,3 +1,4 @@
+/// @file
 /// The wall clock, which may be stepped at any time. Only what is told as Unix time is read by it: the starts
 /// of engines in lists (membership/start_dates.h), and those that stand-ins tell. Deadlines, windows, waits
 /// and graces never are; tests/tree/wall_clock.sh keeps it so.
--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -7,6 +7,7 @@
 #include <thread>
 #include <vector>
 
+#include "net/listener.h"
 #include "net/stream.h"
 #include "timing/owned_timers.h"
 
--- a/tests/path/stream_test.cpp
+++ b/tests/path/stream_test.cpp
@@ -1,4 +1,5 @@
 // Streams on loopback: full sockets, and ends that lose nothing.
+#include "net/listener.h"
 #include "net/stream.h"
 
 #include <gtest/gtest.h>
--- a/tests/support/platform_peers.h
+++ b/tests/support/platform_peers.h
@@ -13,6 +13,7 @@
 #include <vector>
 
 #include "http1/message.h"
+#include "net/listener.h"
 #include "net/stream.h"
 
 namespace garnethook::test {
