--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -33,12 +33,13 @@
       socket_(socket),
       events_(events),
       watch_(loop, watchEvents()),
+      hasSocket_(true),
       connectRetryAlarm_(loop),
       connectTimeoutAlarm_(loop),
-      closeAlarm_(loop) {
+      closeAlarm_(loop),
+      isConnected_(true) {
   sendWithoutDelay(descriptor());
   watch_.attach(socket_);
-  isConnected_ = hasSocket_ = true;
   watchReading(true);
 }
 
--- a/src/timing/timer_wheel.cpp
+++ b/src/timing/timer_wheel.cpp
@@ -70,9 +70,9 @@
   }
 }
 
-void TimerWheel::runSlot(std::uint32_t index) {
-  while (lists_[index].first != kNone) {
-    const std::uint32_t node = lists_[index].first;
+void TimerWheel::runSlot(std::uint32_t list) {
+  while (lists_[list].first != kNone) {
+    const std::uint32_t node = lists_[list].first;
     unlink(node);
     const Task task = std::exchange(nodes_[node].task, nullptr);
     if (++nodes_[node].generation == 0) nodes_[node].generation = 1;
--- a/tests/path/pool_test.cpp
+++ b/tests/engine/connection_pool_test.cpp
@@ -1,7 +1,8 @@
 // The pool of connections to engines, against peers that refuse, reset and talk out of turn.
+#include "engine/connection_pool.h"
+
 #include <gtest/gtest.h>
 
-#include "engine/connection_pool.h"
 #include "platform/engine/platform_engine_client.h"
 #include "support/pool_peers.h"
 
@@ -9,7 +10,7 @@
 namespace {
 
 // Bytes that came unasked and were not read yet must not become the next answer.
-TEST(Pool, AKeptConnectionOnWhichBytesWaitIsNotUsed) {
+TEST(ConnectionPool, DoesNotReuseAConnectionWithUnreadBytes) {
   LoopRunner w;
   ScriptedEngine e(w.loop);
   engine::ConnectionPool pool(w.loop, {});
@@ -25,7 +26,7 @@
 
 // A second answer may follow some milliseconds behind the first: a request that is sent in between would get
 // it for its own.
-TEST(Pool, AConnectionThatHasJustHadItsAnswerIsNotUsedYet) {
+TEST(ConnectionPool, DoesNotReuseAConnectionRightAfterItsResponse) {
   LoopRunner w;
   ScriptedEngine e(w.loop);
   engine::ConnectionPool pool(w.loop, {});
@@ -39,7 +40,7 @@
 }
 
 // The time that a request tells must be what is left when it goes out, not when it was ordered.
-TEST(Pool, ARequestIsMadeWhenItsConnectionIsUp) {
+TEST(ConnectionPool, MakesTheRequestWhenItsConnectionIsEstablished) {
   constexpr net::Micros kLate = 200'000;
   LoopRunner w;
   ScriptedEngine e(w.loop);
@@ -58,7 +59,7 @@
   pool.cancel({{1}, 0});
 }
 
-TEST(Pool, ARequestThatIsTooLateWhenItsConnectionIsUpIsNotWritten) {
+TEST(ConnectionPool, DoesNotWriteARequestThatIsTooLateWhenItsConnectionIsEstablished) {
   for (const bool kept : {false, true}) {
     LoopRunner w;
     ScriptedEngine e(w.loop);
@@ -82,7 +83,7 @@
 }
 
 // A request whose arrival has to show goes on a new connection, though a kept one is good.
-TEST(Pool, ANewConnectionIsMadeWhereNoKeptOneWillDo) {
+TEST(ConnectionPool, OpensANewConnectionWhenReuseIsNotAllowed) {
   for (const auto reuse : {engine::ConnectionReuse::allowed, engine::ConnectionReuse::never}) {
     LoopRunner w;
     ScriptedEngine e(w.loop);
@@ -102,7 +103,7 @@
 }
 
 // Releases that wait for silent engines took the connections of attempts: sound engines counted as full.
-TEST(Pool, ReleasesTakeNoConnectionFromAttempts) {
+TEST(ConnectionPool, DoesNotCountReleasesAgainstTheLimitOfAttempts) {
   LoopRunner w;
   ScriptedEngine e(w.loop);  // says nothing
   engine::Options options;
@@ -126,7 +127,7 @@
 }
 
 // A list of changes leaves the others as they are; what has gone is forgotten once its exchanges are over.
-TEST(Pool, ChangesOfTheListLeaveOtherEnginesAsTheyAre) {
+TEST(ConnectionPool, LeavesOtherEndpointsAloneWhenChangesAreApplied) {
   LoopRunner w;
   ScriptedEngine e(w.loop);  // answers when the test says so
   engine::ConnectionPool pool(w.loop, {});
@@ -153,7 +154,7 @@
 }
 
 // An engine that others of its connections stand with is dialled once more; one that none stands with is not.
-TEST(Pool, ARefusedConnectionIsDialledOnceMoreWhereOthersStand) {
+TEST(ConnectionPool, RetriesARefusedConnectionOnceWhenOthersAreOpen) {
   for (const bool standing : {true, false}) {
     LoopRunner w;
     auto e = std::make_unique<ScriptedEngine>(w.loop);
@@ -179,7 +180,7 @@
 }
 
 // A request that never was written whole has not run; one that was may have.
-TEST(Pool, ABreakBeforeTheRequestsEndProvesThatNothingRan) {
+TEST(ConnectionPool, ReportsABreakBeforeTheRequestIsWrittenAsNotExecuted) {
   for (const bool whole : {false, true}) {
     LoopRunner w;
     std::vector<Poco::Net::StreamSocket> accepted;  // never read
@@ -206,7 +207,7 @@
                          testing::Values(Meanwhile::nothing, Meanwhile::drains, Meanwhile::goes,
                                          Meanwhile::tooLate));
 
-TEST_P(LateConnection, CarriesNothingToAnEngineThatDrainsOrBehindItsTime) {
+TEST_P(LateConnection, SendsNothingToADrainingEndpointOrAfterItsDeadline) {
   LoopRunner w;
   ScriptedEngine e(w.loop);
   AttemptEnds ends;
@@ -236,7 +237,7 @@
 }
 
 // An engine whose address can't be used, or that is not listed, was never reached.
-TEST(PlatformEngineClient, AnAttemptAtAnAddressThatCantBeUsedNeverLeft) {
+TEST(PlatformEngineClient, ReportsAnAttemptAtAnUnusableAddressAsNotSent) {
   for (const bool listed : {true, false}) {
     LoopRunner w;
     AttemptEnds ends;
@@ -256,7 +257,7 @@
 }
 
 // An attempt that found no room among the router's own connections tells nothing of its engine.
-TEST(PlatformEngineClient, AnAttemptThatFoundNoConnectionNeverLeft) {
+TEST(PlatformEngineClient, ReportsAnAttemptWithoutAFreeConnectionAsNotSent) {
   LoopRunner w;
   ScriptedEngine e(w.loop);
   AttemptEnds ends;
--- a/tests/path/engine_connection_endings_test.cpp
+++ b/tests/engine/connection_test.cpp
@@ -11,7 +11,7 @@
 constexpr net::Micros kShort = 50'000;
 constexpr net::Micros kSecond = 1'000'000;
 
-struct EngineConnectionEnding : testing::Test {
+struct EngineConnection : testing::Test {
   // An exchange with the engine, as an attempt.
   void run(engine::ConnectionPool& pool, std::uint64_t attempt = 1, EndpointId endpoint = {7}) {
     pool.start({{attempt}, 0}, endpoint, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
@@ -38,7 +38,7 @@
 
 // ---- at rest ----
 
-TEST_F(EngineConnectionEnding, OneThatItsEngineClosesAtRestIsNotUsedAgain) {
+TEST_F(EngineConnection, IsNotReusedWhenItsEngineClosedItWhileIdle) {
   engine::ConnectionPool pool(w.loop, {});
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
   rest(w);
@@ -49,7 +49,7 @@
   EXPECT_FALSE(heard.failed);
 }
 
-TEST_F(EngineConnectionEnding, HalfALineAtRestGoesIntoNoOtherAnswer) {
+TEST_F(EngineConnection, DoesNotMixUnsolicitedBytesIntoTheNextResponse) {
   for (const bool seenBefore : {false, true}) {
     ScriptedEngine engine(w.loop);
     engine::ConnectionPool pool(w.loop, {});
@@ -67,14 +67,14 @@
   }
 }
 
-TEST_F(EngineConnectionEnding, OneThatRestedForItsIdleTimeIsClosed) {
+TEST_F(EngineConnection, IsClosedAfterItsIdleTimeout) {
   engine::ConnectionPool pool(w.loop, {.idleTimeout = kShort});
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
   EXPECT_TRUE(w.until([&] { return e.gone() == 1; }, kSecond));
   EXPECT_EQ(pool.idleConnections(), 0u);
 }
 
-TEST_F(EngineConnectionEnding, OneThatIsTakenAsItsIdleTimeEndsKeepsItsExchange) {
+TEST_F(EngineConnection, KeepsItsExchangeWhenItIsReusedAsItsIdleTimeoutFires) {
   engine::ConnectionPool pool(w.loop, {.idleTimeout = kShort});
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
   w.stall(2 * kShort);  // the timer is due
@@ -84,7 +84,7 @@
   EXPECT_EQ(pool.opened(), 1u);
 }
 
-TEST_F(EngineConnectionEnding, ARestingOneGivesWayWhereAllAreInUse) {
+TEST_F(EngineConnection, IsEvictedWhileIdleWhenAllConnectionsAreInUse) {
   ScriptedEngine other(w.loop);
   engine::ConnectionPool pool(w.loop, {.allConnections = 1});
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
@@ -101,7 +101,7 @@
 
 // ---- its engine leaves, moves or starts anew ----
 
-TEST_F(EngineConnectionEnding, RestingOnesEndWithTheirEnginesStart) {
+TEST_F(EngineConnection, IsClosedWhileIdleWhenItsEngineRestarts) {
   engine::ConnectionPool pool(w.loop, {});
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
   auto restarted = only(Poco::Net::SocketAddress(e.address()));
@@ -111,7 +111,7 @@
   EXPECT_TRUE(w.until([&] { return e.gone() == 1; }, kSecond));
 }
 
-TEST_F(EngineConnectionEnding, AnExchangeGoesOnThoughItsEngineLeavesTheListDrainsOrStartsAnew) {
+TEST_F(EngineConnection, KeepsItsExchangeWhenItsEngineLeavesTheListDrainsOrRestarts) {
   enum class Change { leaves, drains, restarts };
   for (const Change change : {Change::leaves, Change::drains, Change::restarts}) {
     ScriptedEngine engine(w.loop);  // answers when the test says so
@@ -136,7 +136,7 @@
 
 // ---- as it comes up ----
 
-TEST_F(EngineConnectionEnding, OneThatDoesNotComeUpInTimeProvesThatNothingRan) {
+TEST_F(EngineConnection, ReportsAConnectTimeoutAsNotExecuted) {
   SilentMachine machine;
   engine::ConnectionPool pool(w.loop, {.connectTimeout = kShort});
   pool.update(only(machine.address()));
@@ -148,7 +148,7 @@
   EXPECT_EQ(pool.busyConnections(), 0u);
 }
 
-TEST_F(EngineConnectionEnding, OneThatComesUpWithItsTimersEndCarriesNothing) {
+TEST_F(EngineConnection, SendsNothingWhenItIsEstablishedAsItsTimeoutFires) {
   engine::ConnectionPool pool(w.loop, {.connectTimeout = kShort});
   pool.update(only(Poco::Net::SocketAddress(e.address())));
   run(pool);
@@ -159,7 +159,7 @@
   EXPECT_TRUE(e.seen.empty());
 }
 
-TEST_F(EngineConnectionEnding, NothingIsWrittenForAnAttemptGivenUpWhileItComesUp) {
+TEST_F(EngineConnection, SendsNothingForAnAttemptCancelledWhileItConnects) {
   engine::ConnectionPool pool(w.loop, {});
   pool.update(only(Poco::Net::SocketAddress(e.address())));
   run(pool);
@@ -172,7 +172,7 @@
 
 // ---- beside its exchange ----
 
-TEST_F(EngineConnectionEnding, ACallThatIsNotAnsweredInItsTimeEnds) {
+TEST_F(EngineConnection, EndsAnExchangeWithoutResponseAtItsTimeout) {
   engine::ConnectionPool pool(w.loop, {});
   pool.update(only(Poco::Net::SocketAddress(e.address())));
   pool.start({7}, std::make_unique<Listening>(heard), kGet, kShort);
@@ -182,7 +182,7 @@
 }
 
 // What is left of a request must not come before the next one on the same connection.
-TEST_F(EngineConnectionEnding, OneThatIsAnsweredBeforeItsRequestIsWrittenWholeIsNotKept) {
+TEST_F(EngineConnection, IsNotReusedWhenItsResponseCameBeforeTheRequestWasWritten) {
   std::vector<Poco::Net::StreamSocket> accepted;  // never read
   net::Listener listener(w.loop, Poco::Net::SocketAddress("127.0.0.1", 0),
                          [&](auto socket) { accepted.push_back(socket); });
--- a/tests/path/stream_test.cpp
+++ b/tests/net/stream_test.cpp
@@ -1,11 +1,11 @@
 // Streams on loopback: full sockets, and ends that lose nothing.
-#include "net/listener.h"
 #include "net/stream.h"
 
 #include <gtest/gtest.h>
 
 #include <ctime>
 
+#include "net/listener.h"
 #include "support/loop_runner.h"
 
 namespace garnethook::test {
@@ -39,7 +39,7 @@
 };
 
 // A socket that is full was taken for a broken one, and every client that read slowly lost its answer.
-TEST_F(StreamTest, AFullSocketIsWaitedFor) {
+TEST_F(StreamTest, WaitsForAFullSocket) {
   const std::string much(12u << 20, 'x');
   here.stream->pauseReading(true);
   there.stream->send(much);
@@ -60,7 +60,7 @@
 }
 
 // Once a socket had been full, the loop spun on its readiness for as long as the connection stood.
-TEST_F(StreamTest, ALoopIsAtRestOnceAFullSocketIsDrained) {
+TEST_F(StreamTest, LetsTheLoopRestOnceAFullSocketIsDrained) {
   const std::string much(12u << 20, 'x');
   there.stream->send(much);
   ASSERT_TRUE(until([&] { return here.got.size() == much.size(); }, 5'000'000));
@@ -74,7 +74,7 @@
   EXPECT_FALSE(here.cause || there.cause);
 }
 
-TEST_F(StreamTest, WhatIsTriedStopsAtAFullSocketAndGoesOnOnceItIsDrained) {
+TEST_F(StreamTest, TrySendStopsAtAFullSocketAndNotifiesOnceItIsDrained) {
   const std::string much(12u << 20, 'x');
   here.stream->pauseReading(true);
   const auto first = there.stream->trySend(much);
@@ -87,7 +87,7 @@
   EXPECT_FALSE(there.cause);
 }
 
-TEST_F(StreamTest, AnEndedSideSendsAllThatWaitsAndReadsOnUntilThePeerCloses) {
+TEST_F(StreamTest, FinishSendingSendsWhatIsPendingAndReadsUntilThePeerCloses) {
   const std::string much(12u << 20, 'x');
   here.stream->pauseReading(true);
   there.stream->send(much);
@@ -106,7 +106,7 @@
 }
 
 // Unread bytes at the close make it a reset: that is how the peer knows that nothing of them was taken.
-TEST_F(StreamTest, AnEndedSideThatLeavesWhatComesReadsNothingAndSeesThePeersClose) {
+TEST_F(StreamTest, FinishSendingWithoutReadingStillSeesThePeersClose) {
   there.stream->finishSending(Stream::Inbound::leave);
   here.stream->send("behind the end");
   ASSERT_TRUE(until([&] { return here.cause.has_value(); }, 1'000'000));  // and closes with it
@@ -117,7 +117,7 @@
 }
 
 // Connections that the system has accepted may carry requests already.
-TEST_F(StreamTest, AListenerTakesWhatWaitsBeforeItCloses) {
+TEST_F(StreamTest, ListenerAcceptsWhatWaitsBeforeItCloses) {
   Poco::Net::StreamSocket waiting(listener.address());
   const auto before = there.stream.get();
   listener.close();
@@ -126,7 +126,7 @@
   EXPECT_TRUE(until([&] { return there.got == "x"; }, 1'000'000));
 }
 
-TEST_F(StreamTest, APeersCloseShowsBeforeItIsRead) {
+TEST_F(StreamTest, PeerGoneIsKnownBeforeTheCloseIsRead) {
   EXPECT_FALSE(there.stream->peerGone());
   there.stream->pauseReading(true);
   here.stream->send("unread");
