--- a/src/engine/attempt_exchange.h
+++ b/src/engine/attempt_exchange.h
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "engine/exchange.h"
-#include "routing/types.h"
+#include "routing/engine_client.h"
 
 namespace garnethook::engine {
 
--- a/src/engine/completion_exchange.cpp
+++ b/src/engine/completion_exchange.cpp
@@ -80,7 +80,7 @@
   if (chunk->outputTokens) result().outputTokens = *chunk->outputTokens;
   if (chunk->cachedTokens) result().cachedTokens = *chunk->cachedTokens;
   if (chunk->finishReason) {
-    result().reason = *chunk->finishReason;
+    result().finishReason = *chunk->finishReason;
     hasFinishReason_ = true;
   }
   if (chunk->tokens > 0) reportTokens(chunk->text, chunk->tokens, chunk->tokenIds);
--- a/src/engine/completions.h
+++ b/src/engine/completions.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "common/result.h"
-#include "routing/types.h"
+#include "routing/engine_client.h"
 
 namespace garnethook::engine {
 
--- a/src/engine/http_engine_client.h
+++ b/src/engine/http_engine_client.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "engine/pooled_engine_client.h"
-#include "routing/types.h"
+#include "routing/engine_client.h"
 
 namespace garnethook::engine {
 
--- a/src/engine/pooled_engine_client.h
+++ b/src/engine/pooled_engine_client.h
@@ -5,7 +5,7 @@
 #include <string_view>
 
 #include "engine/connection_pool.h"
-#include "routing/types.h"
+#include "routing/engine_client.h"
 
 namespace garnethook::engine {
 
