--- a/src/platform/process/router_options.h
+++ b/src/platform/process/router_options.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "engine/pool.h"
+#include "engine/options.h"
 #include "platform/config/platform_config.h"
 #include "platform/http_frontend/http_frontend.h"
 #include "platform/process/resource_budget.h"
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -59,7 +59,7 @@
 
   void serveBatch(const std::vector<std::string>& batch) {
     reply_.clear();
-    const bool hasTime = reportsLineErrors(0, [&] { now_ = fieldsOf(batch[0]).time("simTimeMs"); });
+    const bool hasTime = reportsLineErrors(0, [&] { now_ = fieldsOf(batch[0]).duration("simTimeMs"); });
     for (std::size_t at = 1; hasTime && at + 1 < batch.size();) {
       const std::size_t start = at++;
       while (at + 1 < batch.size() && isListEntry(batch[at])) ++at;
--- a/src/timing/wall_clock.h
+++ b/src/timing/wall_clock.h
@@ -1,3 +1,4 @@
+/// @file
 /// The wall clock, which may be stepped at any time. It is read only for what is reported as Unix time: the
 /// start times of engines in lists (membership/start_times.h), and those that fake engines report. Deadlines,
 /// timeouts and intervals never use it; tests/tree/wall_clock.sh checks who reads it.
--- a/tests/path/pool_test.cpp
+++ b/tests/engine/connection_pool_test.cpp
@@ -1,5 +1,5 @@
 // The pool of connections to engines, against peers that refuse, reset and talk out of turn.
-#include "engine/pool.h"
+#include "engine/connection_pool.h"
 
 #include <gtest/gtest.h>
 
@@ -10,15 +10,15 @@
 namespace {
 
 // Bytes that came unasked and were not read yet must not become the next answer.
-TEST(Pool, AKeptConnectionOnWhichBytesWaitIsNotUsed) {
+TEST(ConnectionPool, DoesNotReuseAConnectionWithUnreadBytes) {
   LoopRunner w;
   ScriptedEngine e(w.loop);
-  engine::Pool pool(w.loop, {});
+  engine::ConnectionPool pool(w.loop, {});
   Heard second;
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
   rest(w);
   e.seen[0].stream->send(answer("foreign"));  // and in the same turn, before the loop sees it:
-  pool.run({7}, std::make_unique<Listening>(second), kGet, 0);
+  pool.start({7}, std::make_unique<Listening>(second), kGet, 0);
   ASSERT_TRUE(w.until([&] { return second.ends == 1; }, 1'000'000));
   EXPECT_EQ(second.body, "mine");
   EXPECT_EQ(pool.opened(), 2u);
@@ -26,13 +26,13 @@
 
 // A second answer may follow some milliseconds behind the first: a request that is sent in between would get
 // it for its own.
-TEST(Pool, AConnectionThatHasJustHadItsAnswerIsNotUsedYet) {
+TEST(ConnectionPool, DoesNotReuseAConnectionRightAfterItsResponse) {
   LoopRunner w;
   ScriptedEngine e(w.loop);
-  engine::Pool pool(w.loop, {});
+  engine::ConnectionPool pool(w.loop, {});
   Heard second;
   ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
-  pool.run({7}, std::make_unique<Listening>(second), kGet, 0);
+  pool.start({7}, std::make_unique<Listening>(second), kGet, 0);
   e.seen[0].stream->send(answer("stray"));  // right behind the second request
   ASSERT_TRUE(w.until([&] { return second.ends == 1; }, 1'000'000));
   EXPECT_EQ(second.body, "mine");
@@ -40,30 +40,30 @@
 }
 
 // The time that a request tells must be what is left when it goes out, not when it was ordered.
-TEST(Pool, ARequestIsMadeWhenItsConnectionIsUp) {
+TEST(ConnectionPool, MakesTheRequestWhenItsConnectionIsEstablished) {
   constexpr net::Micros kLate = 200'000;
   LoopRunner w;
   ScriptedEngine e(w.loop);
-  engine::Pool pool(w.loop, {});
+  engine::ConnectionPool pool(w.loop, {});
   pool.update(only(Poco::Net::SocketAddress(e.address())));
   Heard heard;
   net::Micros written = 0;
   const net::Micros ordered = w.loop.now();
-  pool.run({{1}, 0}, {7}, std::make_unique<Listening>(heard), [&](net::Micros now) {
+  pool.start({{1}, 0}, {7}, std::make_unique<Listening>(heard), [&](net::Micros now) {
     written = now;
     return kGet;
   });
   w.stall(kLate);  // the loop sees the connection only then
   ASSERT_TRUE(w.until([&] { return e.seen.size() == 1; }, 1'000'000));
   EXPECT_GE(written - ordered, kLate);
-  pool.abandon({{1}, 0});
+  pool.cancel({{1}, 0});
 }
 
-TEST(Pool, ARequestThatIsTooLateWhenItsConnectionIsUpIsNotWritten) {
+TEST(ConnectionPool, DoesNotWriteARequestThatIsTooLateWhenItsConnectionIsEstablished) {
   for (const bool kept : {false, true}) {
     LoopRunner w;
     ScriptedEngine e(w.loop);
-    engine::Pool pool(w.loop, {});
+    engine::ConnectionPool pool(w.loop, {});
     if (kept) {
       ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
       rest(w);
@@ -72,7 +72,7 @@
     }
     const std::size_t before = e.seen.size();
     Heard heard;
-    pool.run({{1}, 0}, {7}, std::make_unique<Listening>(heard), [](net::Micros) { return std::nullopt; });
+    pool.start({{1}, 0}, {7}, std::make_unique<Listening>(heard), [](net::Micros) { return std::nullopt; });
     EXPECT_FALSE(heard.failed);  // not from within the call
     ASSERT_TRUE(w.until([&] { return heard.failed.has_value(); }, 1'000'000));
     EXPECT_EQ(*heard.failed, Outcome::connectFailed);
@@ -83,92 +83,93 @@
 }
 
 // A request whose arrival has to show goes on a new connection, though a kept one is good.
-TEST(Pool, ANewConnectionIsMadeWhereNoKeptOneWillDo) {
-  for (const auto reuse : {engine::Reuse::usual, engine::Reuse::none}) {
+TEST(ConnectionPool, OpensANewConnectionWhenReuseIsNotAllowed) {
+  for (const auto reuse : {engine::ConnectionReuse::allowed, engine::ConnectionReuse::never}) {
     LoopRunner w;
     ScriptedEngine e(w.loop);
-    engine::Pool pool(w.loop, {});
+    engine::ConnectionPool pool(w.loop, {});
     Heard second;
     ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
     rest(w);
     e.script = nullptr;  // it takes the request and says nothing
-    pool.run({{1}, 0}, {7}, std::make_unique<Listening>(second), engine::fixedRequest(kGet), reuse);
+    pool.start({{1}, 0}, {7}, std::make_unique<Listening>(second), engine::fixedRequest(kGet), reuse);
     ASSERT_TRUE(w.until([&] { return e.seen.size() == 2; }, 1'000'000));
-    EXPECT_EQ(pool.opened(), reuse == engine::Reuse::none ? 2u : 1u);
-    EXPECT_EQ(pool.deliveryState({{1}, 0}), reuse == engine::Reuse::none ? routing::DeliveryState::connected
-                                                                         : routing::DeliveryState::written);
-    pool.abandon({{1}, 0});
+    EXPECT_EQ(pool.opened(), reuse == engine::ConnectionReuse::never ? 2u : 1u);
+    EXPECT_EQ(pool.deliveryState({{1}, 0}), reuse == engine::ConnectionReuse::never
+                                                ? routing::DeliveryState::connected
+                                                : routing::DeliveryState::written);
+    pool.cancel({{1}, 0});
   }
 }
 
 // Releases that wait for silent engines took the connections of attempts: sound engines counted as full.
-TEST(Pool, ReleasesTakeNoConnectionFromAttempts) {
+TEST(ConnectionPool, DoesNotCountReleasesAgainstTheLimitOfAttempts) {
   LoopRunner w;
   ScriptedEngine e(w.loop);  // says nothing
   engine::Options options;
   options.allConnections = 2;
   options.controlConnections = 3;
-  engine::Pool pool(w.loop, options);
+  engine::ConnectionPool pool(w.loop, options);
   pool.update(only(Poco::Net::SocketAddress(e.address())));
   Heard heard;
   for (int i = 0; i < 3; ++i) {
-    EXPECT_FALSE(pool.controlsFull());
-    pool.run({7}, std::make_unique<Listening>(heard), kGet, 0);
+    EXPECT_FALSE(pool.isControlFull());
+    pool.start({7}, std::make_unique<Listening>(heard), kGet, 0);
   }
-  EXPECT_TRUE(pool.controlsFull());
+  EXPECT_TRUE(pool.isControlFull());
   for (int i = 0; i < 2; ++i) {
-    EXPECT_FALSE(pool.full({7}));
-    pool.run({{1}, i}, {7}, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
+    EXPECT_FALSE(pool.isFull({7}));
+    pool.start({{1}, i}, {7}, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
   }
-  EXPECT_TRUE(pool.full({7}));
-  pool.abandon({{1}, 0});
-  EXPECT_FALSE(pool.full({7}));
+  EXPECT_TRUE(pool.isFull({7}));
+  pool.cancel({{1}, 0});
+  EXPECT_FALSE(pool.isFull({7}));
 }
 
 // A list of changes leaves the others as they are; what has gone is forgotten once its exchanges are over.
-TEST(Pool, ChangesOfTheListLeaveOtherEnginesAsTheyAre) {
+TEST(ConnectionPool, LeavesOtherEndpointsAloneWhenChangesAreApplied) {
   LoopRunner w;
   ScriptedEngine e(w.loop);  // answers when the test says so
-  engine::Pool pool(w.loop, {});
+  engine::ConnectionPool pool(w.loop, {});
   auto engine = only(Poco::Net::SocketAddress(e.address()));
   pool.update(engine);
   membership::EndpointMap changes{{"f", engine.at("e")}};
   changes["f"].name = "f";
   changes["f"].id = {8};
   pool.apply(changes);
-  EXPECT_EQ(pool.listed(), (std::vector<EndpointId>{{7}, {8}}));
+  EXPECT_EQ(pool.listedEndpoints(), (std::vector<EndpointId>{{7}, {8}}));
   Heard heard;
-  pool.run({{1}, 0}, {7}, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
+  pool.start({{1}, 0}, {7}, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
   ASSERT_TRUE(w.until([&] { return e.seen.size() == 1; }, 1'000'000));
   engine["e"].state = EndpointState::removed;
   pool.apply(engine);
-  EXPECT_EQ(pool.listed(), (std::vector<EndpointId>{{8}}));
-  EXPECT_FALSE(pool.running({7}));
+  EXPECT_EQ(pool.listedEndpoints(), (std::vector<EndpointId>{{8}}));
+  EXPECT_FALSE(pool.isRunning({7}));
   EXPECT_NE(pool.find({7}), nullptr);  // its exchange goes on
   e.seen[0].stream->send(answer("whole"));
   ASSERT_TRUE(w.until([&] { return heard.ends == 1; }, 1'000'000));
   pool.apply({});
   EXPECT_EQ(pool.find({7}), nullptr);
-  EXPECT_TRUE(pool.running({8}));
+  EXPECT_TRUE(pool.isRunning({8}));
 }
 
 // An engine that others of its connections stand with is dialled once more; one that none stands with is not.
-TEST(Pool, ARefusedConnectionIsDialledOnceMoreWhereOthersStand) {
+TEST(ConnectionPool, RetriesARefusedConnectionOnceWhenOthersAreOpen) {
   for (const bool standing : {true, false}) {
     LoopRunner w;
     auto e = std::make_unique<ScriptedEngine>(w.loop);
     const Poco::Net::SocketAddress address(e->address());
-    engine::Pool pool(w.loop, {});
+    engine::ConnectionPool pool(w.loop, {});
     pool.update(only(address));
     Heard open, tried;
     if (standing) {
-      pool.run({{1}, 0}, {7}, std::make_unique<Listening>(open), engine::fixedRequest(kGet));
+      pool.start({{1}, 0}, {7}, std::make_unique<Listening>(open), engine::fixedRequest(kGet));
       ASSERT_TRUE(w.until([&] { return e->seen.size() == 1; }, 1'000'000));
     }
     e->stopListening();
     std::unique_ptr<net::Listener> again;
     std::vector<Poco::Net::StreamSocket> accepted;
-    pool.run({{2}, 0}, {7}, std::make_unique<Listening>(tried), engine::fixedRequest(kGet));
+    pool.start({{2}, 0}, {7}, std::make_unique<Listening>(tried), engine::fixedRequest(kGet));
     w.loop.post([&] {
       again = std::make_unique<net::Listener>(w.loop, address, [&](auto s) { accepted.push_back(s); });
     });
@@ -179,17 +180,17 @@
 }
 
 // A request that never was written whole has not run; one that was may have.
-TEST(Pool, ABreakBeforeTheRequestsEndProvesThatNothingRan) {
+TEST(ConnectionPool, ReportsABreakBeforeTheRequestIsWrittenAsNotExecuted) {
   for (const bool whole : {false, true}) {
     LoopRunner w;
     std::vector<Poco::Net::StreamSocket> accepted;  // never read
     net::Listener listener(w.loop, Poco::Net::SocketAddress("127.0.0.1", 0),
                            [&](auto s) { accepted.push_back(s); });
-    engine::Pool pool(w.loop, {});
+    engine::ConnectionPool pool(w.loop, {});
     pool.update(only(listener.address()));
     Heard heard;
-    pool.run({{1}, 0}, {7}, std::make_unique<Listening>(heard),
-             engine::fixedRequest(kGet + (whole ? std::string() : std::string(32u << 20, 'x'))));
+    pool.start({{1}, 0}, {7}, std::make_unique<Listening>(heard),
+               engine::fixedRequest(kGet + (whole ? std::string() : std::string(32u << 20, 'x'))));
     ASSERT_TRUE(w.until([&] { return accepted.size() == 1; }, 1'000'000));
     w.pass(30'000);
     accepted[0].setLinger(true, 0);
@@ -206,7 +207,7 @@
                          testing::Values(Meanwhile::nothing, Meanwhile::drains, Meanwhile::goes,
                                          Meanwhile::tooLate));
 
-TEST_P(LateConnection, CarriesNothingToAnEngineThatDrainsOrBehindItsTime) {
+TEST_P(LateConnection, SendsNothingToADrainingEndpointOrAfterItsDeadline) {
   LoopRunner w;
   ScriptedEngine e(w.loop);
   AttemptEnds ends;
@@ -236,7 +237,7 @@
 }
 
 // An engine whose address can't be used, or that is not listed, was never reached.
-TEST(PlatformEngineClient, AnAttemptAtAnAddressThatCantBeUsedNeverLeft) {
+TEST(PlatformEngineClient, ReportsAnAttemptAtAnUnusableAddressAsNotSent) {
   for (const bool listed : {true, false}) {
     LoopRunner w;
     AttemptEnds ends;
@@ -256,7 +257,7 @@
 }
 
 // An attempt that found no room among the router's own connections tells nothing of its engine.
-TEST(PlatformEngineClient, AnAttemptThatFoundNoConnectionNeverLeft) {
+TEST(PlatformEngineClient, ReportsAnAttemptWithoutAFreeConnectionAsNotSent) {
   LoopRunner w;
   ScriptedEngine e(w.loop);
   AttemptEnds ends;
