--- a/src/http1/message.h
+++ b/src/http1/message.h
@@ -30,8 +30,8 @@
 
 struct MessageLimits {
   std::size_t headBytes = std::size_t{16} * 1024;  // start line and fields
-  std::size_t bodyBytes = std::size_t{16} << 20;  // body without chunk framing
-  std::size_t chunkLine = 256;        // chunk size with extensions
+  std::size_t bodyBytes = std::size_t{16} << 20;   // body without chunk framing
+  std::size_t chunkLine = 256;                     // chunk size with extensions
 };
 
 class MessageEvents {
--- a/tests/path/platform_world.h
+++ b/tests/path/platform_world.h
@@ -46,7 +46,7 @@
   }
   platform::PlatformConfig read(const std::string& discoveryAddress) const {
     return platform::readPlatformConfig(config::JsonFile::parse("config.json", config(discoveryAddress)),
-                                [](const char*) { return std::nullopt; });
+                                        [](const char*) { return std::nullopt; });
   }
   void start() {
     firstList = R"({"revision":1,"complete":true,"members":[)" + member("r", reader, "m1") + "," +
--- a/tests/support/frontend_world.h
+++ b/tests/support/frontend_world.h
@@ -177,8 +177,9 @@
   ~FrontendWorld() { stopLoop(); }
 
   static platform::PlatformConfig testConfig() {
-    return platform::readPlatformConfig(config::JsonFile::parse("config.json", platformConfigText("127.0.0.1:1")),
-                                [](const char*) { return std::nullopt; });
+    return platform::readPlatformConfig(
+        config::JsonFile::parse("config.json", platformConfigText("127.0.0.1:1")),
+        [](const char*) { return std::nullopt; });
   }
   std::unique_ptr<BlockingClient> client() { return std::make_unique<BlockingClient>(front->address()); }
   // A client whose connection has been accepted; with `answered` it has had an answer and rests.
