--- a/src/policy/affinity_hashing.cpp
+++ b/src/policy/affinity_hashing.cpp
@@ -42,7 +42,7 @@
   registry_.appendLowestHashes(role, key, count, all);
   const auto ownEnd = all.begin() + static_cast<std::ptrdiff_t>(std::min(all.size(), kOwnSubsetOfHotPrefix));
   std::partial_sort(all.begin(), ownEnd, all.end(), [this](EndpointId left, EndpointId right) {
-    return rendezvousHash(ownOrder_, left) > rendezvousHash(ownOrder_, right);
+    return rendezvousHash(routerKey_, left) > rendezvousHash(routerKey_, right);
   });
   request.affinityEndpoints.insert(request.affinityEndpoints.end(), all.begin(), ownEnd);
 }
--- a/src/policy/affinity_hashing.h
+++ b/src/policy/affinity_hashing.h
@@ -53,9 +53,9 @@
 /// looks hot, and more endpoints then cache it.
 class AffinityHashing {
  public:
-  /// `ownOrder`: this router's own order of the endpoints.
-  AffinityHashing(const DecisionContext& context, EndpointRegistry& registry, PrefixKey ownOrder)
-      : context_(context), registry_(registry), ownOrder_(ownOrder) {}
+  /// `routerKey`: this router's own order of the endpoints.
+  AffinityHashing(const DecisionContext& context, EndpointRegistry& registry, PrefixKey routerKey)
+      : context_(context), registry_(registry), routerKey_(routerKey) {}
 
   /// Sets the request's affinity endpoints, of the roles that prefill.
   void assign(TrackedRequest& request);
@@ -79,7 +79,7 @@
 
   const DecisionContext& context_;
   EndpointRegistry& registry_;
-  PrefixKey ownOrder_;
+  PrefixKey routerKey_;
   PrefillLoad load_;
 };
 
--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -11,7 +11,7 @@
   attempt.number = request.attempts++;
   attempt.sentAt = collaborators_.context.now();
   KvMemoryEstimator::add(endpoint, attempt.kvTokens);
-  endpoint.awaiting.set(id, attempt);
+  endpoint.awaitingResponse.set(id, attempt);
   collaborators_.outliers.recordSend(endpoint, id);
   collaborators_.slowStart.recordSend(endpoint);
   collaborators_.affinity.recordSend(request, attempt.prefillTime);
@@ -42,7 +42,7 @@
   if (event.report) recordReport(endpoint, *event.report);
   KvMemoryEstimator::remove(endpoint, attempt.kvTokens);
   evaluate(request, endpoint, attempt, event);
-  endpoint.awaiting.erase(id);
+  endpoint.awaitingResponse.erase(id);
   collaborators_.outliers.recordEnd(endpoint, id);
   if (event.reachedEndpoint) request.kvStateSince = collaborators_.context.now();
   if (event.outcome == Outcome::prefillDone || event.outcome == Outcome::completed)
@@ -57,8 +57,8 @@
 void AttemptTracker::recordResponse(Endpoint& endpoint, RequestId id, const InFlightAttempt& attempt) {
   const bool isFirstResponse = !attempt.started || attempt.startedAt == collaborators_.context.now();
   if (isFirstResponse) collaborators_.rejections.recordAcceptance(endpoint);
-  endpoint.awaiting.erase(id);
-  endpoint.awaiting.recordOvertaking(attempt);
+  endpoint.awaitingResponse.erase(id);
+  endpoint.awaitingResponse.recordOvertaking(attempt);
   collaborators_.outliers.recordResponse(endpoint, id);
 }
 
@@ -140,8 +140,10 @@
   // An endpoint that gave a sign since is slow, not failing.
   if (!OutlierDetector::wasActiveAfter(endpoint, attempt.sentAt))
     collaborators_.outliers.recordFailure(attempt.endpoint, FailureReason::noResponse);
-  const InFlightAttempt* awaiting = endpoint.awaiting.find(request.arrival.id);
-  if (awaiting && collaborators_.timeouts.isStalled(*awaiting, AttemptTimeouts::kSilenceShare)) return;
+  const InFlightAttempt* awaitingResponse = endpoint.awaitingResponse.find(request.arrival.id);
+  if (awaitingResponse &&
+      collaborators_.timeouts.isStalled(*awaitingResponse, AttemptTimeouts::kSilenceShare))
+    return;
   collaborators_.speeds.learn(endpoint, SpeedEstimator::kMaxFactor);
   const EstimatedTime waited = collaborators_.context.elapsedSince(attempt.sentAt);
   if (attempt.phase == Phase::decode) {
--- a/src/policy/candidate_finder.cpp
+++ b/src/policy/candidate_finder.cpp
@@ -15,7 +15,7 @@
   }
   for (const auto strictness : {Strictness::trustedAndNotFailed, Strictness::trusted, Strictness::usable}) {
     Candidates found;
-    for (const Endpoint* endpoint : collaborators_.registry.ofRole(role))
+    for (const Endpoint* endpoint : collaborators_.registry.endpointsOfRole(role))
       if (fits(request, *endpoint, strictness)) found.push_back(endpoint);
     if (!found.empty()) return found;
   }
@@ -41,10 +41,10 @@
                                 collaborators_.prefixes.sessionLocations(request)})
     if (locations != nullptr)
       for (const CachedPrefix& prefix : *locations) add(prefix.endpoint);
-  const auto& all = collaborators_.registry.ofRole(role);
+  const auto& all = collaborators_.registry.endpointsOfRole(role);
   const std::uint64_t requestDraws = request.arrival.id.value * kSampledWhenLate;
   for (std::size_t i = 1; i <= sampled; ++i)
-    group.push_back(all[mixBits(ownOrder_.value ^ mixBits(requestDraws + i)) % all.size()]);
+    group.push_back(all[mixBits(routerKey_.value ^ mixBits(requestDraws + i)) % all.size()]);
   std::sort(group.begin(), group.end(),
             [](const Endpoint* left, const Endpoint* right) { return left->entry.id < right->entry.id; });
   group.erase(std::unique(group.begin(), group.end()), group.end());
--- a/src/policy/combined_share.cpp
+++ b/src/policy/combined_share.cpp
@@ -19,7 +19,7 @@
   if (collaborators_.registry.isLarge(role))
     return collaborators_.registry.listedMemoryTokens(role) / streamTime;
   double capacity = 0;
-  for (const Endpoint* endpoint : collaborators_.registry.ofRole(role))
+  for (const Endpoint* endpoint : collaborators_.registry.endpointsOfRole(role))
     if (endpoint->isListed) capacity += std::max(1.0, endpoint->memoryTokens) / streamTime;
   return capacity;
 }
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -93,23 +93,23 @@
 
 /// Everything known of one endpoint.
 struct Endpoint {
-  EndpointEntry entry;          ///< Its latest entry of the endpoint list.
-  Role role = Role::combined;   ///< Role of its kind.
-  double memoryTokens = 0;      ///< KV cache capacity of its kind in tokens; 0: unknown.
-  bool isListed = false;        ///< The list says that it takes requests.
-  double hashWeight = 1;        ///< Weight in rendezvous hashing; written by AffinityHashing.
-  AwaitingAttempts awaiting;    ///< Own attempts there without a response; written by AttemptTracker.
-  HealthRecord health;          ///< Of OutlierDetector.
-  SpeedRecord speed;            ///< Of SpeedEstimator.
-  QueueRecord queue;            ///< Of QueueEstimator.
-  FirstTokenRecord firstToken;  ///< Of FirstTokenEstimator.
-  KvMemoryRecord kvMemory;      ///< Of KvMemoryEstimator.
-  RejectionRecord rejections;   ///< Of RejectionEstimator.
-  PrefixCacheRecord prefixes;   ///< Of PrefixCacheIndex.
-  SlowStartRecord slowStart;    ///< Of SlowStart.
+  EndpointEntry entry;                ///< Its latest entry of the endpoint list.
+  Role role = Role::combined;         ///< Role of its kind.
+  double memoryTokens = 0;            ///< KV cache capacity of its kind in tokens; 0: unknown.
+  bool isListed = false;              ///< The list says that it takes requests.
+  double hashWeight = 1;              ///< Weight in rendezvous hashing; written by AffinityHashing.
+  AwaitingAttempts awaitingResponse;  ///< Own attempts there without a response; written by AttemptTracker.
+  HealthRecord health;                ///< Of OutlierDetector.
+  SpeedRecord speed;                  ///< Of SpeedEstimator.
+  QueueRecord queue;                  ///< Of QueueEstimator.
+  FirstTokenRecord firstToken;        ///< Of FirstTokenEstimator.
+  KvMemoryRecord kvMemory;            ///< Of KvMemoryEstimator.
+  RejectionRecord rejections;         ///< Of RejectionEstimator.
+  PrefixCacheRecord prefixes;         ///< Of PrefixCacheIndex.
+  SlowStartRecord slowStart;          ///< Of SlowStart.
 
   /// Whether this router still has something in flight there.
-  bool isInUse() const { return !awaiting.empty() || kvMemory.inFlightTokens() > 0; }
+  bool isInUse() const { return !awaitingResponse.empty() || kvMemory.inFlightTokens() > 0; }
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -16,7 +16,7 @@
 namespace garnethook::policy {
 
 /// Number of roles; arrays by role are indexed by roleIndex.
-constexpr std::size_t kRoles = 3;
+constexpr std::size_t kRoleCount = 3;
 /// Index of a role in an array by role.
 constexpr std::size_t roleIndex(Role role) { return static_cast<std::size_t>(role); }
 
@@ -37,8 +37,8 @@
   /// it.
   static constexpr std::size_t kOwnSubsetPerCell = 2;
 
-  /// `ownOrder`: this router's own order of the endpoints.
-  explicit EndpointRegistry(PrefixKey ownOrder) : ownOrder_(ownOrder) {}
+  /// `routerKey`: this router's own order of the endpoints.
+  explicit EndpointRegistry(PrefixKey routerKey) : routerKey_(routerKey) {}
 
   /// All endpoints.
   Endpoints& all() { return endpoints_; }
@@ -58,7 +58,7 @@
   }
 
   /// All endpoints of a role, in order of identifiers, listed or not.
-  const std::vector<Endpoint*>& ofRole(Role role) const { return byRole_[roleIndex(role)]; }
+  const std::vector<Endpoint*>& endpointsOfRole(Role role) const { return byRole_[roleIndex(role)]; }
   /// Number of listed endpoints of a role.
   std::size_t listedCount(Role role) const { return listedOfRole_[roleIndex(role)]; }
   /// Number of listed endpoints of a zone.
@@ -108,15 +108,15 @@
   void findLowestHashes(Role role, PrefixKey key, std::size_t count, std::vector<EndpointId>& out) const;
   void chooseOwnSubset(std::size_t role);
 
-  PrefixKey ownOrder_;
+  PrefixKey routerKey_;
   Endpoints endpoints_;
-  std::array<std::vector<Endpoint*>, kRoles> byRole_;
-  std::array<std::vector<Endpoint*>, kRoles> ownSubset_;
-  std::array<std::size_t, kRoles> listedOfRole_{};
-  std::array<double, kRoles> memoryOfRole_{};
-  std::array<std::vector<HashedEndpoint>, kRoles> hashed_;
+  std::array<std::vector<Endpoint*>, kRoleCount> byRole_;
+  std::array<std::vector<Endpoint*>, kRoleCount> ownSubset_;
+  std::array<std::size_t, kRoleCount> listedOfRole_{};
+  std::array<double, kRoleCount> memoryOfRole_{};
+  std::array<std::vector<HashedEndpoint>, kRoleCount> hashed_;
   double maxHashWeight_ = 1;
-  std::array<std::unordered_map<std::uint64_t, std::vector<EndpointId>>, kRoles> cachedHashes_;  // by key
+  std::array<std::unordered_map<std::uint64_t, std::vector<EndpointId>>, kRoleCount> cachedHashes_;  // by key
   std::map<std::size_t, std::size_t> listedInZone_;
   std::unordered_multimap<std::uint64_t, Endpoint*> byCell_;
   std::map<EndpointId, Endpoint*> contacted_;
--- a/src/policy/first_token_estimator.h
+++ b/src/policy/first_token_estimator.h
@@ -88,7 +88,7 @@
   EstimatedTime baselineTime_;
   EstimatedTime fleetTime_ = EstimatedTime::zero();
   Micros fleetObservedAt_ = 0;
-  std::array<EstimatedTime, kRoles> streamTimes_;
+  std::array<EstimatedTime, kRoleCount> streamTimes_;
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -105,11 +105,11 @@
 bool OutlierDetector::isUnresponsive(const Endpoint& endpoint) const {
   const DecisionContext& context = collaborators_.context;
   const Micros activeAt = endpoint.health.lastActivityAt_;
-  const auto& awaiting = endpoint.awaiting;
+  const auto& awaitingResponse = endpoint.awaitingResponse;
   constexpr double kShare = AttemptTimeouts::kSilenceShare;
-  if (awaiting.empty() || context.elapsedSince(activeAt) <= kShare * collaborators_.timeouts.floor())
+  if (awaitingResponse.empty() || context.elapsedSince(activeAt) <= kShare * collaborators_.timeouts.floor())
     return false;
-  return std::any_of(awaiting.begin(), awaiting.end(), [&](const auto& item) {
+  return std::any_of(awaitingResponse.begin(), awaitingResponse.end(), [&](const auto& item) {
     const InFlightAttempt& attempt = item.second;
     return activeAt <= attempt.sentAt &&
            context.elapsedSince(attempt.sentAt) > kShare * collaborators_.timeouts.usualTimeout(attempt);
--- a/src/policy/queue_estimator.cpp
+++ b/src/policy/queue_estimator.cpp
@@ -5,7 +5,7 @@
 EstimatedTime QueueEstimator::ownBacklog(const Endpoint& endpoint) const {
   EstimatedTime total = EstimatedTime::zero();
   Micros firstSentAt = collaborators_.context.now();
-  for (const auto& [id, attempt] : endpoint.awaiting) {
+  for (const auto& [id, attempt] : endpoint.awaitingResponse) {
     if (collaborators_.timeouts.isStalled(attempt, AttemptTimeouts::kSilenceShare)) continue;
     total += attempt.prefillTime;
     if (attempt.prefillTime > EstimatedTime::zero()) firstSentAt = std::min(firstSentAt, attempt.sentAt);
@@ -16,7 +16,7 @@
 
 EstimatedTime QueueEstimator::longestWait(const Endpoint& endpoint) const {
   EstimatedTime longest = EstimatedTime::zero();
-  for (const auto& [id, attempt] : endpoint.awaiting)
+  for (const auto& [id, attempt] : endpoint.awaitingResponse)
     if (!collaborators_.timeouts.isStalled(attempt, AttemptTimeouts::kSilenceShare))
       longest = std::max(longest, collaborators_.context.elapsedSince(attempt.sentAt));
   return longest;
@@ -73,7 +73,7 @@
 }
 
 void QueueEstimator::update() {
-  std::array<double, kRoles> weights{1, 1, 1};
+  std::array<double, kRoleCount> weights{1, 1, 1};
   meanDelay_.fill(EstimatedTime::zero());
   for (const auto& [id, endpoint] : collaborators_.registry.contacted()) {
     if (!endpoint->isListed) continue;
@@ -83,7 +83,7 @@
     meanDelay_[roleIndex(endpoint->role)] += weight * record.delay_;
     weights[roleIndex(endpoint->role)] += weight;
   }
-  for (std::size_t role = 0; role < kRoles; ++role) meanDelay_[role] /= weights[role];
+  for (std::size_t role = 0; role < kRoleCount; ++role) meanDelay_[role] /= weights[role];
 }
 
 }  // namespace garnethook::policy
--- a/src/policy/queue_estimator.h
+++ b/src/policy/queue_estimator.h
@@ -79,7 +79,7 @@
 
   Collaborators collaborators_;
   EstimatedTime smallestObjective_;
-  std::array<EstimatedTime, kRoles> meanDelay_{};
+  std::array<EstimatedTime, kRoleCount> meanDelay_{};
   EstimatedTime meanPrefillTime_ = EstimatedTime::zero();
   EstimatedTime reported_ = EstimatedTime::zero();  // delays reported where prefills were sent, lately ...
   EstimatedTime waited_ = EstimatedTime::zero();    // ... and what of them was waited
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -58,7 +58,7 @@
 class RoutingPolicy::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed)
-      : settings_(validated(settings)), context_(seed), ownOrder_{mixBits(seed + 1)} {}
+      : settings_(validated(settings)), context_(seed), routerKey_{mixBits(seed + 1)} {}
 
   void handle(Micros now, const Event& event, std::vector<Action>& actions) {
     context_.begin(now, actions);
@@ -256,8 +256,8 @@
 
   bool isBusyWith(RequestId id, const InFlightAttempt& attempt) {
     const Endpoint& endpoint = registry_.at(attempt.endpoint);
-    const InFlightAttempt* awaiting = endpoint.awaiting.find(id);
-    const bool isStalled = awaiting && timeouts_.isStalled(*awaiting, 1);
+    const InFlightAttempt* awaitingResponse = endpoint.awaitingResponse.find(id);
+    const bool isStalled = awaitingResponse && timeouts_.isStalled(*awaitingResponse, 1);
     return OutlierDetector::wasActiveAfter(endpoint, attempt.sentAt) && !isStalled;
   }
 
@@ -334,10 +334,10 @@
 
   const Settings settings_;
   DecisionContext context_;
-  const PrefixKey ownOrder_;  // this router's own order of the endpoints, where they are alike
+  const PrefixKey routerKey_;  // this router's own order of the endpoints, where they are alike
   const EstimatedTime smallestObjective_ = smallestTtftObjective(settings_);
   TrackedRequests requests_;
-  EndpointRegistry registry_{ownOrder_};
+  EndpointRegistry registry_{routerKey_};
   bool isSubscribed_ = false;
   bool isUpdating_ = false;
 
@@ -346,9 +346,9 @@
   AttemptTimeouts timeouts_{context_, smallestObjective_};
   TrafficSample sample_{registry_, requests_, settings_.routers};
   PrefixCacheIndex prefixes_{context_};
-  AffinityHashing affinity_{context_, registry_, ownOrder_};
+  AffinityHashing affinity_{context_, registry_, routerKey_};
   SpeedEstimator speeds_{context_};
-  SlowStart slowStart_{context_, registry_, settings_, ownOrder_};
+  SlowStart slowStart_{context_, registry_, settings_, routerKey_};
   QueueEstimator queues_{{context_, registry_, costModel_, timeouts_, sample_, slowStart_},
                          smallestObjective_};
   FirstTokenEstimator firstTokens_{{context_, queues_, sample_}, smallestObjective_};
@@ -356,11 +356,12 @@
   RejectionEstimator rejections_{context_};
   OutlierDetector outliers_{{context_, registry_, requests_, timeouts_, settings_}};
   RetryPolicy retries_{{context_, settings_, timeouts_, firstTokens_}};
-  CandidateFinder candidates_{{registry_, outliers_, slowStart_, rejections_, prefixes_}, ownOrder_};
+  CandidateFinder candidates_{{registry_, outliers_, slowStart_, rejections_, prefixes_}, routerKey_};
   PrefillEstimator prefills_{{costModel_, prefixes_, queues_, speeds_, sample_}};
   PrefillSelector prefillSelector_{
-      {context_, registry_, candidates_, prefills_, prefixes_, rejections_}, ownOrder_, smallestObjective_};
-  DecodeSelector decodeSelector_{{candidates_, memory_, rejections_, speeds_}, ownOrder_, smallestObjective_};
+      {context_, registry_, candidates_, prefills_, prefixes_, rejections_}, routerKey_, smallestObjective_};
+  DecodeSelector decodeSelector_{
+      {candidates_, memory_, rejections_, speeds_}, routerKey_, smallestObjective_};
   AdmissionController admission_{{context_, settings_, registry_, candidates_, prefills_, firstTokens_},
                                  smallestObjective_};
   KvHoldPolicy kvHold_{context_, settings_, smallestObjective_};
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -50,8 +50,8 @@
 // With no warm endpoint left the last figure stands; a router that never saw one takes its own demand.
 void SlowStart::measureBaseline() {
   const Micros since = context_.now() - kLoadHorizon;
-  std::array<double, kRoles> load{};
-  std::array<std::size_t, kRoles> warmingUp{};
+  std::array<double, kRoleCount> load{};
+  std::array<std::size_t, kRoleCount> warmingUp{};
   for (const auto& [id, endpoint] : registry_.contacted())
     if (endpoint->isListed && !isWarmingUp(*endpoint))
       load[roleIndex(endpoint->role)] += loadSince(endpoint->slowStart.completed_, since);
@@ -88,7 +88,7 @@
 // By the router's number among all, or at random where that is not known; another phase at each endpoint.
 double SlowStart::phaseOf(EndpointId id) const {
   const double own = settings_.self ? countAsDouble(*settings_.self) / countAsDouble(settings_.routers)
-                                    : toUnitInterval(ownOrder_.value);
+                                    : toUnitInterval(routerKey_.value);
   const double phase = own + toUnitInterval(mixBits(id.value));
   return phase - std::floor(phase);
 }
