--- a/src/policy/attempt_timeouts.h
+++ b/src/policy/attempt_timeouts.h
@@ -22,24 +22,24 @@
       : context_(context), smallestObjective_(smallestObjective) {}
 
   /// Part of every timeout that does not depend on the prediction.
-  EstimatedTime floor() const { return kFloor * smallestObjective_; }
+  EstimatedTime baseTimeout() const { return kBaseTimeoutShare * smallestObjective_; }
   /// The usual timeout of an attempt.
   EstimatedTime usualTimeout(const InFlightAttempt& attempt) const {
-    return multipleFor(attempt.phase) * attempt.predictedTime + floor();
+    return timeoutMultiple(attempt.phase) * attempt.predictedTime + baseTimeout();
   }
   /// Whether an attempt is over that share of its usual timeout while later ones to the same endpoint, that
   /// sum up to clearly more than its size, had their response: its connection is lost, not its endpoint. Such
   /// an attempt says nothing of the endpoint's queue and speed, and is given up at the whole timeout.
   bool isStalled(const InFlightAttempt& attempt, double share) const {
-    return attempt.overtakenBy >= kOvertakenToStall &&
+    return attempt.overtakenRatio >= kMinOvertakenRatioToStall &&
            context_.elapsedSince(attempt.sentAt) > share * usualTimeout(attempt);
   }
 
  private:
-  static constexpr double kFloor = 0.5;  // of the smallest objective
-  static constexpr double kOvertakenToStall = 2;
+  static constexpr double kBaseTimeoutShare = 0.5;  // of the smallest objective
+  static constexpr double kMinOvertakenRatioToStall = 2;
 
-  static double multipleFor(Phase phase) {
+  static double timeoutMultiple(Phase phase) {
     return phase == Phase::prefill ? kPrefillMultiple : kDecodeMultiple;
   }
 
--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -25,13 +25,14 @@
   request.kvStateAt.reset();
   Endpoint& endpoint = collaborators_.registry.at(attempt.endpoint);
   recordResponse(endpoint, request.arrival.id, attempt);
-  const EstimatedTime took = collaborators_.context.elapsedSince(attempt.sentAt);
-  collaborators_.speeds.learn(endpoint, took / std::max(EstimatedTime(1), attempt.predictedTime));
+  const EstimatedTime elapsed = collaborators_.context.elapsedSince(attempt.sentAt);
+  collaborators_.speeds.learn(endpoint, elapsed / std::max(EstimatedTime(1), attempt.predictedTime));
   if (attempt.phase == Phase::combined) {
-    const EstimatedTime alone = attempt.prefillTime + collaborators_.firstTokens.baselineTime();
-    collaborators_.queues.observeDelay(endpoint, took - alone * collaborators_.speeds.factor(endpoint));
+    const EstimatedTime unqueuedTime = attempt.prefillTime + collaborators_.firstTokens.baselineTime();
+    collaborators_.queues.observeDelay(endpoint,
+                                       elapsed - unqueuedTime * collaborators_.speeds.factor(endpoint));
   }
-  if (attempt.phase == Phase::decode) collaborators_.firstTokens.observe(endpoint, took);
+  if (attempt.phase == Phase::decode) collaborators_.firstTokens.observe(endpoint, elapsed);
 }
 
 void AttemptTracker::recordEnd(TrackedRequest& request, const AttemptEnded& event) {
@@ -41,7 +42,7 @@
   Endpoint& endpoint = collaborators_.registry.at(attempt.endpoint);
   if (event.report) recordReport(endpoint, *event.report);
   KvMemoryEstimator::remove(endpoint, attempt.kvTokens);
-  evaluate(request, endpoint, attempt, event);
+  handleOutcome(request, endpoint, attempt, event);
   endpoint.awaitingResponse.erase(id);
   collaborators_.outliers.recordEnd(endpoint, id);
   if (event.reachedEndpoint) request.kvStateSince = collaborators_.context.now();
@@ -62,13 +63,13 @@
   collaborators_.outliers.recordResponse(endpoint, id);
 }
 
-void AttemptTracker::evaluate(TrackedRequest& request, Endpoint& endpoint, const InFlightAttempt& attempt,
-                              const AttemptEnded& event) {
+void AttemptTracker::handleOutcome(TrackedRequest& request, Endpoint& endpoint,
+                                   const InFlightAttempt& attempt, const AttemptEnded& event) {
   OutlierDetector& outliers = collaborators_.outliers;
   switch (event.outcome) {
-    case Outcome::prefillDone: return evaluatePrefill(request, endpoint, attempt, event.cachedTokens);
-    case Outcome::completed: return evaluateAnswer(request, endpoint, attempt, event.cachedTokens);
-    case Outcome::rejected: return evaluateRejection(request, endpoint, attempt, event);
+    case Outcome::prefillDone: return handlePrefillDone(request, endpoint, attempt, event.cachedTokens);
+    case Outcome::completed: return handleCompletion(request, endpoint, attempt, event.cachedTokens);
+    case Outcome::rejected: return handleRejection(request, endpoint, attempt, event);
     case Outcome::notSent: return;
     case Outcome::connectFailed:
       outliers.recordFailure(attempt.endpoint, FailureReason::connectionFailed);
@@ -84,33 +85,33 @@
       if (request.cancelled && collaborators_.context.elapsedSince(attempt.sentAt) <
                                    AttemptTimeouts::kPrefillMultiple * attempt.predictedTime)
         return;
-      evaluateTimeout(request, endpoint, attempt);
+      handleTimeout(request, endpoint, attempt);
       break;
-    case Outcome::timedOut: evaluateTimeout(request, endpoint, attempt); break;
+    case Outcome::timedOut: handleTimeout(request, endpoint, attempt); break;
   }
-  noteFailure(request, attempt, event.outcome);
+  recordFailedAttempt(request, attempt, event.outcome);
 }
 
-void AttemptTracker::evaluatePrefill(TrackedRequest& request, Endpoint& endpoint,
-                                     const InFlightAttempt& attempt, double cachedTokens) {
+void AttemptTracker::handlePrefillDone(TrackedRequest& request, Endpoint& endpoint,
+                                       const InFlightAttempt& attempt, double cachedTokens) {
   const double tokens = request.promptTokensAt(endpoint.entry);
   const double speed = collaborators_.speeds.factor(endpoint);
-  const EstimatedTime took = collaborators_.context.elapsedSince(attempt.sentAt);
-  const EstimatedTime ownTime = collaborators_.queues.ownPrefillTime(endpoint, attempt);
+  const EstimatedTime elapsed = collaborators_.context.elapsedSince(attempt.sentAt);
+  const EstimatedTime prefillDuration = collaborators_.queues.ownPrefillTime(endpoint, attempt);
   collaborators_.queues.observeReportedWait(
-      endpoint, attempt, took - collaborators_.costModel.predict(tokens, cachedTokens) * speed);
-  collaborators_.costModel.learn(tokens, cachedTokens, ownTime / speed);
+      endpoint, attempt, elapsed - collaborators_.costModel.predict(tokens, cachedTokens) * speed);
+  collaborators_.costModel.learn(tokens, cachedTokens, prefillDuration / speed);
   collaborators_.queues.observeUnreportedWait(
-      endpoint, ownTime - collaborators_.costModel.predict(tokens, cachedTokens) * speed);
-  collaborators_.speeds.learn(endpoint, took / std::max(EstimatedTime(1), attempt.predictedTime / speed));
-  collaborators_.queues.recordPrefillDone(endpoint, ownTime);
+      endpoint, prefillDuration - collaborators_.costModel.predict(tokens, cachedTokens) * speed);
+  collaborators_.speeds.learn(endpoint, elapsed / std::max(EstimatedTime(1), attempt.predictedTime / speed));
+  collaborators_.queues.recordPrefillDone(endpoint, prefillDuration);
   recordResponse(endpoint, request.arrival.id, attempt);
   collaborators_.prefixes.recordPrefill(request, endpoint, attempt, cachedTokens);
   request.kvStateAt = endpoint.entry;
 }
 
-void AttemptTracker::evaluateAnswer(const TrackedRequest& request, Endpoint& endpoint,
-                                    const InFlightAttempt& attempt, double cachedTokens) {
+void AttemptTracker::handleCompletion(const TrackedRequest& request, Endpoint& endpoint,
+                                      const InFlightAttempt& attempt, double cachedTokens) {
   recordResponse(endpoint, request.arrival.id, attempt);
   if (attempt.started)
     collaborators_.firstTokens.observeStream(endpoint.role,
@@ -122,8 +123,8 @@
 // A rejection is an answer: the endpoint lives. Where it found no KV state, that state has failed, by the end
 // of its prefill endpoint, an outage or a release, so the rejecting endpoint is not blamed and the prompt is
 // prefilled anew elsewhere.
-void AttemptTracker::evaluateRejection(TrackedRequest& request, Endpoint& endpoint,
-                                       const InFlightAttempt& attempt, const AttemptEnded& event) {
+void AttemptTracker::handleRejection(TrackedRequest& request, Endpoint& endpoint,
+                                     const InFlightAttempt& attempt, const AttemptEnded& event) {
   if (event.reachedEndpoint) collaborators_.outliers.recordActivity(endpoint);
   collaborators_.outliers.invalidateOutages();
   if (event.kvStateMissing && request.kvStateAt) {
@@ -135,8 +136,8 @@
   request.failedEndpoints.push_back(endpoint.entry.id);
 }
 
-void AttemptTracker::evaluateTimeout(TrackedRequest& request, Endpoint& endpoint,
-                                     const InFlightAttempt& attempt) {
+void AttemptTracker::handleTimeout(TrackedRequest& request, Endpoint& endpoint,
+                                   const InFlightAttempt& attempt) {
   // An endpoint that gave a sign since is slow, not failing.
   if (!OutlierDetector::wasActiveAfter(endpoint, attempt.sentAt))
     collaborators_.outliers.recordFailure(attempt.endpoint, FailureReason::noResponse);
@@ -155,7 +156,8 @@
   }
 }
 
-void AttemptTracker::noteFailure(TrackedRequest& request, const InFlightAttempt& attempt, Outcome outcome) {
+void AttemptTracker::recordFailedAttempt(TrackedRequest& request, const InFlightAttempt& attempt,
+                                         Outcome outcome) {
   request.failedEndpoints.push_back(attempt.endpoint);
   const bool possiblyExecuted = attempt.phase != Phase::prefill && outcome != Outcome::connectFailed;
   if (!possiblyExecuted || request.possiblyExecutedAt) return;
--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -51,16 +51,16 @@
 
  private:
   void recordResponse(Endpoint& endpoint, RequestId id, const InFlightAttempt& attempt);
-  void evaluate(TrackedRequest& request, Endpoint& endpoint, const InFlightAttempt& attempt,
-                const AttemptEnded& event);
-  void evaluatePrefill(TrackedRequest& request, Endpoint& endpoint, const InFlightAttempt& attempt,
-                       double cachedTokens);
-  void evaluateAnswer(const TrackedRequest& request, Endpoint& endpoint, const InFlightAttempt& attempt,
-                      double cachedTokens);
-  void evaluateRejection(TrackedRequest& request, Endpoint& endpoint, const InFlightAttempt& attempt,
-                         const AttemptEnded& event);
-  void evaluateTimeout(TrackedRequest& request, Endpoint& endpoint, const InFlightAttempt& attempt);
-  void noteFailure(TrackedRequest& request, const InFlightAttempt& attempt, Outcome outcome);
+  void handleOutcome(TrackedRequest& request, Endpoint& endpoint, const InFlightAttempt& attempt,
+                     const AttemptEnded& event);
+  void handlePrefillDone(TrackedRequest& request, Endpoint& endpoint, const InFlightAttempt& attempt,
+                         double cachedTokens);
+  void handleCompletion(const TrackedRequest& request, Endpoint& endpoint, const InFlightAttempt& attempt,
+                        double cachedTokens);
+  void handleRejection(TrackedRequest& request, Endpoint& endpoint, const InFlightAttempt& attempt,
+                       const AttemptEnded& event);
+  void handleTimeout(TrackedRequest& request, Endpoint& endpoint, const InFlightAttempt& attempt);
+  void recordFailedAttempt(TrackedRequest& request, const InFlightAttempt& attempt, Outcome outcome);
 
   Collaborators collaborators_;
 };
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -18,12 +18,12 @@
 class HealthRecord {
   friend class OutlierDetector;
   double failureScore_ = 0;
-  Micros scoredAt_ = 0;
+  Micros failureScoreAt_ = 0;
   bool ejected_ = false;
-  bool probing_ = false;
+  bool probeInFlight_ = false;
   bool probeSucceeded_ = false;
   std::optional<RequestId> trialRequest_;
-  Micros trialAt_ = 0;
+  Micros nextTrialAt_ = 0;
   Micros trialDelay_ = 0;  // 0: the shortest
   Micros lastActivityAt_ = 0;
 };
@@ -68,10 +68,10 @@
 /// Rejections by an endpoint; written by RejectionEstimator.
 class RejectionRecord {
   friend class RejectionEstimator;
-  double share_ = 0;  // as of observedAt_
+  double rejectedShare_ = 0;  // as of observedAt_
   EstimatedTime time_ = EstimatedTime::zero();
   Micros observedAt_ = 0;
-  Micros fullUntil_ = 0;
+  Micros backOffUntil_ = 0;
 };
 
 /// How far the prefix cache index is believed of an endpoint; written by PrefixCacheIndex.
@@ -88,7 +88,7 @@
   std::deque<std::pair<Micros, double>> completed_;  // when, and how much load it was
   std::deque<Micros> tokens_;                        // when each was granted
   double partialToken_ = 0;
-  Micros tokensForStart_ = 0;  // the start that the tokens were granted for
+  Micros tokensGrantedForStartAt_ = 0;  // the start that the tokens were granted for
 };
 
 /// Everything known of one endpoint.
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -10,20 +10,20 @@
   const auto& own = ownSubset_[roleIndex(role)];
   Group subset(own.begin(), own.end());
   if (cell == nullptr) return subset;
-  std::vector<std::pair<std::uint64_t, const Endpoint*>> ofCell;
+  std::vector<std::pair<std::uint64_t, const Endpoint*>> cellEndpoints;
   const auto [from, to] = byCell_.equal_range(*cell);
   for (auto at = from; at != to; ++at)
     if (at->second->role == role && at->second->isListed)
-      ofCell.emplace_back(~rendezvousHash(routerKey_, at->second->entry.id), at->second);
-  std::sort(ofCell.begin(), ofCell.end());
-  const std::size_t count = std::min(ofCell.size(), kOwnSubsetPerCell);
-  for (std::size_t i = 0; i < count; ++i) subset.push_back(ofCell[i].second);
+      cellEndpoints.emplace_back(~rendezvousHash(routerKey_, at->second->entry.id), at->second);
+  std::sort(cellEndpoints.begin(), cellEndpoints.end());
+  const std::size_t count = std::min(cellEndpoints.size(), kOwnSubsetPerCell);
+  for (std::size_t i = 0; i < count; ++i) subset.push_back(cellEndpoints[i].second);
   return subset;
 }
 
 void EndpointRegistry::appendLowestHashes(Role role, PrefixKey key, std::size_t count,
-                                          std::vector<EndpointId>& out) {
-  if (!isLarge(role)) return findLowestHashes(role, key, count, out);
+                                          std::vector<EndpointId>& result) {
+  if (!isLarge(role)) return findLowestHashes(role, key, count, result);
   auto& cache = cachedHashes_[roleIndex(role)];
   if (cache.size() >= kCachedKeys && !cache.contains(key.value)) cache.clear();
   auto& cached = cache.try_emplace(key.value).first->second;
@@ -33,7 +33,7 @@
     findLowestHashes(role, key, std::bit_ceil(std::max(count, kCachedEndpointsPerKey)), cached);
   }
   const auto end = cached.begin() + static_cast<std::ptrdiff_t>(std::min(count, cached.size()));
-  out.insert(out.end(), cached.begin(), end);
+  result.insert(result.end(), cached.begin(), end);
 }
 
 void EndpointRegistry::rebuildHashIndex() {
@@ -86,17 +86,17 @@
 
 // The lowest -log(draw) / weight win. Most draws are compared without taking the logarithm.
 void EndpointRegistry::findLowestHashes(Role role, PrefixKey key, std::size_t count,
-                                        std::vector<EndpointId>& out) const {
+                                        std::vector<EndpointId>& result) const {
   if (count == 0) return;
-  constexpr double kRange = 9007199254740992.0;  // 2^53
-  constexpr double kRoundingMargin = 0.999999;   // the bound is taken a little too low, for rounding
+  constexpr double kDrawRange = 9007199254740992.0;  // 2^53
+  constexpr double kRoundingMargin = 0.999999;       // the bound is taken a little too low, for rounding
   const std::uint64_t mixedKey = mixKey(key);
   std::vector<std::pair<double, EndpointId>> lowest;  // a heap with the highest cost first
   double lowestUsefulDraw = 0;                        // draws below it cost more than all of a full heap
   for (const HashedEndpoint& candidate : hashed_[roleIndex(role)]) {
     const double draw = static_cast<double>(mixBits(mixedKey ^ candidate.mixedId) >> 11) + 0.5;
     if (draw < lowestUsefulDraw) continue;
-    const std::pair cost{-std::log(draw / kRange) / candidate.weight, candidate.id};
+    const std::pair cost{-std::log(draw / kDrawRange) / candidate.weight, candidate.id};
     if (lowest.size() == count) {
       if (cost >= lowest.front()) continue;
       std::pop_heap(lowest.begin(), lowest.end());
@@ -105,16 +105,16 @@
     lowest.push_back(cost);
     std::push_heap(lowest.begin(), lowest.end());
     if (lowest.size() == count)
-      lowestUsefulDraw = std::exp(-lowest.front().first * maxHashWeight_) * kRange * kRoundingMargin;
+      lowestUsefulDraw = std::exp(-lowest.front().first * maxHashWeight_) * kDrawRange * kRoundingMargin;
   }
   std::sort_heap(lowest.begin(), lowest.end());
-  for (const auto& [cost, id] : lowest) out.push_back(id);
+  for (const auto& [cost, id] : lowest) result.push_back(id);
 }
 
 // By rendezvous hashing, so that an endpoint that comes or goes changes the subset by one.
 void EndpointRegistry::chooseOwnSubset(std::size_t role) {
   ownSubset_[role].clear();
-  if (byRole_[role].size() <= kMaxRoleScannedWhole) return;
+  if (byRole_[role].size() <= kMaxFullyScannedRoleSize) return;
   std::vector<std::pair<std::uint64_t, Endpoint*>> draws;
   for (Endpoint* endpoint : byRole_[role])
     if (endpoint->isListed) draws.emplace_back(~rendezvousHash(routerKey_, endpoint->entry.id), endpoint);
--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -29,7 +29,7 @@
   using Group = std::vector<const Endpoint*>;
 
   /// Of a role of up to so many endpoints a request considers all.
-  static constexpr std::size_t kMaxRoleScannedWhole = 128;
+  static constexpr std::size_t kMaxFullyScannedRoleSize = 128;
   /// Size of this router's own subset of a larger role, chosen without coordination, which moves little as
   /// endpoints come and go.
   static constexpr std::size_t kOwnSubsetSize = 64;
@@ -78,13 +78,13 @@
   std::vector<Endpoint*>& recentlyStarted() { return recentlyStarted_; }
 
   /// Whether a role is too large for a request to consider all of it.
-  bool isLarge(Role role) const { return byRole_[roleIndex(role)].size() > kMaxRoleScannedWhole; }
+  bool isLarge(Role role) const { return byRole_[roleIndex(role)].size() > kMaxFullyScannedRoleSize; }
   /// This router's own subset of a large role, and some endpoints of the cell unless it is nullptr.
   Group ownSubset(Role role, const std::uint64_t* cell) const;
 
   /// Appends the `count` listed endpoints of a role with the lowest weighted rendezvous hash of the key, in
   /// its order; weights are those at the last rebuildHashIndex().
-  void appendLowestHashes(Role role, PrefixKey key, std::size_t count, std::vector<EndpointId>& out);
+  void appendLowestHashes(Role role, PrefixKey key, std::size_t count, std::vector<EndpointId>& result);
   /// To be called when weights or the list have changed.
   void rebuildHashIndex();
   /// To be called when the list has changed.
@@ -105,7 +105,7 @@
   };
 
   void addToIndex(Endpoint& endpoint);
-  void findLowestHashes(Role role, PrefixKey key, std::size_t count, std::vector<EndpointId>& out) const;
+  void findLowestHashes(Role role, PrefixKey key, std::size_t count, std::vector<EndpointId>& result) const;
   void chooseOwnSubset(std::size_t role);
 
   PrefixKey routerKey_;
--- a/src/policy/kv_memory_estimator.h
+++ b/src/policy/kv_memory_estimator.h
@@ -24,7 +24,7 @@
     const EstimatedTime perToken =
         std::max(EstimatedTime(1), toEstimate(request.requestClass.timePerOutputTokenObjective));
     const double output = arrival.expectedOutput > 0 ? toEstimate(arrival.expectedOutput) / perToken
-                                                     : kUnknownOutputShare * arrival.maxOutput;
+                                                     : kDefaultOutputShare * arrival.maxOutput;
     return request.promptTokensAt(endpoint.entry) + output;
   }
 
@@ -33,7 +33,7 @@
   /// far as TrafficSample allows.
   double occupancy(const Endpoint& endpoint, double additionalTokens) const {
     const KvMemoryRecord& record = endpoint.kvMemory;
-    const double capacity = endpoint.memoryTokens > 0 ? endpoint.memoryTokens : kUnknownCapacity;
+    const double capacity = endpoint.memoryTokens > 0 ? endpoint.memoryTokens : kDefaultCapacityTokens;
     if (record.reportedAt_ == 0 || !record.reportedShare_)
       return meanShare_ +
              (record.inFlightTokens_ * sample_.routersRepresented() + additionalTokens) / capacity;
@@ -74,14 +74,14 @@
       share += fresh * record.reportedShare_.value_or(0);
       weight += fresh;
     }
-    meanShare_ = share / std::max(kMinReports, weight);
+    meanShare_ = share / std::max(kMinReportWeight, weight);
   }
 
  private:
   static constexpr EstimatedTime kReportLifetime = std::chrono::seconds(4);
-  static constexpr double kMinReports = 1;            // fresh reports that may stand for the whole fleet
-  static constexpr double kUnknownOutputShare = 0.5;  // of the maximum output, where no length is expected
-  static constexpr double kUnknownCapacity = 1e5;     // tokens
+  static constexpr double kMinReportWeight = 1;          // fresh reports that may stand for the whole fleet
+  static constexpr double kDefaultOutputShare = 0.5;     // of the maximum output, where no length is expected
+  static constexpr double kDefaultCapacityTokens = 1e5;  // tokens
 
   const DecisionContext& context_;
   const EndpointRegistry& registry_;
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -7,12 +7,12 @@
 namespace garnethook::policy {
 namespace {
 
-struct FailureKind {
+struct FailureDetails {
   double score;
   const char* text;
 };
 
-FailureKind kindOf(FailureReason reason) {
+FailureDetails detailsOf(FailureReason reason) {
   switch (reason) {
     case FailureReason::connectionFailed: return {1, "connection failed"};
     case FailureReason::connectionReset: return {0.6, "connection reset"};
@@ -26,7 +26,7 @@
 }  // namespace
 
 void OutlierDetector::recordFailure(EndpointId id, FailureReason reason) {
-  const FailureKind failure = kindOf(reason);
+  const FailureDetails failure = detailsOf(reason);
   Endpoint& endpoint = collaborators_.registry.at(id);
   collaborators_.registry.markContacted(id, endpoint);
   invalidateOutages();
@@ -34,18 +34,18 @@
   HealthRecord& health = endpoint.health;
   health.failureScore_ =
       health.failureScore_ *
-          std::exp(-collaborators_.context.elapsedSince(health.scoredAt_) / kScoreLifetime) +
+          std::exp(-collaborators_.context.elapsedSince(health.failureScoreAt_) / kScoreLifetime) +
       failure.score;
-  health.scoredAt_ = now;
+  health.failureScoreAt_ = now;
   if (health.failureScore_ < kScoreToEject) return;
   if (!health.ejected_) log(id, "ejected", failure.text);
   health.trialDelay_ = std::max(health.trialDelay_, kMinTrialDelay);
-  if (health.ejected_ && now >= health.trialAt_)
+  if (health.ejected_ && now >= health.nextTrialAt_)
     health.trialDelay_ = std::min(2 * health.trialDelay_, kMaxTrialDelay);
   health.ejected_ = true;
   ejected_.insert(id);
   health.probeSucceeded_ = false;
-  health.trialAt_ =
+  health.nextTrialAt_ =
       now + health.trialDelay_ +
       toMicros(toEstimate(health.trialDelay_) * kTrialDelayJitter * collaborators_.context.uniform());
 }
@@ -67,7 +67,7 @@
 }
 
 void OutlierDetector::recordProbe(EndpointId id, Endpoint& endpoint, bool ok) {
-  endpoint.health.probing_ = false;
+  endpoint.health.probeInFlight_ = false;
   endpoint.health.probeSucceeded_ = ok;
   if (!ok) recordFailure(id, FailureReason::healthCheckFailed);
 }
@@ -86,19 +86,19 @@
   if (!collaborators_.settings.canProbe) return;
   for (const auto& [id, endpoint] : collaborators_.registry.contacted()) {
     if (!needsProbe(*endpoint)) continue;
-    endpoint->health.probing_ = true;
+    endpoint->health.probeInFlight_ = true;
     collaborators_.context.emit(Probe{id});
   }
 }
 
-void OutlierDetector::forgetRemoved() {
+void OutlierDetector::eraseRemoved() {
   std::erase_if(ejected_, [this](EndpointId id) { return collaborators_.registry.find(id) == nullptr; });
 }
 
-bool OutlierDetector::mayTry(const Endpoint& endpoint, const TrackedRequest& request) const {
+bool OutlierDetector::isTrialAllowed(const Endpoint& endpoint, const TrackedRequest& request) const {
   const HealthRecord& health = endpoint.health;
   const bool isProbed = !collaborators_.settings.canProbe || health.probeSucceeded_;
-  return isProbed && !health.trialRequest_ && collaborators_.context.now() >= health.trialAt_ &&
+  return isProbed && !health.trialRequest_ && collaborators_.context.now() >= health.nextTrialAt_ &&
          request.requestClass.idempotency == Idempotency::idempotent && request.attempts == 0;
 }
 
@@ -106,39 +106,41 @@
   const DecisionContext& context = collaborators_.context;
   const Micros activeAt = endpoint.health.lastActivityAt_;
   const auto& awaitingResponse = endpoint.awaitingResponse;
-  constexpr double kShare = AttemptTimeouts::kSilenceShare;
-  if (awaitingResponse.empty() || context.elapsedSince(activeAt) <= kShare * collaborators_.timeouts.floor())
+  constexpr double kSilenceTimeoutShare = AttemptTimeouts::kSilenceShare;
+  if (awaitingResponse.empty() ||
+      context.elapsedSince(activeAt) <= kSilenceTimeoutShare * collaborators_.timeouts.baseTimeout())
     return false;
   return std::any_of(awaitingResponse.begin(), awaitingResponse.end(), [&](const auto& item) {
     const InFlightAttempt& attempt = item.second;
     return activeAt <= attempt.sentAt &&
-           context.elapsedSince(attempt.sentAt) > kShare * collaborators_.timeouts.usualTimeout(attempt);
+           context.elapsedSince(attempt.sentAt) >
+               kSilenceTimeoutShare * collaborators_.timeouts.usualTimeout(attempt);
   });
 }
 
 bool OutlierDetector::hasOutage(std::size_t zone) const {
   if (zone == collaborators_.settings.ownZone || collaborators_.settings.zones < 2) return false;
   const auto [at, isNew] = outages_.try_emplace(zone, false);
-  if (isNew) at->second = measureOutage(zone);
+  if (isNew) at->second = detectOutage(zone);
   return at->second;
 }
 
-bool OutlierDetector::measureOutage(std::size_t zone) const {
-  const double needed = kOutageShare * countAsDouble(collaborators_.registry.listedCountInZone(zone));
+bool OutlierDetector::detectOutage(std::size_t zone) const {
+  const double needed = kMinOutageShare * countAsDouble(collaborators_.registry.listedCountInZone(zone));
   // An unresponsive endpoint has an attempt in flight, so there can't be more than this.
   const double possible = countAsDouble(ejected_.size() + collaborators_.requests.size());
-  if (possible < std::max(static_cast<double>(kOutageEndpoints), needed)) return false;
+  if (possible < std::max(static_cast<double>(kMinOutageEndpoints), needed)) return false;
   int failing = 0;
   for (const auto& [id, endpoint] : collaborators_.registry.contacted())
     if (endpoint->isListed && endpoint->entry.zone == zone)
       failing += endpoint->health.ejected_ || isUnresponsive(*endpoint) ? 1 : 0;
-  return failing >= kOutageEndpoints && failing >= needed;
+  return failing >= kMinOutageEndpoints && failing >= needed;
 }
 
 bool OutlierDetector::needsProbe(const Endpoint& endpoint) const {
   const HealthRecord& health = endpoint.health;
-  return health.ejected_ && endpoint.isListed && !health.probing_ && !health.probeSucceeded_ &&
-         collaborators_.context.now() >= health.trialAt_;
+  return health.ejected_ && endpoint.isListed && !health.probeInFlight_ && !health.probeSucceeded_ &&
+         collaborators_.context.now() >= health.nextTrialAt_;
 }
 
 void OutlierDetector::log(EndpointId id, const char* change, const char* reason) {
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -42,7 +42,7 @@
 
   /// Whether the request may be sent there.
   bool isTrusted(const Endpoint& endpoint, const TrackedRequest& request) const {
-    if (endpoint.health.ejected_) return mayTry(endpoint, request);
+    if (endpoint.health.ejected_) return isTrialAllowed(endpoint, request);
     return !isUnresponsive(endpoint) && !(endpoint.entry.zone && hasOutage(*endpoint.entry.zone));
   }
   /// Whether the endpoint gave any sign after that time.
@@ -70,7 +70,7 @@
   /// Probes ejected endpoints whose delay is over, where that is allowed.
   void sendProbes();
   /// Forgets endpoints that the registry has removed.
-  void forgetRemoved();
+  void eraseRemoved();
   /// To be called when something has changed that outages are judged by.
   void invalidateOutages() const { outages_.clear(); }
 
@@ -81,17 +81,17 @@
   static constexpr Micros kMaxTrialDelay = 4 * kSecond;
   static constexpr double kTrialDelayJitter = 0.2;
   // A zone has an outage when this share of its endpoints, and at least so many, fail.
-  static constexpr double kOutageShare = 0.6;
-  static constexpr int kOutageEndpoints = 2;
+  static constexpr double kMinOutageShare = 0.6;
+  static constexpr int kMinOutageEndpoints = 2;
 
-  bool mayTry(const Endpoint& endpoint, const TrackedRequest& request) const;
+  bool isTrialAllowed(const Endpoint& endpoint, const TrackedRequest& request) const;
   // Nothing came since an attempt was sent, for a good part of its usual timeout. This guards against
   // endpoints that take requests and answer nothing, before the first timeout shows it.
   bool isUnresponsive(const Endpoint& endpoint) const;
   // Many failing endpoints in one zone are a network outage, not many failures: the zone is left alone but
   // for single trials. The own zone never counts.
   bool hasOutage(std::size_t zone) const;
-  bool measureOutage(std::size_t zone) const;
+  bool detectOutage(std::size_t zone) const;
   bool needsProbe(const Endpoint& endpoint) const;
   void log(EndpointId id, const char* change, const char* reason);
 
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -40,7 +40,7 @@
   double size = 0;                  ///< Tokens to be prefilled, or KV cache tokens to be taken.
   /// Summed size, relative to its own, of attempts of its phase that were sent there later and answered
   /// first.
-  double overtakenBy = 0;
+  double overtakenRatio = 0;
 };
 
 /// Attempts at one endpoint that have had no response yet, in order of request identifiers. They are walked
@@ -72,7 +72,7 @@
   void recordOvertaking(const InFlightAttempt& answered) {
     for (auto& [id, attempt] : items_)
       if (attempt.phase == answered.phase && attempt.sentAt < answered.sentAt)
-        attempt.overtakenBy += std::min(1.0, std::max(1.0, answered.size) / std::max(1.0, attempt.size));
+        attempt.overtakenRatio += std::min(1.0, std::max(1.0, answered.size) / std::max(1.0, attempt.size));
   }
   /// Removes the attempt of a request, if there is one.
   void erase(RequestId id) {
@@ -115,17 +115,18 @@
   }
   /// Tokens of the prompt as that endpoint counts them.
   double promptTokensAt(const EndpointEntry& endpoint) const {
-    const PromptCount* own = countAt(endpoint);
-    return own != nullptr ? own->promptTokens : arrival.promptTokens * endpoint.promptFactor;
+    const PromptCount* ownCount = countFor(endpoint);
+    return ownCount != nullptr ? ownCount->promptTokens : arrival.promptTokens * endpoint.promptFactor;
   }
   /// Tokens of the shared prefix as that endpoint counts them.
   double sharedPrefixTokensAt(const EndpointEntry& endpoint) const {
-    const PromptCount* own = countAt(endpoint);
-    return own != nullptr ? own->sharedPrefixTokens : arrival.sharedPrefixTokens * endpoint.promptFactor;
+    const PromptCount* ownCount = countFor(endpoint);
+    return ownCount != nullptr ? ownCount->sharedPrefixTokens
+                               : arrival.sharedPrefixTokens * endpoint.promptFactor;
   }
 
  private:
-  const PromptCount* countAt(const EndpointEntry& endpoint) const {
+  const PromptCount* countFor(const EndpointEntry& endpoint) const {
     for (const PromptCount& count : arrival.counts)
       if (count.tokeniser == endpoint.tokeniser) return &count;
     return nullptr;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -4,12 +4,12 @@
 
 namespace garnethook::policy {
 
-bool RetryPolicy::mayTry(const TrackedRequest& request) const {
+bool RetryPolicy::mayAttempt(const TrackedRequest& request) const {
   return collaborators_.context.now() < request.deadline &&
-         request.attempts < collaborators_.settings.maxAttempts && isRepeatable(request);
+         request.attempts < collaborators_.settings.maxAttempts && isRetrySafe(request);
 }
 
-bool RetryPolicy::isRepeatable(const TrackedRequest& request) const {
+bool RetryPolicy::isRetrySafe(const TrackedRequest& request) const {
   const RequestClass& requestClass = request.requestClass;
   if (!request.possiblyExecutedAt || requestClass.idempotency == Idempotency::idempotent) return true;
   return requestClass.idempotency == Idempotency::idempotentWithKey &&
@@ -39,12 +39,14 @@
 Micros RetryPolicy::timeoutFor(const TrackedRequest& request, const InFlightAttempt& attempt) const {
   if (attempt.phase != Phase::prefill && request.requestClass.idempotency != Idempotency::idempotent)
     return 0;
-  const EstimatedTime left = toEstimate(request.deadline - collaborators_.context.now());
-  const EstimatedTime spare = left - attempt.predictedTime - collaborators_.firstTokens.baselineTime();
+  const EstimatedTime remainingTime = toEstimate(request.deadline - collaborators_.context.now());
+  const EstimatedTime spare =
+      remainingTime - attempt.predictedTime - collaborators_.firstTokens.baselineTime();
   const bool isLast = request.attempts + 1 >= collaborators_.settings.maxAttempts;
   const EstimatedTime limit =
-      isLast ? left : std::min(collaborators_.timeouts.usualTimeout(attempt), std::max(spare, left / 2));
-  return std::max<Micros>(1, toMicros(std::min(limit, left)));
+      isLast ? remainingTime
+             : std::min(collaborators_.timeouts.usualTimeout(attempt), std::max(spare, remainingTime / 2));
+  return std::max<Micros>(1, toMicros(std::min(limit, remainingTime)));
 }
 
 }  // namespace garnethook::policy
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -24,7 +24,7 @@
 
   /// Whether another attempt may be sent at all: the deadline, the number of attempts and the rule above
   /// allow it.
-  bool mayTry(const TrackedRequest& request) const;
+  bool mayAttempt(const TrackedRequest& request) const;
   /// Whether an attempt may be sent there: after a possible execution only within the deduplication scope.
   static bool isInScope(const TrackedRequest& request, const Endpoint& endpoint);
   /// Whether the request may be rejected, which promises its client that a retry is harmless.
@@ -34,7 +34,7 @@
   Micros timeoutFor(const TrackedRequest& request, const InFlightAttempt& attempt) const;
 
  private:
-  bool isRepeatable(const TrackedRequest& request) const;
+  bool isRetrySafe(const TrackedRequest& request) const;
 
   Collaborators collaborators_;
 };
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -64,7 +64,7 @@
     context_.begin(now, actions);
     outliers_.invalidateOutages();
     if (!isUpdating_) update();
-    std::visit([this](const auto& kindOfEvent) { on(kindOfEvent); }, event);
+    std::visit([this](const auto& typedEvent) { on(typedEvent); }, event);
   }
 
  private:
@@ -84,7 +84,7 @@
 
   void updateEndpoint(const EndpointEntry& entry) {
     Endpoint& endpoint = registry_.at(entry.id);
-    if (endpoint.entry.startedAt != entry.startedAt) forgetBeforeRestart(endpoint);
+    if (endpoint.entry.startedAt != entry.startedAt) resetAfterRestart(endpoint);
     endpoint.entry = entry;
     endpoint.isListed = entry.state == EndpointState::running;
     const bool isKnownKind = entry.kind && *entry.kind < settings_.kinds.size();
@@ -92,7 +92,7 @@
     endpoint.memoryTokens = isKnownKind ? settings_.kinds[*entry.kind].memoryTokens : 0;
   }
 
-  void forgetBeforeRestart(Endpoint& endpoint) {
+  void resetAfterRestart(Endpoint& endpoint) {
     prefixes_.invalidate(endpoint);
     SpeedEstimator::reset(endpoint);
     KvMemoryEstimator::reset(endpoint);
@@ -116,9 +116,9 @@
     request.arrival = arrival;
     if (!arrival.requestClass || *arrival.requestClass >= settings_.classes.size()) return fail(request);
     request.requestClass = settings_.classes[*arrival.requestClass];
-    const EstimatedTime perKiloToken = toEstimate(request.requestClass.ttftObjectivePerKiloToken);
+    const EstimatedTime objectivePerKiloToken = toEstimate(request.requestClass.ttftObjectivePerKiloToken);
     request.objectiveAt = context_.now() + request.requestClass.ttftObjective +
-                          toMicros(perKiloToken * arrival.promptTokens / 1000);
+                          toMicros(objectivePerKiloToken * arrival.promptTokens / 1000);
     request.deadline = context_.now() + arrival.remaining;
     slowStart_.recordArrival(request);
     context_.setTimer(timerFor(arrival.id, TimerPurpose::deadline), std::max<Micros>(0, arrival.remaining));
@@ -127,14 +127,14 @@
 
   // Decides what comes next for a request without an attempt in flight.
   void advance(TrackedRequest& request) {
-    if (!retries_.mayTry(request)) return rejectOrFail(request);
+    if (!retries_.mayAttempt(request)) return rejectOrFail(request);
     if (request.kvStateAt && !releaseExpiredState(request)) return decode(request);
     affinity_.assign(request);
-    if (combinedShare_.takes(request) && executeWhole(request, Role::combined)) return;
+    if (combinedShare_.takes(request) && tryCombinedAttempt(request, Role::combined)) return;
     if (const Endpoint* endpoint = prefillSelector_.select(request, Role::prefill))
       return prefill(request, *endpoint);
-    if (executeWhole(request, Role::combined)) return;
-    if (settings_.decodeEndpointsPrefill && executeWhole(request, Role::decode)) return;
+    if (tryCombinedAttempt(request, Role::combined)) return;
+    if (settings_.decodeEndpointsPrefill && tryCombinedAttempt(request, Role::decode)) return;
     if (!admission_.mayPrefillLater(request)) return rejectOrFail(request);
     reevaluateAfter(request, admission_.reevaluationInterval());
   }
@@ -171,7 +171,7 @@
   }
 
   // Sends both phases to one endpoint, if one of that role is expected to be in time.
-  bool executeWhole(TrackedRequest& request, Role role) {
+  bool tryCombinedAttempt(TrackedRequest& request, Role role) {
     if (role == Role::decode) affinity_.addOfRole(request, role);
     const Endpoint* endpoint = prefillSelector_.select(request, role);
     if (!endpoint || !RetryPolicy::isInScope(request, *endpoint)) return false;
@@ -221,17 +221,18 @@
     const RequestId id = request.arrival.id;
     attempt.timeout = retries_.timeoutFor(request, attempt);
     attempts_.recordSend(request, attempt);
-    const bool isWatched = settings_.canCancel && attempt.timeout > 0;
-    context_.emit(Send{id, attempt.endpoint, isWatched ? 0 : attempt.timeout});
-    if (isWatched) context_.setTimer(timerFor(id, TimerPurpose::attemptTimeout), attempt.timeout);
+    const bool policyEnforcesTimeout = settings_.canCancel && attempt.timeout > 0;
+    context_.emit(Send{id, attempt.endpoint, policyEnforcesTimeout ? 0 : attempt.timeout});
+    if (policyEnforcesTimeout) context_.setTimer(timerFor(id, TimerPurpose::attemptTimeout), attempt.timeout);
   }
 
   void on(const StreamStarted& event) {
-    if (TrackedRequest* request = findAttempt(event.id, event.attempt)) attempts_.recordStart(*request);
+    if (TrackedRequest* request = findInFlightRequest(event.id, event.attempt))
+      attempts_.recordStart(*request);
   }
 
   void on(const AttemptEnded& event) {
-    TrackedRequest* request = findAttempt(event.id, event.attempt);
+    TrackedRequest* request = findInFlightRequest(event.id, event.attempt);
     if (request == nullptr) return;
     attempts_.recordEnd(*request, event);
     if (event.requestEnded) request->ended = true;
@@ -246,22 +247,22 @@
     if (!request.attempt || request.attempt->started || request.attempt->timeout == 0) return;
     const RequestId id = request.arrival.id;
     InFlightAttempt& attempt = *request.attempt;
-    const Micros left = attempt.sentAt + attempt.timeout - context_.now();
-    if (left > 0 || isBusyWith(id, attempt))
+    const Micros remainingTime = attempt.sentAt + attempt.timeout - context_.now();
+    if (remainingTime > 0 || isEndpointBusy(id, attempt))
       return context_.setTimer(timerFor(id, TimerPurpose::attemptTimeout),
-                               std::max(left, attempt.timeout / 2));
+                               std::max(remainingTime, attempt.timeout / 2));
     context_.emit(Cancel{id, attempt.number});
     attempt.timeout = 0;
   }
 
-  bool isBusyWith(RequestId id, const InFlightAttempt& attempt) {
+  bool isEndpointBusy(RequestId id, const InFlightAttempt& attempt) {
     const Endpoint& endpoint = registry_.at(attempt.endpoint);
     const InFlightAttempt* awaitingResponse = endpoint.awaitingResponse.find(id);
     const bool isStalled = awaitingResponse && timeouts_.isStalled(*awaitingResponse, 1);
     return OutlierDetector::wasActiveAfter(endpoint, attempt.sentAt) && !isStalled;
   }
 
-  TrackedRequest* findAttempt(RequestId id, int number) {
+  TrackedRequest* findInFlightRequest(RequestId id, int number) {
     const auto at = requests_.find(id);
     if (at == requests_.end() || !at->second.attempt || at->second.attempt->number != number) return nullptr;
     return &at->second;
@@ -328,7 +329,7 @@
     sample_.update();
     outliers_.sendProbes();
     registry_.removeUnused();
-    outliers_.forgetRemoved();
+    outliers_.eraseRemoved();
     prefixes_.expire();
   }
 
--- a/src/policy/settings_validation.cpp
+++ b/src/policy/settings_validation.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 // Messages also name the key of the operators' configuration, in parentheses where it differs.
-void require(bool holds, const char* error) {
-  if (!holds) throw std::invalid_argument(error);
+void require(bool condition, const char* message) {
+  if (!condition) throw std::invalid_argument(message);
 }
 
 void validateClass(const RequestClass& requestClass) {
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -44,7 +44,7 @@
   void recordSend(Endpoint& endpoint) const { endpoint.slowStart.sends_.push_back(context_.now()); }
   /// Takes in an attempt that completed.
   void recordCompletion(Endpoint& endpoint, const TrackedRequest& request) const {
-    endpoint.slowStart.completed_.emplace_back(context_.now(), loadOf(request));
+    endpoint.slowStart.completed_.emplace_back(context_.now(), requestLoad(request));
   }
   /// Forgets the tokens of an endpoint that restarted.
   static void reset(Endpoint& endpoint) { endpoint.slowStart.tokens_.clear(); }
@@ -52,27 +52,27 @@
   void update();
 
  private:
-  using Ledger = std::deque<std::pair<Micros, double>>;  // when, and how much load
+  using LoadHistory = std::deque<std::pair<Micros, double>>;  // when, and how much load
 
-  static constexpr Micros kLoadHorizon = 6 * kSecond;  // of the baseline load
-  static constexpr double kBudgetGranted = 0.5;        // in each window
-  static constexpr double kPromptWeight = 0.05;        // of one request in the mean of its class
+  static constexpr Micros kLoadHistoryDuration = 6 * kSecond;  // of the baseline load
+  static constexpr double kGrantedBudgetShare = 0.5;           // in each window
+  static constexpr double kPromptSampleWeight = 0.05;          // of one request in the mean of its class
 
-  static double loadSince(const Ledger& ledger, Micros since);
+  static double loadSince(const LoadHistory& history, Micros since);
   // Load of a request: the mean prompt of its class, in tokens.
-  double loadOf(const TrackedRequest& request) const;
+  double requestLoad(const TrackedRequest& request) const;
   bool hasUnusedToken(const Endpoint& endpoint) const;
-  void measureBaseline();
+  void updateBaselineLoad();
   void grantTokens(Endpoint& endpoint, double windows, double meanLoad) const;
-  double phaseOf(EndpointId id) const;
-  void dropOldRecords() const;
+  double grantPhase(EndpointId id) const;
+  void eraseOldRecords() const;
 
   const DecisionContext& context_;
   EndpointRegistry& registry_;
   const Settings& settings_;
   PrefixKey routerKey_;
   std::map<std::size_t, double> meanPrompt_;  // by class
-  Ledger arrivals_;                           // within the horizon
+  LoadHistory arrivals_;                      // within the horizon
   std::array<double, kRoleCount> baselineLoad_{-1, -1,
                                                -1};  // of a warm endpoint in a window; negative: unknown
   Micros updatedAt_ = 0;
--- a/src/policy/traffic_sample.h
+++ b/src/policy/traffic_sample.h
@@ -31,13 +31,13 @@
     const double endpoints =
         countAsDouble(registry_.listedCount(Role::decode) + registry_.listedCount(Role::combined));
     const double perEndpoint = streams / std::max(1.0, endpoints);
-    evidence_ = perEndpoint * perEndpoint / (perEndpoint * perEndpoint + kHalfEvidence);
+    evidence_ = perEndpoint * perEndpoint / (perEndpoint * perEndpoint + kHalfEvidenceStreamsSquared);
     routersRepresented_ = 1 + (countAsDouble(routers_) - 1) * evidence_;
   }
 
  private:
   // Square of the own streams at an endpoint that are half of full evidence.
-  static constexpr double kHalfEvidence = 0.3;
+  static constexpr double kHalfEvidenceStreamsSquared = 0.3;
 
   const EndpointRegistry& registry_;
   const TrackedRequests& requests_;
