--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -75,13 +75,14 @@
       outliers.recordFailure(attempt.endpoint, FailureReason::connectionFailed);
       break;
     case Outcome::connectionReset:
-      // A prefill on a kept connection may go to the same endpoint again.
+      // The reset of a reused connection does not imply a failing endpoint, so a prefill may be retried
+      // there.
       if (event.reusedConnection && attempt.phase == Phase::prefill) return;
       if (!event.reusedConnection) outliers.recordFailure(attempt.endpoint, FailureReason::connectionReset);
       break;
     case Outcome::error: outliers.recordFailure(attempt.endpoint, FailureReason::error); break;
     case Outcome::cancelled:
-      // An early cancellation by the client says nothing about the endpoint.
+      // An early cancellation by the client is no evidence about the endpoint's speed.
       if (request.cancelled && collaborators_.context.elapsedSince(attempt.sentAt) <
                                    AttemptTimeouts::kPrefillMultiple * attempt.predictedTime)
         return;
@@ -120,9 +121,10 @@
     collaborators_.prefixes.recordPrefill(request, endpoint, attempt, cachedTokens);
 }
 
-// A rejection is an answer: the endpoint lives. Where it found no KV state, that state has failed, by the end
-// of its prefill endpoint, an outage or a release, so the rejecting endpoint is not blamed and the prompt is
-// prefilled anew elsewhere.
+// A rejection counts as activity, since the endpoint responded. If the endpoint found no KV state, that state
+// was lost because its prefill endpoint stopped, an outage made it unreachable or it was released. The
+// prefill endpoint is then recorded as failed instead of the rejecting one, and the prompt is prefilled again
+// elsewhere.
 void AttemptTracker::handleRejection(TrackedRequest& request, Endpoint& endpoint,
                                      const InFlightAttempt& attempt, const AttemptEnded& event) {
   if (event.reachedEndpoint) collaborators_.outliers.recordActivity(endpoint);
@@ -138,7 +140,7 @@
 
 void AttemptTracker::handleTimeout(TrackedRequest& request, Endpoint& endpoint,
                                    const InFlightAttempt& attempt) {
-  // An endpoint that gave a sign since is slow, not failing.
+  // An endpoint that was active after the send is slow, not failing.
   if (!OutlierDetector::wasActiveAfter(endpoint, attempt.sentAt))
     collaborators_.outliers.recordFailure(attempt.endpoint, FailureReason::noResponse);
   const InFlightAttempt* awaitingResponse = endpoint.awaitingResponse.find(request.arrival.id);
@@ -148,7 +150,7 @@
   collaborators_.speeds.learn(endpoint, SpeedEstimator::kMaxFactor);
   const EstimatedTime waited = collaborators_.context.elapsedSince(attempt.sentAt);
   if (attempt.phase == Phase::decode) {
-    collaborators_.firstTokens.observeFleet(waited);  // a bound from below
+    collaborators_.firstTokens.observeFleet(waited);  // a lower bound of the time to first token
     request.slowCells.push_back(endpoint.entry.cell);
   } else {
     collaborators_.queues.observeDelay(endpoint,
--- a/src/policy/attempt_tracker.h
+++ b/src/policy/attempt_tracker.h
@@ -1,5 +1,5 @@
 /// @file
-/// Attempts from their send to their end, and what the estimators learn from each of them.
+/// Tracks attempts from send to end and passes the observations to the estimators.
 #pragma once
 
 #include "policy/affinity_hashing.h"
@@ -18,35 +18,35 @@
 
 namespace garnethook::policy {
 
-/// Distributes what attempts show to the concerns that learn from it.
+/// Updates all estimators and health records from the progress and outcome of attempts.
 class AttemptTracker {
  public:
-  /// What the tracker works with.
+  /// Dependencies of the tracker.
   struct Collaborators {
-    const DecisionContext& context;    ///< The time.
-    EndpointRegistry& registry;        ///< Endpoints.
-    const AttemptTimeouts& timeouts;   ///< Which attempts are stalled.
-    PrefillCostModel& costModel;       ///< Learns from prefills.
-    PrefixCacheIndex& prefixes;        ///< Learns where prefixes are cached.
-    AffinityHashing& affinity;         ///< Counts prefill load.
-    SpeedEstimator& speeds;            ///< Learns from times to a response.
-    QueueEstimator& queues;            ///< Learns from waits and reports.
-    FirstTokenEstimator& firstTokens;  ///< Learns from first tokens.
-    KvMemoryEstimator& memory;         ///< Counts tokens in flight.
-    RejectionEstimator& rejections;    ///< Learns from rejections.
-    OutlierDetector& outliers;         ///< Learns from failures.
-    SlowStart& slowStart;              ///< Counts sends and completions.
+    const DecisionContext& context;    ///< Provides the current time.
+    EndpointRegistry& registry;        ///< Provides the endpoints.
+    const AttemptTimeouts& timeouts;   ///< Detects stalled attempts.
+    PrefillCostModel& costModel;       ///< Receives prefill durations.
+    PrefixCacheIndex& prefixes;        ///< Receives the locations of cached prefixes.
+    AffinityHashing& affinity;         ///< Receives prefill load.
+    SpeedEstimator& speeds;            ///< Receives response times.
+    QueueEstimator& queues;            ///< Receives queueing delays and load reports.
+    FirstTokenEstimator& firstTokens;  ///< Receives times to first token.
+    KvMemoryEstimator& memory;         ///< Receives the KV cache tokens of attempts and load reports.
+    RejectionEstimator& rejections;    ///< Receives rejections and acceptances.
+    OutlierDetector& outliers;         ///< Receives failures and activity.
+    SlowStart& slowStart;              ///< Receives sends and completions.
   };
   /// The collaborators must outlive the tracker.
   explicit AttemptTracker(const Collaborators& collaborators) : collaborators_(collaborators) {}
 
-  /// Takes in an attempt that is sent now, and puts it in the request.
+  /// Records an attempt that is being sent and stores it in `request`.
   void recordSend(TrackedRequest& request, InFlightAttempt attempt);
-  /// Takes in the first token of the request's attempt.
+  /// Records the first token of the request's attempt in flight.
   void recordStart(TrackedRequest& request);
-  /// Takes in the end of the request's attempt, and takes it out of the request.
+  /// Records the end of the request's attempt in flight and removes it from `request`.
   void recordEnd(TrackedRequest& request, const AttemptEnded& event);
-  /// Takes in a report of an endpoint's load.
+  /// Records a load report of an endpoint.
   void recordReport(Endpoint& endpoint, const LoadReport& report);
 
  private:
--- a/src/policy/decision_context.h
+++ b/src/policy/decision_context.h
@@ -1,6 +1,6 @@
 /// @file
-/// What all parts of the policy share while one event is handled: the time, the actions and the random
-/// numbers.
+/// State that the modules of the policy share while an event is handled: the current time, the emitted
+/// actions and the random number generator.
 #pragma once
 
 #include <algorithm>
@@ -20,42 +20,43 @@
 /// One second.
 constexpr Micros kSecond = 1'000'000;
 
-/// A count as a number that estimates can be computed with.
+/// Converts a count to double for use in estimates.
 inline double countAsDouble(std::size_t count) {
   return static_cast<double>(static_cast<std::int64_t>(count));
 }
 
-/// The event that is being handled.
+/// Context of the event that is being handled.
 class DecisionContext {
  public:
-  /// Random numbers follow from the seed.
+  /// Seeds the random number generator.
   explicit DecisionContext(std::uint64_t seed) : random_(seed) {}
 
-  /// Begins an event; actions are appended to `actions` until the next one. Time never goes back.
+  /// Begins an event. Actions are appended to `actions` until the next call. If `now` is earlier than the
+  /// time of the previous event, that time is kept.
   void begin(Micros now, std::vector<Action>& actions) {
     now_ = std::max(now, now_);
     actions_ = &actions;
   }
 
-  /// The time of the event.
+  /// The time of the current event.
   Micros now() const { return now_; }
-  /// The time that has passed since then.
+  /// Time elapsed since `since`.
   EstimatedTime elapsedSince(Micros since) const { return toEstimate(now_ - since); }
-  /// Weight of an observation of that time, from 1 falling exponentially; 0 when there is none (`since` is
-  /// 0).
+  /// Weight of an observation made at `since`: decays exponentially from 1 with time constant `lifetime`.
+  /// Returns 0 if `since` is 0, which stands for no observation.
   double freshness(Micros since, EstimatedTime lifetime) const {
     return since == 0 ? 0 : std::exp(-elapsedSince(since) / lifetime);
   }
 
-  /// Adds an action.
+  /// Appends an action.
   template <class Kind>
   void emit(Kind action) {
     actions_->emplace_back(std::move(action));
   }
-  /// Adds the action that sets a timer.
+  /// Appends the action that sets a timer.
   void setTimer(TimerId id, Micros delay) { actions_->emplace_back(SetTimer{id, delay}); }
 
-  /// The next random number in [0, 1).
+  /// Returns the next random number, uniformly distributed in [0, 1).
   double uniform() { return toUnitInterval(random_()); }
 
  private:
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -1,6 +1,6 @@
 /// @file
-/// The record of one endpoint. Each concern of the policy keeps its part of it in a type of its own, whose
-/// fields only that concern can reach.
+/// State of one endpoint. Each module of the policy keeps its part in a separate type whose fields are
+/// accessible to that module only.
 #pragma once
 
 #include <deque>
@@ -24,11 +24,11 @@
   bool probeSucceeded_ = false;
   std::optional<RequestId> trialRequest_;
   Micros nextTrialAt_ = 0;
-  Micros trialDelay_ = 0;  // 0: the shortest
+  Micros trialDelay_ = 0;  // 0: kMinTrialDelay
   Micros lastActivityAt_ = 0;
 };
 
-/// Speed of an endpoint relative to the prediction; written by SpeedEstimator.
+/// Response time of an endpoint relative to the prediction; written by SpeedEstimator.
 class SpeedRecord {
   friend class SpeedEstimator;
   double factor_ = 1;
@@ -44,7 +44,7 @@
   bool reportsQueue_ = false;
 };
 
-/// Latest times to first token of a decode endpoint; written by FirstTokenEstimator.
+/// Estimated time to first token of a decode endpoint; written by FirstTokenEstimator.
 class FirstTokenRecord {
   friend class FirstTokenEstimator;
   EstimatedTime time_ = EstimatedTime::zero();
@@ -54,7 +54,7 @@
 /// KV cache occupancy of an endpoint; written by KvMemoryEstimator.
 class KvMemoryRecord {
  public:
-  /// Tokens of attempts that this router has in flight there.
+  /// KV cache tokens of this router's attempts in flight at the endpoint.
   double inFlightTokens() const { return inFlightTokens_; }
 
  private:
@@ -74,7 +74,7 @@
   Micros backOffUntil_ = 0;
 };
 
-/// How far the prefix cache index is believed of an endpoint; written by PrefixCacheIndex.
+/// Validity of the prefix cache index entries of an endpoint; written by PrefixCacheIndex.
 class PrefixCacheRecord {
   friend class PrefixCacheIndex;
   Micros validFrom_ = 0;
@@ -85,30 +85,31 @@
 class SlowStartRecord {
   friend class SlowStart;
   std::deque<Micros> sends_;
-  std::deque<std::pair<Micros, double>> completed_;  // when, and how much load it was
-  std::deque<Micros> tokens_;                        // when each was granted
+  std::deque<std::pair<Micros, double>> completed_;  // time and load
+  std::deque<Micros> tokens_;                        // grant times
   double partialToken_ = 0;
-  Micros tokensGrantedForStartAt_ = 0;  // the start that the tokens were granted for
+  Micros tokensGrantedForStartAt_ = 0;  // start time of the endpoint that the tokens belong to
 };
 
-/// Everything known of one endpoint.
+/// An endpoint as seen by this router.
 struct Endpoint {
-  EndpointEntry entry;                ///< Its latest entry of the endpoint list.
-  Role role = Role::combined;         ///< Role of its kind.
-  double memoryTokens = 0;            ///< KV cache capacity of its kind in tokens; 0: unknown.
-  bool isListed = false;              ///< The list says that it takes requests.
-  double hashWeight = 1;              ///< Weight in rendezvous hashing; written by AffinityHashing.
-  AwaitingAttempts awaitingResponse;  ///< Own attempts there without a response; written by AttemptTracker.
-  HealthRecord health;                ///< Of OutlierDetector.
-  SpeedRecord speed;                  ///< Of SpeedEstimator.
-  QueueRecord queue;                  ///< Of QueueEstimator.
-  FirstTokenRecord firstToken;        ///< Of FirstTokenEstimator.
-  KvMemoryRecord kvMemory;            ///< Of KvMemoryEstimator.
-  RejectionRecord rejections;         ///< Of RejectionEstimator.
-  PrefixCacheRecord prefixes;         ///< Of PrefixCacheIndex.
-  SlowStartRecord slowStart;          ///< Of SlowStart.
+  EndpointEntry entry;         ///< Latest entry in the endpoint list.
+  Role role = Role::combined;  ///< Role of the endpoint's kind.
+  double memoryTokens = 0;     ///< KV cache capacity of the endpoint's kind in tokens; 0: unknown.
+  bool isListed = false;       ///< Whether the endpoint list has it as running.
+  double hashWeight = 1;       ///< Weight in rendezvous hashing; written by AffinityHashing.
+  AwaitingAttempts
+      awaitingResponse;         ///< This router's attempts without a response; written by AttemptTracker.
+  HealthRecord health;          ///< State of OutlierDetector.
+  SpeedRecord speed;            ///< State of SpeedEstimator.
+  QueueRecord queue;            ///< State of QueueEstimator.
+  FirstTokenRecord firstToken;  ///< State of FirstTokenEstimator.
+  KvMemoryRecord kvMemory;      ///< State of KvMemoryEstimator.
+  RejectionRecord rejections;   ///< State of RejectionEstimator.
+  PrefixCacheRecord prefixes;   ///< State of PrefixCacheIndex.
+  SlowStartRecord slowStart;    ///< State of SlowStart.
 
-  /// Whether this router still has something in flight there.
+  /// Whether this router has an attempt in flight at the endpoint.
   bool isInUse() const { return !awaitingResponse.empty() || kvMemory.inFlightTokens() > 0; }
 };
 
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -7,14 +7,14 @@
 namespace garnethook::policy {
 
 EndpointRegistry::Group EndpointRegistry::ownSubset(Role role, const std::uint64_t* cell) const {
-  const auto& own = ownSubset_[roleIndex(role)];
-  Group subset(own.begin(), own.end());
+  const auto& roleSubset = ownSubset_[roleIndex(role)];
+  Group subset(roleSubset.begin(), roleSubset.end());
   if (cell == nullptr) return subset;
   std::vector<std::pair<std::uint64_t, const Endpoint*>> cellEndpoints;
-  const auto [from, to] = byCell_.equal_range(*cell);
-  for (auto at = from; at != to; ++at)
-    if (at->second->role == role && at->second->isListed)
-      cellEndpoints.emplace_back(~rendezvousHash(routerKey_, at->second->entry.id), at->second);
+  const auto [first, last] = byCell_.equal_range(*cell);
+  for (auto item = first; item != last; ++item)
+    if (item->second->role == role && item->second->isListed)
+      cellEndpoints.emplace_back(~rendezvousHash(routerKey_, item->second->entry.id), item->second);
   std::sort(cellEndpoints.begin(), cellEndpoints.end());
   const std::size_t count = std::min(cellEndpoints.size(), kOwnSubsetPerCell);
   for (std::size_t i = 0; i < count; ++i) subset.push_back(cellEndpoints[i].second);
@@ -84,15 +84,16 @@
   if (endpoint.entry.zone) ++listedInZone_[*endpoint.entry.zone];
 }
 
-// The lowest -log(draw) / weight win. Most draws are compared without taking the logarithm.
+// Selects the endpoints with the lowest cost -log(draw) / weight, where the draw is the hash of key and
+// endpoint. Most draws are rejected by comparison with a bound, without computing the logarithm.
 void EndpointRegistry::findLowestHashes(Role role, PrefixKey key, std::size_t count,
                                         std::vector<EndpointId>& result) const {
   if (count == 0) return;
   constexpr double kDrawRange = 9007199254740992.0;  // 2^53
-  constexpr double kRoundingMargin = 0.999999;       // the bound is taken a little too low, for rounding
+  constexpr double kRoundingMargin = 0.999999;       // lowers the bound to allow for rounding errors
   const std::uint64_t mixedKey = mixKey(key);
-  std::vector<std::pair<double, EndpointId>> lowest;  // a heap with the highest cost first
-  double lowestUsefulDraw = 0;                        // draws below it cost more than all of a full heap
+  std::vector<std::pair<double, EndpointId>> lowest;  // max-heap by cost
+  double lowestUsefulDraw = 0;  // lower draws have a higher cost than a full heap's maximum
   for (const HashedEndpoint& candidate : hashed_[roleIndex(role)]) {
     const double draw = static_cast<double>(mixBits(mixedKey ^ candidate.mixedId) >> 11) + 0.5;
     if (draw < lowestUsefulDraw) continue;
@@ -111,7 +112,7 @@
   for (const auto& [cost, id] : lowest) result.push_back(id);
 }
 
-// By rendezvous hashing, so that an endpoint that comes or goes changes the subset by one.
+// Uses rendezvous hashing, so that adding or removing an endpoint changes at most one member of the subset.
 void EndpointRegistry::chooseOwnSubset(std::size_t role) {
   ownSubset_[role].clear();
   if (byRole_[role].size() <= kMaxFullyScannedRoleSize) return;
--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -1,7 +1,7 @@
 /// @file
-/// The endpoints that the policy knows, with indices so that the frequent questions need not walk the whole
-/// list: counts by role and zone, endpoints that this router has dealt with, endpoints that may still warm
-/// up, and a bounded subset of a large role for each request.
+/// Registry of all endpoints, with indices for frequent queries that would otherwise iterate over the whole
+/// list: counts by role and zone, endpoints that this router has contacted, endpoints that may be warming up,
+/// and a bounded subset of a large role for each request.
 #pragma once
 
 #include <array>
@@ -15,89 +15,91 @@
 
 namespace garnethook::policy {
 
-/// Number of roles; arrays by role are indexed by roleIndex.
+/// Number of roles; arrays by role are indexed by roleIndex().
 constexpr std::size_t kRoleCount = 3;
 /// Index of a role in an array by role.
 constexpr std::size_t roleIndex(Role role) { return static_cast<std::size_t>(role); }
 
-/// Endpoints and their indices.
+/// Stores endpoints and maintains the indices.
 class EndpointRegistry {
  public:
   /// Endpoints by identifier.
   using Endpoints = std::map<EndpointId, Endpoint>;
-  /// Some endpoints.
+  /// A selection of endpoints.
   using Group = std::vector<const Endpoint*>;
 
-  /// Of a role of up to so many endpoints a request considers all.
+  /// Largest role, in endpoints, of which each request considers every endpoint.
   static constexpr std::size_t kMaxFullyScannedRoleSize = 128;
-  /// Size of this router's own subset of a larger role, chosen without coordination, which moves little as
-  /// endpoints come and go.
+  /// Size of this router's own subset of a larger role. Routers choose their subsets without coordination,
+  /// and a subset changes little when endpoints are added or removed.
   static constexpr std::size_t kOwnSubsetSize = 64;
-  /// Endpoints of one cell that join that subset, so that KV states of the cell's prefill endpoints stay in
-  /// it.
+  /// Number of endpoints of one cell that are added to that subset, so that KV states of the cell's prefill
+  /// endpoints can be decoded within the cell.
   static constexpr std::size_t kOwnSubsetPerCell = 2;
 
-  /// `routerKey`: this router's own order of the endpoints.
+  /// `routerKey`: rendezvous hashing key of this router.
   explicit EndpointRegistry(PrefixKey routerKey) : routerKey_(routerKey) {}
 
-  /// All endpoints.
+  /// All endpoints, listed or not.
   Endpoints& all() { return endpoints_; }
-  /// All endpoints.
+  /// All endpoints, listed or not.
   const Endpoints& all() const { return endpoints_; }
-  /// An endpoint, added if it is not known.
+  /// Returns an endpoint, adding it if it does not exist.
   Endpoint& at(EndpointId id) { return endpoints_[id]; }
-  /// An endpoint, or nullptr.
+  /// Returns an endpoint, or nullptr.
   Endpoint* find(EndpointId id) {
-    const auto at = endpoints_.find(id);
-    return at == endpoints_.end() ? nullptr : &at->second;
+    const auto found = endpoints_.find(id);
+    return found == endpoints_.end() ? nullptr : &found->second;
   }
-  /// An endpoint, or nullptr.
+  /// Returns an endpoint, or nullptr.
   const Endpoint* find(EndpointId id) const {
-    const auto at = endpoints_.find(id);
-    return at == endpoints_.end() ? nullptr : &at->second;
+    const auto found = endpoints_.find(id);
+    return found == endpoints_.end() ? nullptr : &found->second;
   }
 
-  /// All endpoints of a role, in order of identifiers, listed or not.
+  /// All endpoints of a role, listed or not, sorted by identifier.
   const std::vector<Endpoint*>& endpointsOfRole(Role role) const { return byRole_[roleIndex(role)]; }
   /// Number of listed endpoints of a role.
   std::size_t listedCount(Role role) const { return listedOfRole_[roleIndex(role)]; }
-  /// Number of listed endpoints of a zone.
+  /// Number of listed endpoints in a zone.
   std::size_t listedCountInZone(std::size_t zone) const {
-    const auto at = listedInZone_.find(zone);
-    return at == listedInZone_.end() ? 0 : at->second;
+    const auto found = listedInZone_.find(zone);
+    return found == listedInZone_.end() ? 0 : found->second;
   }
-  /// KV cache capacity of the listed endpoints of a role, in tokens.
+  /// Total KV cache capacity of the listed endpoints of a role, in tokens.
   double listedMemoryTokens(Role role) const { return memoryOfRole_[roleIndex(role)]; }
 
-  /// Endpoints that this router has dealt with, in order of identifiers.
+  /// Endpoints that this router has contacted, sorted by identifier.
   const std::map<EndpointId, Endpoint*>& contacted() const { return contacted_; }
-  /// Counts an endpoint among those that this router has dealt with.
+  /// Adds an endpoint to the contacted endpoints.
   void markContacted(EndpointId id, Endpoint& endpoint) { contacted_.emplace(id, &endpoint); }
 
-  /// Endpoints that started at a known time and may still warm up; SlowStart removes those that don't.
+  /// Endpoints with a known start time that may be warming up; SlowStart removes the others.
   std::vector<Endpoint*>& recentlyStarted() { return recentlyStarted_; }
 
-  /// Whether a role is too large for a request to consider all of it.
+  /// Whether a role is too large for a request to consider all its endpoints.
   bool isLarge(Role role) const { return byRole_[roleIndex(role)].size() > kMaxFullyScannedRoleSize; }
-  /// This router's own subset of a large role, and some endpoints of the cell unless it is nullptr.
+  /// Returns this router's own subset of a large role and, unless `cell` is nullptr, some endpoints of the
+  /// cell.
   Group ownSubset(Role role, const std::uint64_t* cell) const;
 
-  /// Appends the `count` listed endpoints of a role with the lowest weighted rendezvous hash of the key, in
-  /// its order; weights are those at the last rebuildHashIndex().
+  /// Appends the `count` listed endpoints of a role with the lowest weighted rendezvous hash of `key`, in
+  /// ascending order of the hash. Uses the weights as of the last rebuildHashIndex().
   void appendLowestHashes(Role role, PrefixKey key, std::size_t count, std::vector<EndpointId>& result);
-  /// To be called when weights or the list have changed.
+  /// Must be called after a change of the weights or the endpoint list.
   void rebuildHashIndex();
-  /// To be called when the list has changed.
+  /// Must be called after a change of the endpoint list.
   void rebuildIndex();
-  /// Removes endpoints that are neither listed nor in use.
+  /// Removes endpoints that are neither listed nor have attempts in flight.
   void removeUnused();
 
  private:
-  // Results kept for a large role: for so many keys, at least so many endpoints each; about 200 bytes a key.
+  // Cache of hashing results per large role: number of keys, and least number of endpoints per key. An entry
+  // takes about 200 bytes.
   static constexpr std::size_t kCachedKeys = 2048;
   static constexpr std::size_t kCachedEndpointsPerKey = 4;
 
-  // What hashing needs of a listed endpoint, side by side.
+  // The hashing inputs of a listed endpoint, stored contiguously.
   struct HashedEndpoint {
     std::uint64_t mixedId = 0;
     double weight = 1;
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the policy knows of a request and of its attempts: plain values without decisions.
+/// State of a request and of its attempts. The types here hold data and make no decisions.
 #pragma once
 
 #include <algorithm>
@@ -14,53 +14,53 @@
 
 namespace garnethook::policy {
 
-/// What an endpoint does for an attempt.
+/// The work that an endpoint does in an attempt.
 enum class Phase {
-  prefill,  ///< Compute the KV state of the prompt.
-  decode,   ///< Answer from a KV state that a prefill endpoint holds.
-  combined  ///< Do both.
+  prefill,  ///< Computes the KV state of the prompt.
+  decode,   ///< Generates the answer from a KV state that a prefill endpoint holds.
+  combined  ///< Does both.
 };
 
-/// An attempt that was sent and has not ended.
+/// An attempt that was sent and has not ended yet.
 struct InFlightAttempt {
-  int number = 0;                                     ///< Number among the request's attempts, from 0.
-  EndpointId endpoint;                                ///< Where it was sent.
-  Phase phase = Phase::prefill;                       ///< What it was sent for.
-  Micros sentAt = 0;                                  ///< When it was sent.
-  EstimatedTime prefillTime = EstimatedTime::zero();  ///< Predicted time of the prefill alone.
+  int number = 0;                                     ///< Index among the request's attempts, from 0.
+  EndpointId endpoint;                                ///< Endpoint that it was sent to.
+  Phase phase = Phase::prefill;                       ///< Phase to execute.
+  Micros sentAt = 0;                                  ///< Time of the send.
+  EstimatedTime prefillTime = EstimatedTime::zero();  ///< Predicted prefill duration without queueing.
   EstimatedTime predictedTime =
-      EstimatedTime::zero();  ///< Predicted time to its first response, queueing included.
+      EstimatedTime::zero();  ///< Predicted time to the first response, including queueing.
   EstimatedTime reportedDelay =
-      EstimatedTime::zero();        ///< Queueing delay there by reports alone when it was sent.
-  double expectedCachedTokens = 0;  ///< Tokens that the prefix cache index listed as cached there.
-  double kvTokens = 0;              ///< KV cache tokens that it takes at a decode endpoint.
-  Micros timeout = 0;               ///< How long silence is accepted; 0: until the deadline.
-  bool started = false;             ///< The first token has come.
-  Micros startedAt = 0;             ///< When it came.
-  double size = 0;                  ///< Tokens to be prefilled, or KV cache tokens to be taken.
-  /// Summed size, relative to its own, of attempts of its phase that were sent there later and answered
-  /// first.
+      EstimatedTime::zero();        ///< Queueing delay at the send, derived from load reports only.
+  double expectedCachedTokens = 0;  ///< Prompt tokens that the prefix cache index listed as cached.
+  double kvTokens = 0;              ///< KV cache tokens that it occupies at a decode endpoint.
+  Micros timeout = 0;               ///< Longest time without a response; 0: until the deadline.
+  bool started = false;             ///< Whether the first token has arrived.
+  Micros startedAt = 0;             ///< Time of the first token.
+  double size = 0;                  ///< Tokens to prefill, or KV cache tokens to occupy.
+  /// Sum, over the attempts of the same phase that were sent to the same endpoint later and got a response
+  /// earlier, of their size relative to this attempt's size, each at most 1.
   double overtakenRatio = 0;
 };
 
-/// Attempts at one endpoint that have had no response yet, in order of request identifiers. They are walked
-/// far more often than they change, so they lie in one array.
+/// Attempts at one endpoint that are awaiting a response, sorted by request identifier. Stored contiguously,
+/// because iteration is far more frequent than modification.
 class AwaitingAttempts {
  public:
-  /// A request and its attempt.
+  /// A request identifier and the request's attempt.
   using Item = std::pair<RequestId, InFlightAttempt>;
-  /// The first attempt.
+  /// Iterator to the first attempt.
   auto begin() const { return items_.begin(); }
-  /// Behind the last attempt.
+  /// Iterator past the last attempt.
   auto end() const { return items_.end(); }
-  /// Whether there is none.
+  /// Whether no attempt awaits a response.
   bool empty() const { return items_.empty(); }
-  /// The attempt of a request, or nullptr.
+  /// Returns the attempt of a request, or nullptr.
   const InFlightAttempt* find(RequestId id) const {
     const auto at = std::lower_bound(items_.begin(), items_.end(), id, isBefore);
     return at != items_.end() && at->first == id ? &at->second : nullptr;
   }
-  /// Adds the attempt of a request, or replaces it.
+  /// Adds or replaces the attempt of a request.
   void set(RequestId id, const InFlightAttempt& attempt) {
     const auto at = std::lower_bound(items_.begin(), items_.end(), id, isBefore);
     if (at != items_.end() && at->first == id)
@@ -68,13 +68,13 @@
     else
       items_.insert(at, {id, attempt});
   }
-  /// Notes that `answered` had its response before attempts that were sent earlier.
+  /// Records that `answered` got its response before the attempts that were sent earlier.
   void recordOvertaking(const InFlightAttempt& answered) {
     for (auto& [id, attempt] : items_)
       if (attempt.phase == answered.phase && attempt.sentAt < answered.sentAt)
         attempt.overtakenRatio += std::min(1.0, std::max(1.0, answered.size) / std::max(1.0, attempt.size));
   }
-  /// Removes the attempt of a request, if there is one.
+  /// Removes the attempt of a request, if any.
   void erase(RequestId id) {
     const auto at = std::lower_bound(items_.begin(), items_.end(), id, isBefore);
     if (at != items_.end() && at->first == id) items_.erase(at);
@@ -87,38 +87,40 @@
 
 /// A request from its arrival to the end of its last attempt.
 struct TrackedRequest {
-  RequestArrived arrival;                     ///< As it arrived, with the latest counts.
-  RequestClass requestClass;                  ///< Objectives and rules of its class.
-  Micros objectiveAt = 0;                     ///< When its first token is due by the objective.
-  Micros deadline = 0;                        ///< When its client gives up.
+  RequestArrived arrival;                     ///< The arrival event, with the latest token counts.
+  RequestClass requestClass;                  ///< Objectives and retry rules of its class.
+  Micros objectiveAt = 0;                     ///< When the first token is due by the TTFT objective.
+  Micros deadline = 0;                        ///< When the client gives up.
   int attempts = 0;                           ///< Attempts sent so far.
   std::optional<InFlightAttempt> attempt;     ///< The attempt in flight, if any.
-  std::vector<EndpointId> affinityEndpoints;  ///< Where its prefix is hashed to.
-  std::optional<EndpointEntry> kvStateAt;     ///< Where its KV state is, after a prefill.
-  Micros kvStateSince = 0;                    ///< Since when the release timeout of that state runs.
+  std::vector<EndpointId> affinityEndpoints;  ///< Endpoints that its prefix hashes to.
+  std::optional<EndpointEntry> kvStateAt;     ///< Endpoint that holds its KV state, after a prefill.
+  Micros kvStateSince = 0;                    ///< Start of the release timeout of that state.
   std::vector<EndpointId> failedEndpoints;    ///< Endpoints at which an attempt failed.
-  std::vector<std::uint64_t> slowCells;       ///< Cells where a decode endpoint gave no first token in time.
-  std::optional<EndpointEntry> possiblyExecutedAt;  ///< Where it was possibly executed ...
-  Micros possiblyExecutedSince = 0;                 ///< ... and when it was first sent there.
+  std::vector<std::uint64_t>
+      slowCells;  ///< Cells in which a decode attempt timed out before its first token.
+  std::optional<EndpointEntry> possiblyExecutedAt;  ///< Endpoint where it was possibly executed ...
+  Micros possiblyExecutedSince = 0;                 ///< ... and the time of that send.
   EstimatedTime excessTime =
-      EstimatedTime::zero();  ///< Predicted time over what admission allows; below 0: in time.
-  bool ended = false;         ///< It has its final answer.
-  bool cancelled = false;     ///< Its client cancelled it.
+      EstimatedTime::zero();  ///< Predicted time minus the time that admission allows; negative: in time.
+  bool ended = false;         ///< The final response was given.
+  bool cancelled = false;     ///< The client cancelled it.
 
-  /// Whether an attempt failed at that endpoint.
+  /// Whether an attempt failed at the endpoint.
   bool hasFailedAt(EndpointId id) const {
     return std::find(failedEndpoints.begin(), failedEndpoints.end(), id) != failedEndpoints.end();
   }
-  /// Whether its prefix is hashed to that endpoint.
+  /// Whether the endpoint is one of its affinity endpoints.
   bool hasAffinityTo(EndpointId id) const {
     return std::find(affinityEndpoints.begin(), affinityEndpoints.end(), id) != affinityEndpoints.end();
   }
-  /// Tokens of the prompt as that endpoint counts them.
+  /// Token count of the prompt by the endpoint's tokeniser, estimated if that tokeniser's count is missing.
   double promptTokensAt(const EndpointEntry& endpoint) const {
     const PromptCount* ownCount = countFor(endpoint);
     return ownCount != nullptr ? ownCount->promptTokens : arrival.promptTokens * endpoint.promptFactor;
   }
-  /// Tokens of the shared prefix as that endpoint counts them.
+  /// Token count of the shared prefix by the endpoint's tokeniser, estimated if that tokeniser's count is
+  /// missing.
   double sharedPrefixTokensAt(const EndpointEntry& endpoint) const {
     const PromptCount* ownCount = countFor(endpoint);
     return ownCount != nullptr ? ownCount->sharedPrefixTokens
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -1,9 +1,10 @@
-// Dispatch of events, and the steps of a request. The modules that Impl holds decide what each step needs;
-// the order of the steps can be read off Impl::advance.
+// Dispatches events and drives each request through its phases. Impl::advance defines the order of the
+// phases; the modules that Impl owns make the decisions within each phase.
 //
-// The usual path follows MemServe: a request is prefilled where that costs least, by a fitted cost model of
-// prompt length and cached share plus the endpoint's queue, and is then decoded in that endpoint's cell where
-// most room is. Everything else acts only when something fails or is overloaded.
+// The normal path follows MemServe: a request is prefilled at the endpoint with the lowest cost, which is the
+// prediction of a fitted cost model of prompt length and cached share plus the endpoint's queueing delay. It
+// is then decoded in the cell of that endpoint, at the endpoint with the most free KV cache. All other logic
+// takes effect only on failures or overload.
 #include "policy/routing_policy.h"
 
 #include <algorithm>
@@ -43,7 +44,7 @@
 constexpr Micros kUpdateInterval = kSecond / 4;
 constexpr Micros kMinReevaluationDelay = 1000;
 
-// What a timer is for; its identifier holds the request's number and this.
+// The purpose of a timer. A TimerId encodes the request identifier and the purpose.
 enum class TimerPurpose : std::uint64_t { deadline, reevaluation, update, attemptTimeout };
 constexpr std::uint64_t kTimerPurposes = 4;
 
@@ -70,13 +71,13 @@
  private:
   // ---- endpoints ----
 
-  void on(const EndpointUpdate& list) {
+  void on(const EndpointUpdate& event) {
     using Kind = EndpointUpdate::Kind;
-    isSubscribed_ = list.kind != Kind::failure && list.kind != Kind::staleCopy;
-    if (list.kind == Kind::failure) return;
-    if (list.kind != Kind::delta)
+    isSubscribed_ = event.kind != Kind::failure && event.kind != Kind::staleCopy;
+    if (event.kind == Kind::failure) return;
+    if (event.kind != Kind::delta)
       for (auto& [id, endpoint] : registry_.all()) endpoint.isListed = false;
-    for (const EndpointEntry& entry : list.entries) updateEndpoint(entry);
+    for (const EndpointEntry& entry : event.entries) updateEndpoint(entry);
     registry_.rebuildIndex();
     outliers_.invalidateOutages();
     affinity_.updateWeights();
@@ -125,7 +126,7 @@
     advance(request);
   }
 
-  // Decides what comes next for a request without an attempt in flight.
+  // Chooses the next step of a request that has no attempt in flight.
   void advance(TrackedRequest& request) {
     if (!retries_.mayAttempt(request)) return rejectOrFail(request);
     if (request.kvStateAt && !releaseExpiredState(request)) return decode(request);
@@ -143,14 +144,16 @@
     InFlightAttempt attempt{.endpoint = endpoint.entry.id, .phase = Phase::prefill};
     estimatePrefill(request, endpoint, attempt);
     attempt.reportedDelay = queues_.reportedDelay(endpoint);
-    const Endpoint* next =
+    const Endpoint* decodeEndpoint =
         decodeSelector_.select(request, endpoint.entry.cell, DecodeSelector::kMaxOccupancyToAdmit);
-    const EstimatedTime firstToken = next ? firstTokens_.expectedTime(*next) : firstTokens_.fleetTime();
+    const EstimatedTime firstTokenTime =
+        decodeEndpoint ? firstTokens_.expectedTime(*decodeEndpoint) : firstTokens_.fleetTime();
     const bool isInTime =
-        admission_.isExpectedInTime(request, attempt.predictedTime + firstToken, attempt.prefillTime,
+        admission_.isExpectedInTime(request, attempt.predictedTime + firstTokenTime, attempt.prefillTime,
                                     AdmissionController::firstTokenDueAt(request));
-    // Without room to decode anywhere there is a jam, which memory shows before first tokens do.
-    if (!isInTime || !next) return rejectOrFail(request);
+    // Without a decode endpoint that has enough free KV cache, decoding is overloaded. KV cache occupancy
+    // indicates this earlier than the time to first token does.
+    if (!isInTime || !decodeEndpoint) return rejectOrFail(request);
     send(request, attempt);
   }
 
@@ -170,7 +173,8 @@
     send(request, attempt);
   }
 
-  // Sends both phases to one endpoint, if one of that role is expected to be in time.
+  // Sends a combined attempt if an endpoint of `role` is expected to meet the objective; returns whether an
+  // attempt was sent.
   bool tryCombinedAttempt(TrackedRequest& request, Role role) {
     if (role == Role::decode) affinity_.addOfRole(request, role);
     const Endpoint* endpoint = prefillSelector_.select(request, role);
@@ -201,7 +205,8 @@
     attempt.predictedTime = prefills_.totalTime(request, endpoint);
   }
 
-  // Releases a KV state that was held for too long, so that the prompt is prefilled anew.
+  // Releases a KV state whose hold time has expired, so that the prompt is prefilled again. Returns whether
+  // it had expired.
   bool releaseExpiredState(TrackedRequest& request) {
     if (!kvHold_.isExpired(request)) return false;
     request.kvStateAt.reset();
@@ -216,7 +221,8 @@
 
   // ---- attempts ----
 
-  // With cancellation the policy watches the timeout itself, as it may then give a busy endpoint more time.
+  // If attempts can be cancelled, the policy enforces the timeout itself, because it can then extend the
+  // timeout of an attempt at a busy endpoint.
   void send(TrackedRequest& request, InFlightAttempt attempt) {
     const RequestId id = request.arrival.id;
     attempt.timeout = retries_.timeoutFor(request, attempt);
@@ -240,9 +246,10 @@
     advance(*request);
   }
 
-  // An endpoint that gave a sign since the send is busy, not failing: giving up on it would leave its load
-  // behind as waste and make a jam worse. So only silence ends the attempt: of the endpoint or, where the
-  // sign was for a later attempt, of the connection.
+  // An endpoint that was active after the attempt was sent is busy, not failing. Cancelling the attempt would
+  // waste the work already done there and aggravate the overload. The attempt is therefore cancelled only if
+  // the endpoint has been silent or, where the activity belonged to later attempts, the connection is
+  // stalled.
   void checkAttemptTimeout(TrackedRequest& request) {
     if (!request.attempt || request.attempt->started || request.attempt->timeout == 0) return;
     const RequestId id = request.arrival.id;
@@ -268,7 +275,7 @@
     return &at->second;
   }
 
-  // ---- a request's end: one final answer, then nothing is held ----
+  // ---- end of a request: exactly one final response, then all KV state is released ----
 
   void on(const RequestCancelled& event) {
     const auto at = requests_.find(event.id);
@@ -288,7 +295,8 @@
     finish(request);
   }
 
-  // A request with an attempt in flight is forgotten at the attempt's end, which may leave a KV state.
+  // Keeps a request with an attempt in flight until that attempt ends, since the attempt may still create a
+  // KV state that has to be released.
   void finish(TrackedRequest& request) {
     const RequestId id = request.arrival.id;
     request.ended = true;
@@ -317,7 +325,7 @@
     if (purpose == TimerPurpose::deadline && !hasStarted) rejectOrFail(request);
   }
 
-  // Regular upkeep; measures what is too dear to be measured for each request.
+  // Periodic maintenance; computes the aggregates that are too expensive to compute for each request.
   void update() {
     isUpdating_ = true;
     context_.setTimer(timerFor({0}, TimerPurpose::update), kUpdateInterval);
@@ -335,14 +343,14 @@
 
   const Settings settings_;
   DecisionContext context_;
-  const PrefixKey routerKey_;  // this router's own order of the endpoints, where they are alike
+  const PrefixKey routerKey_;  // rendezvous hashing key that breaks ties between equal endpoints per router
   const EstimatedTime smallestObjective_ = smallestTtftObjective(settings_);
   TrackedRequests requests_;
   EndpointRegistry registry_{routerKey_};
   bool isSubscribed_ = false;
   bool isUpdating_ = false;
 
-  // Each module after those that it works with.
+  // Each module is declared after the modules that it references.
   PrefillCostModel costModel_ = initialCostModel(settings_);
   AttemptTimeouts timeouts_{context_, smallestObjective_};
   TrafficSample sample_{registry_, requests_, settings_.routers};
--- a/src/policy/routing_policy.h
+++ b/src/policy/routing_policy.h
@@ -1,6 +1,6 @@
 /// @file
-/// The routing policy: it decides where each request is executed, when it is retried and when it is rejected.
-/// It has no clock, no thread and no input or output of its own: events go in, actions come out.
+/// The routing policy decides where each request is executed, when it is retried and when it is rejected.
+/// It is a deterministic state machine without clock, threads or I/O: it consumes events and emits actions.
 #pragma once
 
 #include <cstdint>
@@ -14,20 +14,20 @@
 
 namespace garnethook {
 
-/// All decisions of one router. Not thread-safe: events are to be delivered one after the other.
+/// Makes all routing decisions of one router. Not thread-safe: the caller must serialise events.
 class RoutingPolicy {
  public:
-  /// Random choices follow from `seed`. Throws std::invalid_argument, naming the setting, when the settings
-  /// can't be used.
+  /// Constructs a policy whose random choices are determined by `seed`. Throws std::invalid_argument, with
+  /// the name of the setting, if a setting is invalid.
   RoutingPolicy(const Settings& settings, std::uint64_t seed);
-  /// A policy may be moved, not copied.
+  /// Move-only.
   RoutingPolicy(RoutingPolicy&&) noexcept;
-  /// A policy may be moved, not copied.
+  /// Move-only.
   RoutingPolicy& operator=(RoutingPolicy&&) noexcept;
-  /// Outstanding timers and attempts are the caller's to drop.
+  /// Emits no actions: the caller must discard outstanding timers and attempts.
   ~RoutingPolicy();
 
-  /// Appends to `actions` what is to be done about the event. `now` never goes back.
+  /// Handles an event and appends the resulting actions to `actions`. `now` must not decrease between calls.
   void handle(Micros now, const Event& event, std::vector<Action>& actions);
 
  private:
