--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -11,10 +11,10 @@
   Group subset(roleSubset.begin(), roleSubset.end());
   if (cell == nullptr) return subset;
   std::vector<std::pair<std::uint64_t, const Endpoint*>> cellEndpoints;
-  const auto [first, last] = byCell_.equal_range(*cell);
-  for (auto item = first; item != last; ++item)
-    if (item->second->role == role && item->second->isListed)
-      cellEndpoints.emplace_back(~rendezvousHash(routerKey_, item->second->entry.id), item->second);
+  const auto [cellBegin, cellEnd] = byCell_.equal_range(*cell);
+  for (auto member = cellBegin; member != cellEnd; ++member)
+    if (member->second->role == role && member->second->isListed)
+      cellEndpoints.emplace_back(~rendezvousHash(routerKey_, member->second->entry.id), member->second);
   std::sort(cellEndpoints.begin(), cellEndpoints.end());
   const std::size_t count = std::min(cellEndpoints.size(), kOwnSubsetPerCell);
   for (std::size_t i = 0; i < count; ++i) subset.push_back(cellEndpoints[i].second);
--- a/src/policy/kv_memory_estimator.h
+++ b/src/policy/kv_memory_estimator.h
@@ -1,5 +1,5 @@
 /// @file
-/// Occupancy of the endpoints' KV caches.
+/// Estimates the occupancy of the endpoints' KV caches.
 #pragma once
 
 #include <algorithm>
@@ -10,15 +10,15 @@
 
 namespace garnethook::policy {
 
-/// Estimates which share of its KV cache an endpoint has in use.
+/// Estimates the share of its KV cache that an endpoint has in use.
 class KvMemoryEstimator {
  public:
-  /// Takes the time from `context`, and the weight of own streams from `sample`.
+  /// `context` provides the current time, `sample` the number of routers that own streams represent.
   KvMemoryEstimator(const DecisionContext& context, const EndpointRegistry& registry,
                     const TrafficSample& sample)
       : context_(context), registry_(registry), sample_(sample) {}
 
-  /// KV cache tokens that a request takes at an endpoint until its answer is complete.
+  /// KV cache tokens that a request occupies at an endpoint when its answer is complete.
   static double tokensNeeded(const TrackedRequest& request, const Endpoint& endpoint) {
     const RequestArrived& arrival = request.arrival;
     const EstimatedTime perToken =
@@ -28,9 +28,10 @@
     return request.promptTokensAt(endpoint.entry) + output;
   }
 
-  /// Share in use once `additionalTokens` are added: by the endpoint's report, moved on by what was sent and
-  /// ended since, and fading to the fleet's mean; without a report, own streams stand for other routers' as
-  /// far as TrafficSample allows.
+  /// Returns the share in use after `additionalTokens` are added. The estimate starts from the endpoint's
+  /// last report, is updated by this router's attempts sent and ended since, and decays to the fleet's mean
+  /// as the report ages. Without a report, this router's streams are extrapolated to the other routers as far
+  /// as TrafficSample supports it.
   double occupancy(const Endpoint& endpoint, double additionalTokens) const {
     const KvMemoryRecord& record = endpoint.kvMemory;
     const double capacity = endpoint.memoryTokens > 0 ? endpoint.memoryTokens : kDefaultCapacityTokens;
@@ -43,26 +44,27 @@
            (record.inFlightTokens_ + additionalTokens) / capacity;
   }
 
-  /// Takes in an endpoint's report.
+  /// Records a load report of an endpoint.
   void observeReport(Endpoint& endpoint, const LoadReport& report) const {
     endpoint.kvMemory.reportedShare_ = report.memoryShare;
     endpoint.kvMemory.reportedAt_ = context_.now();
     endpoint.kvMemory.inFlightTokensAtReport_ = endpoint.kvMemory.inFlightTokens_;
   }
-  /// Counts the tokens of an attempt that was sent.
+  /// Adds the tokens of an attempt that was sent.
   static void add(Endpoint& endpoint, double tokens) { endpoint.kvMemory.inFlightTokens_ += tokens; }
-  /// Takes off the tokens of an attempt that has ended.
+  /// Subtracts the tokens of an attempt that ended.
   static void remove(Endpoint& endpoint, double tokens) {
     endpoint.kvMemory.inFlightTokens_ = std::max(0.0, endpoint.kvMemory.inFlightTokens_ - tokens);
   }
-  /// Forgets the report of an endpoint that restarted.
+  /// Discards the report of an endpoint that restarted.
   static void reset(Endpoint& endpoint) {
     endpoint.kvMemory.reportedShare_.reset();
     endpoint.kvMemory.reportedAt_ = 0;
   }
 
-  /// Measures the fleet's mean anew. Old reports count less and less, also where there is no other: otherwise
-  /// one of a full endpoint would stand for the fleet for good, and the router reject all that it gets.
+  /// Recomputes the fleet's mean. The weight of a report decays with its age even if there is no other
+  /// report: otherwise a single report of a full endpoint would represent the fleet indefinitely, and the
+  /// router would reject all requests.
   void update() {
     double share = 0;
     double weight = 0;
@@ -79,9 +81,9 @@
 
  private:
   static constexpr EstimatedTime kReportLifetime = std::chrono::seconds(4);
-  static constexpr double kMinReportWeight = 1;          // fresh reports that may stand for the whole fleet
-  static constexpr double kDefaultOutputShare = 0.5;     // of the maximum output, where no length is expected
-  static constexpr double kDefaultCapacityTokens = 1e5;  // tokens
+  static constexpr double kMinReportWeight = 1;          // total weight below which the mean is reduced
+  static constexpr double kDefaultOutputShare = 0.5;     // of the maximum output, if no length is expected
+  static constexpr double kDefaultCapacityTokens = 1e5;  // for kinds of unknown capacity
 
   const DecisionContext& context_;
   const EndpointRegistry& registry_;
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -120,21 +120,21 @@
 
 bool OutlierDetector::hasOutage(std::size_t zone) const {
   if (zone == collaborators_.settings.ownZone || collaborators_.settings.zones < 2) return false;
-  const auto [at, isNew] = outages_.try_emplace(zone, false);
-  if (isNew) at->second = detectOutage(zone);
-  return at->second;
+  const auto [cached, isNew] = outages_.try_emplace(zone, false);
+  if (isNew) cached->second = detectOutage(zone);
+  return cached->second;
 }
 
 bool OutlierDetector::detectOutage(std::size_t zone) const {
-  const double needed = kMinOutageShare * countAsDouble(collaborators_.registry.listedCountInZone(zone));
-  // An unresponsive endpoint has an attempt in flight, so there can't be more than this.
-  const double possible = countAsDouble(ejected_.size() + collaborators_.requests.size());
-  if (possible < std::max(static_cast<double>(kMinOutageEndpoints), needed)) return false;
+  const double minFailing = kMinOutageShare * countAsDouble(collaborators_.registry.listedCountInZone(zone));
+  // An unresponsive endpoint has an attempt in flight, so this is an upper bound of the failing endpoints.
+  const double maxFailing = countAsDouble(ejected_.size() + collaborators_.requests.size());
+  if (maxFailing < std::max(static_cast<double>(kMinOutageEndpoints), minFailing)) return false;
   int failing = 0;
   for (const auto& [id, endpoint] : collaborators_.registry.contacted())
     if (endpoint->isListed && endpoint->entry.zone == zone)
       failing += endpoint->health.ejected_ || isUnresponsive(*endpoint) ? 1 : 0;
-  return failing >= kMinOutageEndpoints && failing >= needed;
+  return failing >= kMinOutageEndpoints && failing >= minFailing;
 }
 
 bool OutlierDetector::needsProbe(const Endpoint& endpoint) const {
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -1,6 +1,6 @@
 /// @file
-/// Health of endpoints by what their attempts and probes show: ejection, half-open trials, unresponsive
-/// endpoints and zone outages.
+/// Passive and active health checking of endpoints: ejection, half-open trials, unresponsive endpoints and
+/// zone outages.
 #pragma once
 
 #include <cstddef>
@@ -13,65 +13,66 @@
 
 namespace garnethook::policy {
 
-/// Why an endpoint's failure score rises.
+/// Reasons for which the failure score of an endpoint is increased.
 enum class FailureReason {
-  connectionFailed,  ///< No connection could be made.
-  connectionReset,   ///< A fresh connection broke.
-  error,             ///< It answered with an error.
-  noResponse,        ///< An attempt timed out and the endpoint gave no sign since its send.
+  connectionFailed,  ///< No connection could be established.
+  connectionReset,   ///< A new connection was reset.
+  error,             ///< The endpoint responded with an error.
+  noResponse,        ///< An attempt timed out without any activity of the endpoint since its send.
   healthCheckFailed  ///< A probe failed.
 };
 
-/// Decides which endpoints are trusted with requests.
+/// Decides which endpoints may receive requests.
 ///
-/// Failures add to a score that fades; an endpoint whose score reaches 1 is ejected. After a delay, that
-/// grows with each failed trial, it is half-open: a probe where allowed, then one idempotent request at a
-/// time. Any response reinstates it.
+/// Failures add to a score that decays over time; an endpoint whose score reaches 1 is ejected. After a delay
+/// that grows with each failed trial, the endpoint is half-open: it is probed, if probes are allowed, and
+/// then receives one idempotent request at a time. Any response reinstates it.
 class OutlierDetector {
  public:
-  /// What the detector works with.
+  /// Dependencies of the detector.
   struct Collaborators {
-    DecisionContext& context;         ///< The time, actions and random numbers.
-    EndpointRegistry& registry;       ///< Endpoints.
-    const TrackedRequests& requests;  ///< Requests, of which each may have an attempt in flight.
-    const AttemptTimeouts& timeouts;  ///< Usual timeouts.
+    DecisionContext& context;         ///< Provides the time and random numbers, and receives actions.
+    EndpointRegistry& registry;       ///< Provides the endpoints.
+    const TrackedRequests& requests;  ///< Open requests, each with at most one attempt in flight.
+    const AttemptTimeouts& timeouts;  ///< Provides the usual timeouts.
     const Settings& settings;         ///< Zones, and whether probes are allowed.
   };
-  /// All endpoints are trusted at first.
+  /// Treats all endpoints as healthy until a failure is recorded.
   explicit OutlierDetector(const Collaborators& collaborators) : collaborators_(collaborators) {}
 
-  /// Whether the request may be sent there.
+  /// Whether the request may be sent to the endpoint: the endpoint is healthy, or ejected and due for a trial
+  /// with this request.
   bool isTrusted(const Endpoint& endpoint, const TrackedRequest& request) const {
     if (endpoint.health.ejected_) return isTrialAllowed(endpoint, request);
     return !isUnresponsive(endpoint) && !(endpoint.entry.zone && hasOutage(*endpoint.entry.zone));
   }
-  /// Whether the endpoint gave any sign after that time.
+  /// Whether the endpoint showed any activity after time `at`.
   static bool wasActiveAfter(const Endpoint& endpoint, Micros at) {
     return endpoint.health.lastActivityAt_ > at;
   }
 
-  /// Takes in a failure.
+  /// Records a failure and ejects the endpoint if its score reaches the limit.
   void recordFailure(EndpointId id, FailureReason reason);
-  /// Takes in a response to an attempt: the endpoint is well.
+  /// Records a response to an attempt and reinstates the endpoint.
   void recordResponse(Endpoint& endpoint, RequestId request);
-  /// Takes in a sign of activity that does not reinstate the endpoint.
+  /// Records activity that does not reinstate the endpoint.
   void recordActivity(Endpoint& endpoint) const {
     endpoint.health.lastActivityAt_ = collaborators_.context.now();
   }
-  /// Takes in an attempt that is sent; to an ejected endpoint it is a trial.
+  /// Records the send of an attempt; at an ejected endpoint the attempt is a trial.
   void recordSend(Endpoint& endpoint, RequestId request);
-  /// Takes in the end of an attempt.
+  /// Records the end of an attempt.
   void recordEnd(Endpoint& endpoint, RequestId request);
-  /// Takes in the result of a probe.
+  /// Records the result of a probe.
   void recordProbe(EndpointId id, Endpoint& endpoint, bool ok);
-  /// Forgets an endpoint's failures.
+  /// Clears an endpoint's failures and ends its ejection.
   void reinstate(Endpoint& endpoint);
 
-  /// Probes ejected endpoints whose delay is over, where that is allowed.
+  /// Probes ejected endpoints whose trial delay has passed, if probes are allowed.
   void sendProbes();
-  /// Forgets endpoints that the registry has removed.
+  /// Erases endpoints that the registry has removed.
   void eraseRemoved();
-  /// To be called when something has changed that outages are judged by.
+  /// Clears the cached outage results. Must be called after any change that affects outage detection.
   void invalidateOutages() const { outages_.clear(); }
 
  private:
@@ -80,24 +81,26 @@
   static constexpr Micros kMinTrialDelay = kSecond / 2;
   static constexpr Micros kMaxTrialDelay = 4 * kSecond;
   static constexpr double kTrialDelayJitter = 0.2;
-  // A zone has an outage when this share of its endpoints, and at least so many, fail.
+  // A zone has an outage if at least this share of its endpoints and at least this number of them are
+  // failing.
   static constexpr double kMinOutageShare = 0.6;
   static constexpr int kMinOutageEndpoints = 2;
 
   bool isTrialAllowed(const Endpoint& endpoint, const TrackedRequest& request) const;
-  // Nothing came since an attempt was sent, for a good part of its usual timeout. This guards against
-  // endpoints that take requests and answer nothing, before the first timeout shows it.
+  // Whether the endpoint has shown no activity since an attempt was sent, for kSilenceShare of its usual
+  // timeout. Detects endpoints that accept requests without responding before the first attempt times out.
   bool isUnresponsive(const Endpoint& endpoint) const;
-  // Many failing endpoints in one zone are a network outage, not many failures: the zone is left alone but
-  // for single trials. The own zone never counts.
+  // Whether a zone is unreachable. Many failing endpoints in one zone indicate a network outage, not
+  // individual failures; the zone then receives only single trials. The router's own zone is never treated as
+  // having an outage.
   bool hasOutage(std::size_t zone) const;
   bool detectOutage(std::size_t zone) const;
   bool needsProbe(const Endpoint& endpoint) const;
   void log(EndpointId id, const char* change, const char* reason);
 
   Collaborators collaborators_;
-  std::set<EndpointId> ejected_;                 // some may have left the list
-  mutable std::map<std::size_t, bool> outages_;  // zones judged since anything that counts has changed
+  std::set<EndpointId> ejected_;                 // may include endpoints that are no longer listed
+  mutable std::map<std::size_t, bool> outages_;  // cached result by zone, until the next invalidation
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/rejection_estimator.h
+++ b/src/policy/rejection_estimator.h
@@ -1,5 +1,5 @@
 /// @file
-/// Time that is lost to rejections at an endpoint before it takes a request.
+/// Estimates the time lost to rejections at an endpoint until it accepts a request.
 #pragma once
 
 #include <algorithm>
@@ -9,24 +9,24 @@
 
 namespace garnethook::policy {
 
-/// Guards against endpoints that reject slowly and show no load; where rejections are quick they cost next to
-/// nothing.
+/// Adds the cost of rejections to the expected time at an endpoint. Prevents routing to endpoints that reject
+/// slowly without reporting load; fast rejections have almost no cost.
 class RejectionEstimator {
  public:
-  /// Takes the time from `context`.
+  /// `context` provides the current time.
   explicit RejectionEstimator(const DecisionContext& context) : context_(context) {}
 
-  /// Expected time until a request is taken there, by the latest rejections.
+  /// Expected time until the endpoint accepts a request, based on its recent rejections.
   EstimatedTime expectedTime(const Endpoint& endpoint) const {
     const double share = recentShare(endpoint);
     return endpoint.rejections.time_ * share / std::max(kMinAcceptanceShare, 1 - share);
   }
-  /// Whether the endpoint is left alone for a moment after a rejection.
+  /// Whether the endpoint is in its back-off period after a rejection.
   bool isBackingOff(const Endpoint& endpoint) const {
     return context_.now() < endpoint.rejections.backOffUntil_;
   }
 
-  /// Takes in a rejection; the endpoint is then left alone for `backOff`.
+  /// Records a rejection and starts a back-off period of length `backOff`.
   void recordRejection(Endpoint& endpoint, const InFlightAttempt& attempt, EstimatedTime backOff) const {
     learn(endpoint, 1);
     RejectionRecord& record = endpoint.rejections;
@@ -35,7 +35,7 @@
         record.time_ == EstimatedTime::zero() ? elapsed : kSampleWeight * (elapsed - record.time_);
     record.backOffUntil_ = context_.now() + toMicros(backOff);
   }
-  /// Takes in an attempt that was accepted.
+  /// Records an accepted attempt.
   void recordAcceptance(Endpoint& endpoint) const {
     if (endpoint.rejections.rejectedShare_ != 0) learn(endpoint, 0);
   }
@@ -44,7 +44,7 @@
   static constexpr double kSampleWeight = 0.2;
   static constexpr EstimatedTime kLifetime = std::chrono::seconds(4);
   static constexpr double kMinAcceptanceShare =
-      0.1;  // least share of attempts that are thought to be accepted
+      0.1;  // lower bound of the estimated share of accepted attempts
 
   double recentShare(const Endpoint& endpoint) const {
     return endpoint.rejections.rejectedShare_ *
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -30,7 +30,7 @@
 bool RetryPolicy::mayReject(const TrackedRequest& request) {
   const RequestClass& requestClass = request.requestClass;
   if (requestClass.idempotency == Idempotency::idempotent) return true;
-  if (request.attempt) return false;  // it may yet be executed
+  if (request.attempt) return false;  // may still be executed
   const bool isDeduplicated = requestClass.idempotency == Idempotency::idempotentWithKey &&
                               requestClass.deduplicationScope == DeduplicationScope::fleet;
   return isDeduplicated || !request.possiblyExecutedAt;
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -1,5 +1,6 @@
 /// @file
-/// Timeouts of attempts, whether a request may be tried again and where, and whether it may be rejected.
+/// Rules for retries: timeouts of attempts, whether and where a request may be retried, and whether it may be
+/// rejected.
 #pragma once
 
 #include "policy/attempt_timeouts.h"
@@ -9,28 +10,28 @@
 
 namespace garnethook::policy {
 
-/// Keeps the rule that a request which was possibly executed is repeated only where that does no harm.
+/// Ensures that a possibly executed request is retried only where a repeated execution is harmless.
 class RetryPolicy {
  public:
-  /// What the policy works with.
+  /// Dependencies of the policy.
   struct Collaborators {
-    const DecisionContext& context;          ///< The time.
-    const Settings& settings;                ///< Allowed attempts.
-    const AttemptTimeouts& timeouts;         ///< Usual timeouts.
-    const FirstTokenEstimator& firstTokens;  ///< Time that one more attempt needs.
+    const DecisionContext& context;          ///< Provides the current time.
+    const Settings& settings;                ///< Limits the number of attempts.
+    const AttemptTimeouts& timeouts;         ///< Provides the usual timeouts.
+    const FirstTokenEstimator& firstTokens;  ///< Provides the time that another attempt needs.
   };
   /// The collaborators must outlive the policy.
   explicit RetryPolicy(const Collaborators& collaborators) : collaborators_(collaborators) {}
 
-  /// Whether another attempt may be sent at all: the deadline, the number of attempts and the rule above
-  /// allow it.
+  /// Whether the deadline, the number of attempts and the idempotency of the request allow another attempt.
   bool mayAttempt(const TrackedRequest& request) const;
-  /// Whether an attempt may be sent there: after a possible execution only within the deduplication scope.
+  /// Whether an attempt may be sent to the endpoint: once possibly executed, a request that is not idempotent
+  /// must stay within its deduplication scope.
   static bool isInScope(const TrackedRequest& request, const Endpoint& endpoint);
-  /// Whether the request may be rejected, which promises its client that a retry is harmless.
+  /// Whether the request may be rejected. A rejection guarantees to the client that a retry is harmless.
   static bool mayReject(const TrackedRequest& request);
-  /// Timeout of the next attempt, with room for one more where time allows; 0: none, as giving up on the
-  /// attempt would leave the request possibly executed.
+  /// Returns the timeout of the next attempt, which leaves time for another attempt if possible. Returns 0,
+  /// no timeout, if abandoning the attempt would leave a request that is not idempotent possibly executed.
   Micros timeoutFor(const TrackedRequest& request, const InFlightAttempt& attempt) const;
 
  private:
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -71,13 +71,13 @@
  private:
   // ---- endpoints ----
 
-  void on(const EndpointUpdate& event) {
+  void on(const EndpointUpdate& endpointUpdate) {
     using Kind = EndpointUpdate::Kind;
-    isSubscribed_ = event.kind != Kind::failure && event.kind != Kind::staleCopy;
-    if (event.kind == Kind::failure) return;
-    if (event.kind != Kind::delta)
+    isSubscribed_ = endpointUpdate.kind != Kind::failure && endpointUpdate.kind != Kind::staleCopy;
+    if (endpointUpdate.kind == Kind::failure) return;
+    if (endpointUpdate.kind != Kind::delta)
       for (auto& [id, endpoint] : registry_.all()) endpoint.isListed = false;
-    for (const EndpointEntry& entry : event.entries) updateEndpoint(entry);
+    for (const EndpointEntry& entry : endpointUpdate.entries) updateEndpoint(entry);
     registry_.rebuildIndex();
     outliers_.invalidateOutages();
     affinity_.updateWeights();
--- a/src/policy/settings_validation.cpp
+++ b/src/policy/settings_validation.cpp
@@ -5,7 +5,7 @@
 namespace garnethook::policy {
 namespace {
 
-// Messages also name the key of the operators' configuration, in parentheses where it differs.
+// Messages name the setting and, in parentheses, the key in the operator's configuration where it differs.
 void require(bool condition, const char* message) {
   if (!condition) throw std::invalid_argument(message);
 }
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -14,8 +14,8 @@
 }
 
 double SlowStart::requestLoad(const TrackedRequest& request) const {
-  const auto at = meanPrompt_.find(request.arrival.requestClass.value_or(0));
-  return std::max(1.0, at == meanPrompt_.end() ? request.arrival.promptTokens : at->second);
+  const auto found = meanPrompt_.find(request.arrival.requestClass.value_or(0));
+  return std::max(1.0, found == meanPrompt_.end() ? request.arrival.promptTokens : found->second);
 }
 
 void SlowStart::update() {
@@ -24,7 +24,7 @@
   std::erase_if(registry_.recentlyStarted(),
                 [this](const Endpoint* endpoint) { return !isWarmingUp(*endpoint); });
   updateBaselineLoad();
-  // Without arrivals there is no demand, and no token.
+  // A router without arrivals has no demand and grants itself no tokens.
   const double arrived = countAsDouble(arrivals_.size());
   const double meanLoad = std::max(1.0, loadSince(arrivals_, 0) / std::max(1.0, arrived));
   const EstimatedTime window = std::max(EstimatedTime(1), toEstimate(settings_.overloadWindow));
@@ -48,8 +48,9 @@
          std::count_if(tokens.begin(), tokens.end(), isInWindow);
 }
 
-// What a warm endpoint of each role was seen to complete for this router (a jammed one is sent far more).
-// With no warm endpoint left the last figure stands; a router that never saw one takes its own demand.
+// Computes, by role, the load that a warmed-up endpoint completes for this router. Completions are used
+// because an overloaded endpoint is sent far more than it completes. If no endpoint of the role is warmed up,
+// the last value is kept; a router without such a value uses its own demand per endpoint instead.
 void SlowStart::updateBaselineLoad() {
   const Micros since = context_.now() - kLoadHistoryDuration;
   std::array<double, kRoleCount> load{};
@@ -61,13 +62,13 @@
     if (endpoint->isListed && isWarmingUp(*endpoint)) ++warmingUp[roleIndex(endpoint->role)];
   const double window = toEstimate(settings_.overloadWindow) / toEstimate(kLoadHistoryDuration);
   for (const Role role : {Role::prefill, Role::decode, Role::combined}) {
-    const std::size_t at = roleIndex(role);
+    const std::size_t index = roleIndex(role);
     const double listed = countAsDouble(registry_.listedCount(role));
-    const double warm = listed - countAsDouble(warmingUp[at]);
+    const double warm = listed - countAsDouble(warmingUp[index]);
     if (warm > 0)
-      baselineLoad_[at] = window * load[at] / warm;
-    else if (baselineLoad_[at] < 0)
-      baselineLoad_[at] = window * loadSince(arrivals_, since) / std::max(1.0, listed);
+      baselineLoad_[index] = window * load[index] / warm;
+    else if (baselineLoad_[index] < 0)
+      baselineLoad_[index] = window * loadSince(arrivals_, since) / std::max(1.0, listed);
   }
 }
 
@@ -87,7 +88,8 @@
     record.tokens_.pop_front();
 }
 
-// By the router's number among all, or at random where that is not known; another phase at each endpoint.
+// Returns the phase in [0, 1) at which this router starts granting tokens. It derives from the router's
+// number or, if unknown, from its random hash key, and is shifted by a different offset for each endpoint.
 double SlowStart::grantPhase(EndpointId id) const {
   const double routerPhase = settings_.self
                                  ? countAsDouble(*settings_.self) / countAsDouble(settings_.routers)
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,5 +1,5 @@
 /// @file
-/// Budgets of endpoints that warm up after a start.
+/// Send budgets of endpoints that are warming up after a start.
 #pragma once
 
 #include <array>
@@ -12,17 +12,17 @@
 
 namespace garnethook::policy {
 
-/// Limits what is sent to an endpoint that started lately.
+/// Limits the load sent to an endpoint that was started recently.
 ///
-/// The budget of such an endpoint in any overload window is the allowed multiple of its least capacity. Half
-/// of the budget of each window is granted as tokens, one send a token, a token good for one window: one that
-/// is not used lasts into the next window, so no window sees more than the budget. Routers take turns: each
-/// grants itself tokens evenly from a phase that differs by router, so that all of them together send evenly.
-/// This guards against a hundred routers that each find an empty endpoint at once. Tokens of idle routers
-/// lapse.
+/// The budget of such an endpoint in any overload window is the overload multiple of its minimum capacity.
+/// Half of each window's budget is granted as tokens. A send uses one token, and a token is valid for one
+/// window. Since an unused token may still be used in the following window, only half is granted: no window
+/// then exceeds the budget. Each router grants itself tokens at an even rate, starting at a phase that
+/// differs between routers, so that the sends of all routers together are evenly spaced. This prevents a
+/// hundred routers from sending to an empty endpoint at the same time. Tokens of idle routers expire.
 class SlowStart {
  public:
-  /// `routerKey`: this router's own order of the endpoints.
+  /// `routerKey`: hash key of this router; determines the grant phase if the router's number is unknown.
   SlowStart(const DecisionContext& context, EndpointRegistry& registry, const Settings& settings,
             PrefixKey routerKey)
       : context_(context), registry_(registry), settings_(settings), routerKey_(routerKey) {}
@@ -32,34 +32,34 @@
     return endpoint.entry.startedAt > 0 &&
            context_.now() - endpoint.entry.startedAt < settings_.warmUpDuration;
   }
-  /// Whether a request may be sent there now; true for every endpoint that does not warm up.
+  /// Whether a request may be sent to the endpoint now; always true for an endpoint that is not warming up.
   bool hasBudget(const Endpoint& endpoint) const {
     return !isWarmingUp(endpoint) || settings_.overloadMultiple <= 0 || settings_.overloadWindow <= 0 ||
            hasUnusedToken(endpoint);
   }
 
-  /// Takes in a request that arrived.
+  /// Records the arrival of a request.
   void recordArrival(const TrackedRequest& request);
-  /// Takes in an attempt that is sent.
+  /// Records the send of an attempt.
   void recordSend(Endpoint& endpoint) const { endpoint.slowStart.sends_.push_back(context_.now()); }
-  /// Takes in an attempt that completed.
+  /// Records the completion of an attempt.
   void recordCompletion(Endpoint& endpoint, const TrackedRequest& request) const {
     endpoint.slowStart.completed_.emplace_back(context_.now(), requestLoad(request));
   }
-  /// Forgets the tokens of an endpoint that restarted.
+  /// Discards the tokens of an endpoint that restarted.
   static void reset(Endpoint& endpoint) { endpoint.slowStart.tokens_.clear(); }
-  /// Measures the baseline load and grants tokens.
+  /// Updates the baseline load and grants tokens.
   void update();
 
  private:
-  using LoadHistory = std::deque<std::pair<Micros, double>>;  // when, and how much load
+  using LoadHistory = std::deque<std::pair<Micros, double>>;  // time and load
 
-  static constexpr Micros kLoadHistoryDuration = 6 * kSecond;  // of the baseline load
-  static constexpr double kGrantedBudgetShare = 0.5;           // in each window
-  static constexpr double kPromptSampleWeight = 0.05;          // of one request in the mean of its class
+  static constexpr Micros kLoadHistoryDuration = 6 * kSecond;  // averaging period of the baseline load
+  static constexpr double kGrantedBudgetShare = 0.5;           // granted per window
+  static constexpr double kPromptSampleWeight = 0.05;  // of one request in the mean prompt of its class
 
   static double loadSince(const LoadHistory& history, Micros since);
-  // Load of a request: the mean prompt of its class, in tokens.
+  // Load of a request, defined as the mean prompt of its class in tokens.
   double requestLoad(const TrackedRequest& request) const;
   bool hasUnusedToken(const Endpoint& endpoint) const;
   void updateBaselineLoad();
@@ -71,10 +71,10 @@
   EndpointRegistry& registry_;
   const Settings& settings_;
   PrefixKey routerKey_;
-  std::map<std::size_t, double> meanPrompt_;  // by class
-  LoadHistory arrivals_;                      // within the horizon
-  std::array<double, kRoleCount> baselineLoad_{-1, -1,
-                                               -1};  // of a warm endpoint in a window; negative: unknown
+  std::map<std::size_t, double> meanPrompt_;  // tokens, by class
+  LoadHistory arrivals_;                      // within kLoadHistoryDuration
+  // Load of a warmed-up endpoint per window, by role; negative: unknown.
+  std::array<double, kRoleCount> baselineLoad_{-1, -1, -1};
   Micros updatedAt_ = 0;
 };
 
--- a/src/policy/traffic_sample.h
+++ b/src/policy/traffic_sample.h
@@ -1,5 +1,5 @@
 /// @file
-/// How much this router's own traffic says about endpoints that other routers use as well.
+/// Estimates how representative this router's traffic is of the load at endpoints shared with other routers.
 #pragma once
 
 #include <algorithm>
@@ -9,20 +9,20 @@
 
 namespace garnethook::policy {
 
-/// Own streams are a sample of all streams. One stream of one router in a hundred is no sign of a hundred, so
-/// the sample counts only as far as it is large enough.
+/// Treats this router's streams as a sample of all streams. A single stream at one router of a hundred does
+/// not imply a hundred streams, so the weight of the sample grows with its size.
 class TrafficSample {
  public:
-  /// `routers`: number of routers over the same endpoints.
+  /// `routers`: number of routers that share the endpoints.
   TrafficSample(const EndpointRegistry& registry, const TrackedRequests& requests, std::size_t routers)
       : registry_(registry), requests_(requests), routers_(routers) {}
 
-  /// 0: own streams say nothing of an endpoint's load; 1: everything.
+  /// Weight of own streams as evidence of an endpoint's load, from 0 (none) to 1 (full).
   double evidence() const { return evidence_; }
-  /// Routers that one own stream stands for, from 1 to their number.
+  /// Number of routers that one own stream represents, from 1 to the number of routers.
   double routersRepresented() const { return routersRepresented_; }
 
-  /// Measures anew, by the number of own attempts that take KV cache for an answer.
+  /// Recomputes the weight from the number of own attempts that occupy KV cache for an answer.
   void update() {
     const auto streams =
         static_cast<double>(std::count_if(requests_.begin(), requests_.end(), [](const auto& item) {
@@ -36,7 +36,7 @@
   }
 
  private:
-  // Square of the own streams at an endpoint that are half of full evidence.
+  // Square of the number of own streams per endpoint at which the evidence is 0.5.
   static constexpr double kHalfEvidenceStreamsSquared = 0.3;
 
   const EndpointRegistry& registry_;
