--- a/src/policy/actions.h
+++ b/src/policy/actions.h
@@ -1,5 +1,5 @@
 /// @file
-/// Actions that the routing policy answers an event with, to be carried out in order.
+/// Actions that the routing policy emits in response to an event; the caller must execute them in order.
 #pragma once
 
 #include <string>
@@ -12,8 +12,8 @@
 /// Send an attempt of a request to an endpoint.
 struct Send {
   RequestId id;         ///< The request.
-  EndpointId endpoint;  ///< Where to.
-  Micros timeout = 0;   ///< When to give up; 0: when the client does.
+  EndpointId endpoint;  ///< The endpoint to send it to.
+  Micros timeout = 0;   ///< Timeout of the attempt; 0: until the client gives up.
 };
 /// Cancel an attempt that is in flight.
 struct Cancel {
@@ -23,7 +23,7 @@
 /// Reject a request; a retry by the client is harmless.
 struct Reject {
   RequestId id;           ///< The request.
-  Micros retryAfter = 0;  ///< When the client should retry; 0: unknown.
+  Micros retryAfter = 0;  ///< Delay after which the client should retry; 0: unknown.
 };
 /// Fail a request that was possibly executed.
 struct Fail {
@@ -33,9 +33,9 @@
 struct Release {
   RequestId id;  ///< The request.
 };
-/// Set a timer; it replaces one of the same identifier.
+/// Set a timer; replaces a timer with the same identifier.
 struct SetTimer {
-  TimerId id;        ///< Identifier that TimerFired carries.
+  TimerId id;        ///< Identifier to pass in TimerFired.
   Micros delay = 0;  ///< Time until it fires.
 };
 /// Probe an endpoint's health.
@@ -46,7 +46,7 @@
 struct Subscribe {};
 /// Write a line to the log.
 struct Log {
-  std::string text;  ///< The line; identifiers stand in it as separate words.
+  std::string text;  ///< The line, in which identifiers are separate words.
 };
 
 /// Any action.
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -7,11 +7,11 @@
 namespace garnethook::policy {
 
 EndpointRegistry::Group EndpointRegistry::ownSubset(Role role, const std::uint64_t* cell) const {
-  const auto& roleSubset = ownSubset_[roleIndex(role)];
+  const auto& roleSubset = ownSubsetByRole_[roleIndex(role)];
   Group subset(roleSubset.begin(), roleSubset.end());
   if (cell == nullptr) return subset;
   std::vector<std::pair<std::uint64_t, const Endpoint*>> cellEndpoints;
-  const auto [cellBegin, cellEnd] = byCell_.equal_range(*cell);
+  const auto [cellBegin, cellEnd] = endpointsByCell_.equal_range(*cell);
   for (auto member = cellBegin; member != cellEnd; ++member)
     if (member->second->role == role && member->second->isListed)
       cellEndpoints.emplace_back(~rendezvousHash(routerKey_, member->second->entry.id), member->second);
@@ -24,10 +24,10 @@
 void EndpointRegistry::appendLowestHashes(Role role, PrefixKey key, std::size_t count,
                                           std::vector<EndpointId>& result) {
   if (!isLarge(role)) return findLowestHashes(role, key, count, result);
-  auto& cache = cachedHashes_[roleIndex(role)];
+  auto& cache = cachedLowestHashes_[roleIndex(role)];
   if (cache.size() >= kCachedKeys && !cache.contains(key.value)) cache.clear();
   auto& cached = cache.try_emplace(key.value).first->second;
-  const std::size_t wanted = std::min(count, hashed_[roleIndex(role)].size());
+  const std::size_t wanted = std::min(count, hashedByRole_[roleIndex(role)].size());
   if (cached.size() < wanted) {
     cached.clear();
     findLowestHashes(role, key, std::bit_ceil(std::max(count, kCachedEndpointsPerKey)), cached);
@@ -38,13 +38,13 @@
 
 void EndpointRegistry::rebuildHashIndex() {
   maxHashWeight_ = 0;
-  for (auto& cache : cachedHashes_) cache.clear();
+  for (auto& cache : cachedLowestHashes_) cache.clear();
   for (std::size_t role = 0; role < kRoleCount; ++role) {
-    hashed_[role].clear();
-    for (const Endpoint* endpoint : byRole_[role]) {
+    hashedByRole_[role].clear();
+    for (const Endpoint* endpoint : endpointsByRole_[role]) {
       if (!endpoint->isListed) continue;
       const EndpointId id = endpoint->entry.id;
-      hashed_[role].push_back({mixBits(id.value), endpoint->hashWeight, id});
+      hashedByRole_[role].push_back({mixBits(id.value), endpoint->hashWeight, id});
       maxHashWeight_ = std::max(maxHashWeight_, endpoint->hashWeight);
     }
   }
@@ -59,11 +59,11 @@
 }
 
 void EndpointRegistry::rebuildIndex() {
-  for (auto& group : byRole_) group.clear();
-  listedOfRole_ = {};
-  memoryOfRole_ = {};
-  listedInZone_.clear();
-  byCell_.clear();
+  for (auto& group : endpointsByRole_) group.clear();
+  listedCountByRole_ = {};
+  memoryTokensByRole_ = {};
+  listedCountByZone_.clear();
+  endpointsByCell_.clear();
   recentlyStarted_.clear();
   hasUnlisted_ = false;
   for (auto& [id, endpoint] : endpoints_) addToIndex(endpoint);
@@ -72,16 +72,16 @@
 
 void EndpointRegistry::addToIndex(Endpoint& endpoint) {
   const std::size_t role = roleIndex(endpoint.role);
-  byRole_[role].push_back(&endpoint);
+  endpointsByRole_[role].push_back(&endpoint);
   if (endpoint.entry.startedAt > 0) recentlyStarted_.push_back(&endpoint);
-  byCell_.emplace(endpoint.entry.cell, &endpoint);
+  endpointsByCell_.emplace(endpoint.entry.cell, &endpoint);
   if (!endpoint.isListed) {
     hasUnlisted_ = true;
     return;
   }
-  ++listedOfRole_[role];
-  memoryOfRole_[role] += std::max(1.0, endpoint.memoryTokens);
-  if (endpoint.entry.zone) ++listedInZone_[*endpoint.entry.zone];
+  ++listedCountByRole_[role];
+  memoryTokensByRole_[role] += std::max(1.0, endpoint.memoryTokens);
+  if (endpoint.entry.zone) ++listedCountByZone_[*endpoint.entry.zone];
 }
 
 // Selects the endpoints with the lowest cost -log(draw) / weight, where the draw is the hash of key and
@@ -94,7 +94,7 @@
   const std::uint64_t mixedKey = mixKey(key);
   std::vector<std::pair<double, EndpointId>> lowest;  // max-heap by cost
   double lowestUsefulDraw = 0;  // lower draws have a higher cost than a full heap's maximum
-  for (const HashedEndpoint& candidate : hashed_[roleIndex(role)]) {
+  for (const HashedEndpoint& candidate : hashedByRole_[roleIndex(role)]) {
     const double draw = static_cast<double>(mixBits(mixedKey ^ candidate.mixedId) >> 11) + 0.5;
     if (draw < lowestUsefulDraw) continue;
     const std::pair cost{-std::log(draw / kDrawRange) / candidate.weight, candidate.id};
@@ -114,14 +114,14 @@
 
 // Uses rendezvous hashing, so that adding or removing an endpoint changes at most one member of the subset.
 void EndpointRegistry::chooseOwnSubset(std::size_t role) {
-  ownSubset_[role].clear();
-  if (byRole_[role].size() <= kMaxFullyScannedRoleSize) return;
+  ownSubsetByRole_[role].clear();
+  if (endpointsByRole_[role].size() <= kMaxFullyScannedRoleSize) return;
   std::vector<std::pair<std::uint64_t, Endpoint*>> draws;
-  for (Endpoint* endpoint : byRole_[role])
+  for (Endpoint* endpoint : endpointsByRole_[role])
     if (endpoint->isListed) draws.emplace_back(~rendezvousHash(routerKey_, endpoint->entry.id), endpoint);
   const std::size_t size = std::min(draws.size(), kOwnSubsetSize);
   std::partial_sort(draws.begin(), draws.begin() + static_cast<std::ptrdiff_t>(size), draws.end());
-  for (std::size_t i = 0; i < size; ++i) ownSubset_[role].push_back(draws[i].second);
+  for (std::size_t i = 0; i < size; ++i) ownSubsetByRole_[role].push_back(draws[i].second);
 }
 
 }  // namespace garnethook::policy
--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -58,16 +58,16 @@
   }
 
   /// All endpoints of a role, listed or not, sorted by identifier.
-  const std::vector<Endpoint*>& endpointsOfRole(Role role) const { return byRole_[roleIndex(role)]; }
+  const std::vector<Endpoint*>& endpointsOfRole(Role role) const { return endpointsByRole_[roleIndex(role)]; }
   /// Number of listed endpoints of a role.
-  std::size_t listedCount(Role role) const { return listedOfRole_[roleIndex(role)]; }
+  std::size_t listedCount(Role role) const { return listedCountByRole_[roleIndex(role)]; }
   /// Number of listed endpoints in a zone.
   std::size_t listedCountInZone(std::size_t zone) const {
-    const auto found = listedInZone_.find(zone);
-    return found == listedInZone_.end() ? 0 : found->second;
+    const auto found = listedCountByZone_.find(zone);
+    return found == listedCountByZone_.end() ? 0 : found->second;
   }
   /// Total KV cache capacity of the listed endpoints of a role, in tokens.
-  double listedMemoryTokens(Role role) const { return memoryOfRole_[roleIndex(role)]; }
+  double listedMemoryTokens(Role role) const { return memoryTokensByRole_[roleIndex(role)]; }
 
   /// Endpoints that this router has contacted, sorted by identifier.
   const std::map<EndpointId, Endpoint*>& contacted() const { return contacted_; }
@@ -78,7 +78,9 @@
   std::vector<Endpoint*>& recentlyStarted() { return recentlyStarted_; }
 
   /// Whether a role is too large for a request to consider all its endpoints.
-  bool isLarge(Role role) const { return byRole_[roleIndex(role)].size() > kMaxFullyScannedRoleSize; }
+  bool isLarge(Role role) const {
+    return endpointsByRole_[roleIndex(role)].size() > kMaxFullyScannedRoleSize;
+  }
   /// Returns this router's own subset of a large role and, unless `cell` is nullptr, some endpoints of the
   /// cell.
   Group ownSubset(Role role, const std::uint64_t* cell) const;
@@ -112,15 +114,16 @@
 
   PrefixKey routerKey_;
   Endpoints endpoints_;
-  std::array<std::vector<Endpoint*>, kRoleCount> byRole_;
-  std::array<std::vector<Endpoint*>, kRoleCount> ownSubset_;
-  std::array<std::size_t, kRoleCount> listedOfRole_{};
-  std::array<double, kRoleCount> memoryOfRole_{};
-  std::array<std::vector<HashedEndpoint>, kRoleCount> hashed_;
+  std::array<std::vector<Endpoint*>, kRoleCount> endpointsByRole_;
+  std::array<std::vector<Endpoint*>, kRoleCount> ownSubsetByRole_;
+  std::array<std::size_t, kRoleCount> listedCountByRole_{};
+  std::array<double, kRoleCount> memoryTokensByRole_{};
+  std::array<std::vector<HashedEndpoint>, kRoleCount> hashedByRole_;
   double maxHashWeight_ = 1;
-  std::array<std::unordered_map<std::uint64_t, std::vector<EndpointId>>, kRoleCount> cachedHashes_;  // by key
-  std::map<std::size_t, std::size_t> listedInZone_;
-  std::unordered_multimap<std::uint64_t, Endpoint*> byCell_;
+  std::array<std::unordered_map<std::uint64_t, std::vector<EndpointId>>, kRoleCount>
+      cachedLowestHashes_;  // by key
+  std::map<std::size_t, std::size_t> listedCountByZone_;
+  std::unordered_multimap<std::uint64_t, Endpoint*> endpointsByCell_;
   std::map<EndpointId, Endpoint*> contacted_;
   std::vector<Endpoint*> recentlyStarted_;
   bool hasUnlisted_ = false;
--- a/src/policy/events.h
+++ b/src/policy/events.h
@@ -14,74 +14,75 @@
 
 /// State of an endpoint in the endpoint list.
 enum class EndpointState {
-  running,   ///< Takes requests.
-  draining,  ///< Finishes what it has; takes nothing new.
-  removed    ///< Gone.
+  running,   ///< Accepts requests.
+  draining,  ///< Completes its open requests; accepts no new ones.
+  removed    ///< No longer exists.
 };
 
-/// One endpoint of the endpoint list.
+/// An entry of the endpoint list.
 struct EndpointEntry {
-  EndpointId id;                                 ///< Its identifier.
-  std::optional<std::size_t> zone;               ///< Zone index; none: a zone that the settings don't list.
-  std::optional<std::size_t> kind;               ///< Kind index; none: a kind that the settings don't list.
-  std::uint64_t cell = 0;                        ///< Group of endpoints with a fast network between them.
-  EndpointState state = EndpointState::running;  ///< Whether it takes requests.
-  Micros startedAt = 0;                          ///< When it started; 0: long ago.
-  double weight = 1;                             ///< Its relative capacity.
-  std::uint64_t tokeniser = 0;                   ///< Which of a request's counts is its own; 0: unknown.
-  /// Its count of tokens over RequestArrived::promptTokens, where no count of its own tokeniser is known.
+  EndpointId id;                                 ///< Endpoint identifier.
+  std::optional<std::size_t> zone;               ///< Zone index; none: zone not in the settings.
+  std::optional<std::size_t> kind;               ///< Kind index; none: kind not in the settings.
+  std::uint64_t cell = 0;                        ///< Group of endpoints connected by a fast network.
+  EndpointState state = EndpointState::running;  ///< State in the endpoint list.
+  Micros startedAt = 0;                          ///< Start time; 0: long ago.
+  double weight = 1;                             ///< Relative capacity.
+  std::uint64_t tokeniser = 0;                   ///< Selects the PromptCount that applies to it; 0: unknown.
+  /// Ratio of its token counts to RequestArrived::promptTokens; used if a request has no count by its
+  /// tokeniser.
   double promptFactor = 1;
 };
 
 /// An update of the endpoint list.
 struct EndpointUpdate {
-  /// What the entries are.
+  /// Type of update.
   enum class Kind {
-    delta,      ///< Only what changed.
-    snapshot,   ///< The whole list.
-    staleCopy,  ///< The whole list as it once was.
+    delta,      ///< Only the entries that changed.
+    snapshot,   ///< The complete list.
+    staleCopy,  ///< The complete list as of an earlier time.
     failure     ///< Discovery failed; there are no entries.
   };
-  Kind kind = Kind::snapshot;          ///< What the entries are.
-  std::vector<EndpointEntry> entries;  ///< Endpoints.
+  Kind kind = Kind::snapshot;          ///< Type of update.
+  std::vector<EndpointEntry> entries;  ///< Entries of the endpoint list.
 };
 
-/// What an endpoint reports of its load; each value may be missing.
+/// Load reported by an endpoint; each value may be missing.
 struct LoadReport {
   std::optional<double> memoryShare;       ///< Share of its KV cache capacity in use.
-  std::optional<double> queuedKiloTokens;  ///< Thousands of prompt tokens that wait for prefill or transfer.
-  std::optional<double> queuedRequests;    ///< Requests that wait.
+  std::optional<double> queuedKiloTokens;  ///< Thousands of prompt tokens queued for prefill or transfer.
+  std::optional<double> queuedRequests;    ///< Number of queued requests.
 };
 
-/// The size of a prompt by the tokeniser of some endpoints.
+/// Token counts of a prompt by one tokeniser.
 struct PromptCount {
-  std::uint64_t tokeniser = 0;    ///< Which tokeniser, see EndpointEntry::tokeniser.
-  double promptTokens = 0;        ///< Tokens of the prompt.
-  double sharedPrefixTokens = 0;  ///< Tokens of its shared prefix.
+  std::uint64_t tokeniser = 0;    ///< Tokeniser, see EndpointEntry::tokeniser.
+  double promptTokens = 0;        ///< Token count of the prompt.
+  double sharedPrefixTokens = 0;  ///< Token count of its shared prefix.
 };
 
 /// A request arrived.
 struct RequestArrived {
-  RequestId id;                             ///< Its identifier.
-  std::optional<std::size_t> requestClass;  ///< Class index; none: a class that the settings don't list.
+  RequestId id;                             ///< Request identifier.
+  std::optional<std::size_t> requestClass;  ///< Class index; none: class not in the settings.
   Micros remaining = 0;                     ///< Time until the client gives up.
-  PrefixKey session;                        ///< Its session.
-  PrefixKey sharedPrefix;                   ///< The prefix that it shares with other requests.
-  double promptTokens = 0;                  ///< Tokens of the prompt.
-  double sharedPrefixTokens = 0;            ///< Those of them in the shared prefix.
+  PrefixKey session;                        ///< Session that it belongs to.
+  PrefixKey sharedPrefix;                   ///< Prefix that it shares with other requests.
+  double promptTokens = 0;                  ///< Token count of the prompt.
+  double sharedPrefixTokens = 0;            ///< Token count of the shared prefix.
   double maxOutput = 0;                     ///< Largest number of output tokens.
-  /// Rough length of the answer as time at the class's time per output token; 0: unknown.
+  /// Estimated duration of the answer at the class's objective of the time per output token; 0: unknown.
   Micros expectedOutput = 0;
-  std::vector<PromptCount> counts;  ///< Counts by the endpoints' tokenisers, see EndpointEntry::tokeniser.
+  std::vector<PromptCount> counts;  ///< Counts by tokeniser, see EndpointEntry::tokeniser.
 };
 
-/// The counts of a request that is not answered yet, by the tokenisers that endpoints have now.
+/// New token counts of an open request, by the current tokenisers of the endpoints.
 struct PromptCounted {
   RequestId id;                     ///< The request.
-  std::vector<PromptCount> counts;  ///< Its counts.
+  std::vector<PromptCount> counts;  ///< Its counts by tokeniser.
 };
 
-/// An attempt gave its first token.
+/// The first token of an attempt arrived.
 struct StreamStarted {
   RequestId id;     ///< The request.
   int attempt = 0;  ///< Number of the attempt, from 0.
@@ -90,30 +91,30 @@
 /// How an attempt ended.
 enum class Outcome {
   completed,        ///< The answer is complete.
-  prefillDone,      ///< The prefill is complete; its KV state is at the endpoint.
-  error,            ///< The endpoint answered with an error.
-  rejected,         ///< The endpoint had no room.
-  timedOut,         ///< The attempt's timeout passed.
-  connectFailed,    ///< No connection could be made.
-  connectionReset,  ///< The connection broke.
-  cancelled,        ///< The policy or the client cancelled it.
-  notSent           ///< It never left the router.
+  prefillDone,      ///< The prefill is complete; the endpoint holds the KV state.
+  error,            ///< The endpoint responded with an error.
+  rejected,         ///< The endpoint had no capacity.
+  timedOut,         ///< The attempt's timeout expired.
+  connectFailed,    ///< No connection could be established.
+  connectionReset,  ///< The connection was reset.
+  cancelled,        ///< The policy or the client cancelled the attempt.
+  notSent           ///< The router did not send the attempt.
 };
 
 /// An attempt ended.
 struct AttemptEnded {
   RequestId id;                          ///< The request.
   int attempt = 0;                       ///< Number of the attempt, from 0.
-  EndpointId endpoint;                   ///< Where it was sent.
+  EndpointId endpoint;                   ///< Endpoint that it was sent to.
   Outcome outcome = Outcome::completed;  ///< How it ended.
-  bool requestEnded = false;             ///< The request has ended, by this attempt or earlier.
-  double cachedTokens = 0;               ///< Prompt tokens found cached (prefillDone, completed).
-  bool kvStateMissing = false;           ///< With rejected: there was no KV state to fetch.
-  /// With connectionReset: a connection kept from before broke without any sign; the endpoint may be well.
+  bool requestEnded = false;             ///< Whether the request has ended, with this attempt or earlier.
+  double cachedTokens = 0;      ///< Prompt tokens found in the prefix cache (prefillDone, completed).
+  bool kvStateMissing = false;  ///< With rejected: the KV state to fetch was missing.
+  /// With connectionReset: a reused connection was reset before any response; the endpoint may be healthy.
   bool reusedConnection = false;
-  /// It reached its endpoint; if not, the release timeout of its KV state has run on meanwhile.
+  /// Whether it reached the endpoint; if not, the release timeout of its KV state was not restarted.
   bool reachedEndpoint = true;
-  std::optional<LoadReport> report;  ///< Load that the endpoint reported with the answer.
+  std::optional<LoadReport> report;  ///< Load reported with the response, if any.
 };
 
 /// The client cancelled a request.
@@ -126,11 +127,11 @@
   TimerId id;  ///< The timer.
 };
 
-/// A probe was answered, or failed.
+/// A probe succeeded or failed.
 struct ProbeEnded {
-  EndpointId endpoint;               ///< The endpoint.
-  bool ok = false;                   ///< It answered.
-  std::optional<LoadReport> report;  ///< Load that it reported.
+  EndpointId endpoint;               ///< The probed endpoint.
+  bool ok = false;                   ///< Whether the probe succeeded.
+  std::optional<LoadReport> report;  ///< Load reported with the response, if any.
 };
 
 /// Any event.
--- a/src/policy/ids.h
+++ b/src/policy/ids.h
@@ -1,5 +1,5 @@
 /// @file
-/// Identifiers and the unit of time that the routing policy's interface uses.
+/// Identifiers and the time unit of the routing policy's interface.
 #pragma once
 
 #include <compare>
@@ -7,20 +7,20 @@
 
 namespace garnethook {
 
-/// A time or a span in integer microseconds, on a clock that the caller passes in with each event.
+/// A point in time or a duration in microseconds, on the clock that the caller passes in with each event.
 using Micros = std::int64_t;
 
-/// An opaque number; the tag keeps identifiers of different things apart.
+/// A strongly typed opaque identifier; `Tag` makes identifiers of different kinds distinct types.
 template <class Tag>
 struct Id {
-  std::uint64_t value = 0;  ///< The number itself.
-  /// Identifiers are ordered by their numbers.
-  // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the 0 inside a defaulted <=> for a pointer.
+  std::uint64_t value = 0;  ///< The underlying number.
+  /// Orders identifiers by their underlying numbers.
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive on the 0 inside a defaulted <=>.
   friend auto operator<=>(const Id&, const Id&) = default;
 };
 using RequestId = Id<struct RequestTag>;    ///< Identifies a request.
 using EndpointId = Id<struct EndpointTag>;  ///< Identifies an endpoint of the endpoint list.
-using PrefixKey = Id<struct PrefixTag>;     ///< Identifies a session or a shared prefix; 0: there is none.
+using PrefixKey = Id<struct PrefixTag>;     ///< Identifies a session or a shared prefix; 0: none.
 using TimerId = Id<struct TimerTag>;        ///< Identifies a timer of the policy.
 
 }  // namespace garnethook
--- a/src/policy/kv_memory_estimator.h
+++ b/src/policy/kv_memory_estimator.h
@@ -66,22 +66,22 @@
   /// report: otherwise a single report of a full endpoint would represent the fleet indefinitely, and the
   /// router would reject all requests.
   void update() {
-    double share = 0;
-    double weight = 0;
+    double weightedShare = 0;
+    double totalWeight = 0;
     for (const auto& [id, endpoint] : registry_.contacted()) {
       if (!endpoint->isListed || endpoint->role == Role::prefill) continue;
       const KvMemoryRecord& record = endpoint->kvMemory;
-      const double fresh =
+      const double reportWeight =
           record.reportedShare_ ? context_.freshness(record.reportedAt_, kReportLifetime) : 0;
-      share += fresh * record.reportedShare_.value_or(0);
-      weight += fresh;
+      weightedShare += reportWeight * record.reportedShare_.value_or(0);
+      totalWeight += reportWeight;
     }
-    meanShare_ = share / std::max(kMinReportWeight, weight);
+    meanShare_ = weightedShare / std::max(kMinReportWeight, totalWeight);
   }
 
  private:
   static constexpr EstimatedTime kReportLifetime = std::chrono::seconds(4);
-  static constexpr double kMinReportWeight = 1;          // total weight below which the mean is reduced
+  static constexpr double kMinReportWeight = 1;          // least total report weight to represent the fleet
   static constexpr double kDefaultOutputShare = 0.5;     // of the maximum output, if no length is expected
   static constexpr double kDefaultCapacityTokens = 1e5;  // for kinds of unknown capacity
 
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -57,16 +57,16 @@
   bool empty() const { return items_.empty(); }
   /// Returns the attempt of a request, or nullptr.
   const InFlightAttempt* find(RequestId id) const {
-    const auto at = std::lower_bound(items_.begin(), items_.end(), id, isBefore);
-    return at != items_.end() && at->first == id ? &at->second : nullptr;
+    const auto position = std::lower_bound(items_.begin(), items_.end(), id, isBefore);
+    return position != items_.end() && position->first == id ? &position->second : nullptr;
   }
   /// Adds or replaces the attempt of a request.
   void set(RequestId id, const InFlightAttempt& attempt) {
-    const auto at = std::lower_bound(items_.begin(), items_.end(), id, isBefore);
-    if (at != items_.end() && at->first == id)
-      at->second = attempt;
+    const auto position = std::lower_bound(items_.begin(), items_.end(), id, isBefore);
+    if (position != items_.end() && position->first == id)
+      position->second = attempt;
     else
-      items_.insert(at, {id, attempt});
+      items_.insert(position, {id, attempt});
   }
   /// Records that `answered` got its response before the attempts that were sent earlier.
   void recordOvertaking(const InFlightAttempt& answered) {
@@ -76,8 +76,8 @@
   }
   /// Removes the attempt of a request, if any.
   void erase(RequestId id) {
-    const auto at = std::lower_bound(items_.begin(), items_.end(), id, isBefore);
-    if (at != items_.end() && at->first == id) items_.erase(at);
+    const auto position = std::lower_bound(items_.begin(), items_.end(), id, isBefore);
+    if (position != items_.end() && position->first == id) items_.erase(position);
   }
 
  private:
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -46,13 +46,13 @@
 
 // The purpose of a timer. A TimerId encodes the request identifier and the purpose.
 enum class TimerPurpose : std::uint64_t { deadline, reevaluation, update, attemptTimeout };
-constexpr std::uint64_t kTimerPurposes = 4;
+constexpr std::uint64_t kTimerPurposeCount = 4;
 
-TimerId timerFor(RequestId id, TimerPurpose purpose) {
-  return {id.value * kTimerPurposes + static_cast<std::uint64_t>(purpose)};
+TimerId timerIdFor(RequestId id, TimerPurpose purpose) {
+  return {id.value * kTimerPurposeCount + static_cast<std::uint64_t>(purpose)};
 }
-TimerPurpose purposeOf(TimerId id) { return static_cast<TimerPurpose>(id.value % kTimerPurposes); }
-RequestId requestOf(TimerId id) { return {id.value / kTimerPurposes}; }
+TimerPurpose purposeOf(TimerId id) { return static_cast<TimerPurpose>(id.value % kTimerPurposeCount); }
+RequestId requestIdOf(TimerId id) { return {id.value / kTimerPurposeCount}; }
 
 }  // namespace
 
@@ -64,7 +64,7 @@
   void handle(Micros now, const Event& event, std::vector<Action>& actions) {
     context_.begin(now, actions);
     outliers_.invalidateOutages();
-    if (!isUpdating_) update();
+    if (!isUpdateScheduled_) update();
     std::visit([this](const auto& typedEvent) { on(typedEvent); }, event);
   }
 
@@ -105,7 +105,7 @@
   void on(const ProbeEnded& event) {
     Endpoint* endpoint = registry_.find(event.endpoint);
     if (endpoint == nullptr) return;
-    if (event.report) attempts_.recordReport(*endpoint, *event.report);
+    if (event.report) attemptTracker_.recordReport(*endpoint, *event.report);
     outliers_.recordProbe(event.endpoint, *endpoint, event.ok);
   }
 
@@ -122,13 +122,13 @@
                           toMicros(objectivePerKiloToken * arrival.promptTokens / 1000);
     request.deadline = context_.now() + arrival.remaining;
     slowStart_.recordArrival(request);
-    context_.setTimer(timerFor(arrival.id, TimerPurpose::deadline), std::max<Micros>(0, arrival.remaining));
+    context_.setTimer(timerIdFor(arrival.id, TimerPurpose::deadline), std::max<Micros>(0, arrival.remaining));
     advance(request);
   }
 
   // Chooses the next step of a request that has no attempt in flight.
   void advance(TrackedRequest& request) {
-    if (!retries_.mayAttempt(request)) return rejectOrFail(request);
+    if (!retryPolicy_.mayAttempt(request)) return rejectOrFail(request);
     if (request.kvStateAt && !releaseExpiredState(request)) return decode(request);
     affinity_.assign(request);
     if (combinedShare_.takes(request) && tryCombinedAttempt(request, Role::combined)) return;
@@ -215,7 +215,7 @@
   }
 
   void reevaluateAfter(const TrackedRequest& request, Micros delay) {
-    context_.setTimer(timerFor(request.arrival.id, TimerPurpose::reevaluation),
+    context_.setTimer(timerIdFor(request.arrival.id, TimerPurpose::reevaluation),
                       std::max(kMinReevaluationDelay, delay));
   }
 
@@ -225,38 +225,39 @@
   // timeout of an attempt at a busy endpoint.
   void send(TrackedRequest& request, InFlightAttempt attempt) {
     const RequestId id = request.arrival.id;
-    attempt.timeout = retries_.timeoutFor(request, attempt);
-    attempts_.recordSend(request, attempt);
+    attempt.timeout = retryPolicy_.timeoutFor(request, attempt);
+    attemptTracker_.recordSend(request, attempt);
     const bool policyEnforcesTimeout = settings_.canCancel && attempt.timeout > 0;
     context_.emit(Send{id, attempt.endpoint, policyEnforcesTimeout ? 0 : attempt.timeout});
-    if (policyEnforcesTimeout) context_.setTimer(timerFor(id, TimerPurpose::attemptTimeout), attempt.timeout);
+    if (policyEnforcesTimeout)
+      context_.setTimer(timerIdFor(id, TimerPurpose::attemptTimeout), attempt.timeout);
   }
 
   void on(const StreamStarted& event) {
     if (TrackedRequest* request = findInFlightRequest(event.id, event.attempt))
-      attempts_.recordStart(*request);
+      attemptTracker_.recordStart(*request);
   }
 
   void on(const AttemptEnded& event) {
     TrackedRequest* request = findInFlightRequest(event.id, event.attempt);
     if (request == nullptr) return;
-    attempts_.recordEnd(*request, event);
+    attemptTracker_.recordEnd(*request, event);
     if (event.requestEnded) request->ended = true;
     if (request->ended) return finish(*request);
     advance(*request);
   }
 
-  // An endpoint that was active after the attempt was sent is busy, not failing. Cancelling the attempt would
-  // waste the work already done there and aggravate the overload. The attempt is therefore cancelled only if
-  // the endpoint has been silent or, where the activity belonged to later attempts, the connection is
-  // stalled.
+  // An endpoint that was active after the attempt was sent is busy, not failing. Abandoning the attempt would
+  // leave its load at the endpoint as wasted work and aggravate the overload. The attempt is therefore
+  // cancelled only if the endpoint has been silent or, where the activity belonged to later attempts, the
+  // connection is stalled.
   void checkAttemptTimeout(TrackedRequest& request) {
     if (!request.attempt || request.attempt->started || request.attempt->timeout == 0) return;
     const RequestId id = request.arrival.id;
     InFlightAttempt& attempt = *request.attempt;
     const Micros remainingTime = attempt.sentAt + attempt.timeout - context_.now();
     if (remainingTime > 0 || isEndpointBusy(id, attempt))
-      return context_.setTimer(timerFor(id, TimerPurpose::attemptTimeout),
+      return context_.setTimer(timerIdFor(id, TimerPurpose::attemptTimeout),
                                std::max(remainingTime, attempt.timeout / 2));
     context_.emit(Cancel{id, attempt.number});
     attempt.timeout = 0;
@@ -270,18 +271,19 @@
   }
 
   TrackedRequest* findInFlightRequest(RequestId id, int number) {
-    const auto at = requests_.find(id);
-    if (at == requests_.end() || !at->second.attempt || at->second.attempt->number != number) return nullptr;
-    return &at->second;
+    const auto found = requests_.find(id);
+    if (found == requests_.end() || !found->second.attempt || found->second.attempt->number != number)
+      return nullptr;
+    return &found->second;
   }
 
   // ---- end of a request: exactly one final response, then all KV state is released ----
 
   void on(const RequestCancelled& event) {
-    const auto at = requests_.find(event.id);
-    if (at == requests_.end()) return;
-    at->second.cancelled = true;
-    finish(at->second);
+    const auto found = requests_.find(event.id);
+    if (found == requests_.end()) return;
+    found->second.cancelled = true;
+    finish(found->second);
   }
 
   void rejectOrFail(TrackedRequest& request) {
@@ -309,16 +311,16 @@
   // ---- counts and timers ----
 
   void on(const PromptCounted& event) {
-    const auto at = requests_.find(event.id);
-    if (at != requests_.end()) at->second.arrival.counts = event.counts;
+    const auto found = requests_.find(event.id);
+    if (found != requests_.end()) found->second.arrival.counts = event.counts;
   }
 
   void on(const TimerFired& event) {
     const TimerPurpose purpose = purposeOf(event.id);
     if (purpose == TimerPurpose::update) return update();
-    const auto at = requests_.find(requestOf(event.id));
-    if (at == requests_.end() || at->second.ended) return;
-    TrackedRequest& request = at->second;
+    const auto found = requests_.find(requestIdOf(event.id));
+    if (found == requests_.end() || found->second.ended) return;
+    TrackedRequest& request = found->second;
     const bool hasStarted = request.attempt && request.attempt->started;
     if (purpose == TimerPurpose::attemptTimeout) return checkAttemptTimeout(request);
     if (purpose == TimerPurpose::reevaluation && !request.attempt) return advance(request);
@@ -327,8 +329,8 @@
 
   // Periodic maintenance; computes the aggregates that are too expensive to compute for each request.
   void update() {
-    isUpdating_ = true;
-    context_.setTimer(timerFor({0}, TimerPurpose::update), kUpdateInterval);
+    isUpdateScheduled_ = true;
+    context_.setTimer(timerIdFor({0}, TimerPurpose::update), kUpdateInterval);
     if (settings_.discovery == Discovery::poll && !isSubscribed_) context_.emit(Subscribe{});
     affinity_.expire();
     slowStart_.update();
@@ -348,7 +350,7 @@
   TrackedRequests requests_;
   EndpointRegistry registry_{routerKey_};
   bool isSubscribed_ = false;
-  bool isUpdating_ = false;
+  bool isUpdateScheduled_ = false;
 
   // Each module is declared after the modules that it references.
   PrefillCostModel costModel_ = initialCostModel(settings_);
@@ -364,7 +366,7 @@
   KvMemoryEstimator memory_{context_, registry_, sample_};
   RejectionEstimator rejections_{context_};
   OutlierDetector outliers_{{context_, registry_, requests_, timeouts_, settings_}};
-  RetryPolicy retries_{{context_, settings_, timeouts_, firstTokens_}};
+  RetryPolicy retryPolicy_{{context_, settings_, timeouts_, firstTokens_}};
   CandidateFinder candidates_{{registry_, outliers_, slowStart_, rejections_, prefixes_}, routerKey_};
   PrefillEstimator prefills_{{costModel_, prefixes_, queues_, speeds_, sample_}};
   PrefillSelector prefillSelector_{
@@ -375,8 +377,8 @@
                                  smallestObjective_};
   KvHoldPolicy kvHold_{context_, settings_, smallestObjective_};
   CombinedShare combinedShare_{{context_, registry_, firstTokens_, prefillSelector_, prefills_, queues_}};
-  AttemptTracker attempts_{{context_, registry_, timeouts_, costModel_, prefixes_, affinity_, speeds_,
-                            queues_, firstTokens_, memory_, rejections_, outliers_, slowStart_}};
+  AttemptTracker attemptTracker_{{context_, registry_, timeouts_, costModel_, prefixes_, affinity_, speeds_,
+                                  queues_, firstTokens_, memory_, rejections_, outliers_, slowStart_}};
 };
 
 RoutingPolicy::RoutingPolicy(const Settings& settings, std::uint64_t seed)
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -8,14 +8,14 @@
 void SlowStart::recordArrival(const TrackedRequest& request) {
   const double tokens = request.arrival.promptTokens;
   double& meanTokens =
-      meanPrompt_.try_emplace(request.arrival.requestClass.value_or(0), tokens).first->second;
+      meanPromptTokens_.try_emplace(request.arrival.requestClass.value_or(0), tokens).first->second;
   meanTokens += kPromptSampleWeight * (tokens - meanTokens);
   arrivals_.emplace_back(context_.now(), requestLoad(request));
 }
 
 double SlowStart::requestLoad(const TrackedRequest& request) const {
-  const auto found = meanPrompt_.find(request.arrival.requestClass.value_or(0));
-  return std::max(1.0, found == meanPrompt_.end() ? request.arrival.promptTokens : found->second);
+  const auto found = meanPromptTokens_.find(request.arrival.requestClass.value_or(0));
+  return std::max(1.0, found == meanPromptTokens_.end() ? request.arrival.promptTokens : found->second);
 }
 
 void SlowStart::update() {
@@ -25,13 +25,13 @@
                 [this](const Endpoint* endpoint) { return !isWarmingUp(*endpoint); });
   updateBaselineLoad();
   // A router without arrivals has no demand and grants itself no tokens.
-  const double arrived = countAsDouble(arrivals_.size());
-  const double meanLoad = std::max(1.0, loadSince(arrivals_, 0) / std::max(1.0, arrived));
+  const double arrivalCount = countAsDouble(arrivals_.size());
+  const double meanLoad = std::max(1.0, loadSince(arrivals_, 0) / std::max(1.0, arrivalCount));
   const EstimatedTime window = std::max(EstimatedTime(1), toEstimate(settings_.overloadWindow));
-  const double windows = arrived > 0 ? context_.elapsedSince(updatedAt_) / window : 0;
-  for (Endpoint* endpoint : registry_.recentlyStarted()) grantTokens(*endpoint, windows, meanLoad);
+  const double elapsedWindows = arrivalCount > 0 ? context_.elapsedSince(lastUpdateAt_) / window : 0;
+  for (Endpoint* endpoint : registry_.recentlyStarted()) grantTokens(*endpoint, elapsedWindows, meanLoad);
   eraseOldRecords();
-  updatedAt_ = context_.now();
+  lastUpdateAt_ = context_.now();
 }
 
 double SlowStart::loadSince(const LoadHistory& history, Micros since) {
@@ -64,15 +64,15 @@
   for (const Role role : {Role::prefill, Role::decode, Role::combined}) {
     const std::size_t index = roleIndex(role);
     const double listed = countAsDouble(registry_.listedCount(role));
-    const double warm = listed - countAsDouble(warmingUp[index]);
-    if (warm > 0)
-      baselineLoad_[index] = window * load[index] / warm;
+    const double warmedUp = listed - countAsDouble(warmingUp[index]);
+    if (warmedUp > 0)
+      baselineLoad_[index] = window * load[index] / warmedUp;
     else if (baselineLoad_[index] < 0)
       baselineLoad_[index] = window * loadSince(arrivals_, since) / std::max(1.0, listed);
   }
 }
 
-void SlowStart::grantTokens(Endpoint& endpoint, double windows, double meanLoad) const {
+void SlowStart::grantTokens(Endpoint& endpoint, double elapsedWindows, double meanLoad) const {
   SlowStartRecord& record = endpoint.slowStart;
   if (!isWarmingUp(endpoint) || record.tokensGrantedForStartAt_ != endpoint.entry.startedAt) {
     record.tokensGrantedForStartAt_ = endpoint.entry.startedAt;
@@ -80,7 +80,7 @@
     record.partialToken_ = 1 - grantPhase(endpoint.entry.id);
   }
   if (!isWarmingUp(endpoint) || settings_.overloadWindow <= 0) return;
-  record.partialToken_ += windows * kGrantedBudgetShare * settings_.overloadMultiple *
+  record.partialToken_ += elapsedWindows * kGrantedBudgetShare * settings_.overloadMultiple *
                           settings_.warmUpMinCapacity *
                           std::max(0.0, baselineLoad_[roleIndex(endpoint.role)]) / meanLoad;
   for (; record.partialToken_ >= 1; --record.partialToken_) record.tokens_.push_back(context_.now());
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -63,7 +63,7 @@
   double requestLoad(const TrackedRequest& request) const;
   bool hasUnusedToken(const Endpoint& endpoint) const;
   void updateBaselineLoad();
-  void grantTokens(Endpoint& endpoint, double windows, double meanLoad) const;
+  void grantTokens(Endpoint& endpoint, double elapsedWindows, double meanLoad) const;
   double grantPhase(EndpointId id) const;
   void eraseOldRecords() const;
 
@@ -71,11 +71,11 @@
   EndpointRegistry& registry_;
   const Settings& settings_;
   PrefixKey routerKey_;
-  std::map<std::size_t, double> meanPrompt_;  // tokens, by class
-  LoadHistory arrivals_;                      // within kLoadHistoryDuration
+  std::map<std::size_t, double> meanPromptTokens_;  // tokens, by class
+  LoadHistory arrivals_;                            // within kLoadHistoryDuration
   // Load of a warmed-up endpoint per window, by role; negative: unknown.
   std::array<double, kRoleCount> baselineLoad_{-1, -1, -1};
-  Micros updatedAt_ = 0;
+  Micros lastUpdateAt_ = 0;
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/traffic_sample.h
+++ b/src/policy/traffic_sample.h
@@ -28,10 +28,11 @@
         static_cast<double>(std::count_if(requests_.begin(), requests_.end(), [](const auto& item) {
           return item.second.attempt && item.second.attempt->kvTokens > 0;
         }));
-    const double endpoints =
+    const double endpointCount =
         countAsDouble(registry_.listedCount(Role::decode) + registry_.listedCount(Role::combined));
-    const double perEndpoint = streams / std::max(1.0, endpoints);
-    evidence_ = perEndpoint * perEndpoint / (perEndpoint * perEndpoint + kHalfEvidenceStreamsSquared);
+    const double streamsPerEndpoint = streams / std::max(1.0, endpointCount);
+    evidence_ = streamsPerEndpoint * streamsPerEndpoint /
+                (streamsPerEndpoint * streamsPerEndpoint + kHalfEvidenceStreamsSquared);
     routersRepresented_ = 1 + (countAsDouble(routers_) - 1) * evidence_;
   }
 
