--- a/src/policy/attempt_tracker.cpp
+++ b/src/policy/attempt_tracker.cpp
@@ -143,9 +143,8 @@
   // An endpoint that was active after the send is slow, not failing.
   if (!OutlierDetector::wasActiveAfter(endpoint, attempt.sentAt))
     collaborators_.outliers.recordFailure(attempt.endpoint, FailureReason::noResponse);
-  const InFlightAttempt* awaitingResponse = endpoint.awaitingResponse.find(request.arrival.id);
-  if (awaitingResponse &&
-      collaborators_.timeouts.isStalled(*awaitingResponse, AttemptTimeouts::kSilenceShare))
+  const InFlightAttempt* awaitingAttempt = endpoint.awaitingResponse.find(request.arrival.id);
+  if (awaitingAttempt && collaborators_.timeouts.isStalled(*awaitingAttempt, AttemptTimeouts::kSilenceShare))
     return;
   collaborators_.speeds.learn(endpoint, SpeedEstimator::kMaxFactor);
   const EstimatedTime waited = collaborators_.context.elapsedSince(attempt.sentAt);
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -69,7 +69,7 @@
 class RejectionRecord {
   friend class RejectionEstimator;
   double rejectedShare_ = 0;  // as of observedAt_
-  EstimatedTime time_ = EstimatedTime::zero();
+  EstimatedTime rejectionTime_ = EstimatedTime::zero();
   Micros observedAt_ = 0;
   Micros backOffUntil_ = 0;
 };
--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -120,8 +120,8 @@
   std::array<double, kRoleCount> memoryTokensByRole_{};
   std::array<std::vector<HashedEndpoint>, kRoleCount> hashedByRole_;
   double maxHashWeight_ = 1;
-  std::array<std::unordered_map<std::uint64_t, std::vector<EndpointId>>, kRoleCount>
-      cachedLowestHashes_;  // by key
+  // By role and key.
+  std::array<std::unordered_map<std::uint64_t, std::vector<EndpointId>>, kRoleCount> cachedLowestHashes_;
   std::map<std::size_t, std::size_t> listedCountByZone_;
   std::unordered_multimap<std::uint64_t, Endpoint*> endpointsByCell_;
   std::map<EndpointId, Endpoint*> contacted_;
--- a/src/policy/kv_memory_estimator.h
+++ b/src/policy/kv_memory_estimator.h
@@ -13,7 +13,7 @@
 /// Estimates the share of its KV cache that an endpoint has in use.
 class KvMemoryEstimator {
  public:
-  /// `context` provides the current time, `sample` the number of routers that own streams represent.
+  /// `context` provides the current time, `sample` the extrapolation to the other routers.
   KvMemoryEstimator(const DecisionContext& context, const EndpointRegistry& registry,
                     const TrafficSample& sample)
       : context_(context), registry_(registry), sample_(sample) {}
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -105,12 +105,12 @@
 bool OutlierDetector::isUnresponsive(const Endpoint& endpoint) const {
   const DecisionContext& context = collaborators_.context;
   const Micros activeAt = endpoint.health.lastActivityAt_;
-  const auto& awaitingResponse = endpoint.awaitingResponse;
+  const auto& awaitingAttempts = endpoint.awaitingResponse;
   constexpr double kSilenceTimeoutShare = AttemptTimeouts::kSilenceShare;
-  if (awaitingResponse.empty() ||
+  if (awaitingAttempts.empty() ||
       context.elapsedSince(activeAt) <= kSilenceTimeoutShare * collaborators_.timeouts.baseTimeout())
     return false;
-  return std::any_of(awaitingResponse.begin(), awaitingResponse.end(), [&](const auto& item) {
+  return std::any_of(awaitingAttempts.begin(), awaitingAttempts.end(), [&](const auto& item) {
     const InFlightAttempt& attempt = item.second;
     return activeAt <= attempt.sentAt &&
            context.elapsedSince(attempt.sentAt) >
--- a/src/policy/rejection_estimator.h
+++ b/src/policy/rejection_estimator.h
@@ -19,7 +19,7 @@
   /// Expected time until the endpoint accepts a request, based on its recent rejections.
   EstimatedTime expectedTime(const Endpoint& endpoint) const {
     const double share = recentShare(endpoint);
-    return endpoint.rejections.time_ * share / std::max(kMinAcceptanceShare, 1 - share);
+    return endpoint.rejections.rejectionTime_ * share / std::max(kMinAcceptanceShare, 1 - share);
   }
   /// Whether the endpoint is in its back-off period after a rejection.
   bool isBackingOff(const Endpoint& endpoint) const {
@@ -31,8 +31,9 @@
     learn(endpoint, 1);
     RejectionRecord& record = endpoint.rejections;
     const EstimatedTime elapsed = context_.elapsedSince(attempt.sentAt);
-    record.time_ +=
-        record.time_ == EstimatedTime::zero() ? elapsed : kSampleWeight * (elapsed - record.time_);
+    record.rejectionTime_ += record.rejectionTime_ == EstimatedTime::zero()
+                                 ? elapsed
+                                 : kSampleWeight * (elapsed - record.rejectionTime_);
     record.backOffUntil_ = context_.now() + toMicros(backOff);
   }
   /// Records an accepted attempt.
@@ -43,8 +44,8 @@
  private:
   static constexpr double kSampleWeight = 0.2;
   static constexpr EstimatedTime kLifetime = std::chrono::seconds(4);
-  static constexpr double kMinAcceptanceShare =
-      0.1;  // lower bound of the estimated share of accepted attempts
+  // Lower bound of the estimated share of accepted attempts.
+  static constexpr double kMinAcceptanceShare = 0.1;
 
   double recentShare(const Endpoint& endpoint) const {
     return endpoint.rejections.rejectedShare_ *
--- a/src/policy/request_state.h
+++ b/src/policy/request_state.h
@@ -28,10 +28,10 @@
   Phase phase = Phase::prefill;                       ///< Phase to execute.
   Micros sentAt = 0;                                  ///< Time of the send.
   EstimatedTime prefillTime = EstimatedTime::zero();  ///< Predicted prefill duration without queueing.
-  EstimatedTime predictedTime =
-      EstimatedTime::zero();  ///< Predicted time to the first response, including queueing.
-  EstimatedTime reportedDelay =
-      EstimatedTime::zero();        ///< Queueing delay at the send, derived from load reports only.
+  /// Predicted time to the first response, including queueing.
+  EstimatedTime predictedTime = EstimatedTime::zero();
+  /// Queueing delay at the send, derived from load reports only.
+  EstimatedTime reportedDelay = EstimatedTime::zero();
   double expectedCachedTokens = 0;  ///< Prompt tokens that the prefix cache index listed as cached.
   double kvTokens = 0;              ///< KV cache tokens that it occupies at a decode endpoint.
   Micros timeout = 0;               ///< Longest time without a response; 0: until the deadline.
@@ -87,24 +87,23 @@
 
 /// A request from its arrival to the end of its last attempt.
 struct TrackedRequest {
-  RequestArrived arrival;                     ///< The arrival event, with the latest token counts.
-  RequestClass requestClass;                  ///< Objectives and retry rules of its class.
-  Micros objectiveAt = 0;                     ///< When the first token is due by the TTFT objective.
-  Micros deadline = 0;                        ///< When the client gives up.
-  int attempts = 0;                           ///< Attempts sent so far.
-  std::optional<InFlightAttempt> attempt;     ///< The attempt in flight, if any.
-  std::vector<EndpointId> affinityEndpoints;  ///< Endpoints that its prefix hashes to.
-  std::optional<EndpointEntry> kvStateAt;     ///< Endpoint that holds its KV state, after a prefill.
-  Micros kvStateSince = 0;                    ///< Start of the release timeout of that state.
-  std::vector<EndpointId> failedEndpoints;    ///< Endpoints at which an attempt failed.
-  std::vector<std::uint64_t>
-      slowCells;  ///< Cells in which a decode attempt timed out before its first token.
+  RequestArrived arrival;                           ///< The arrival event, with the latest token counts.
+  RequestClass requestClass;                        ///< Objectives and retry rules of its class.
+  Micros objectiveAt = 0;                           ///< When the first token is due by the TTFT objective.
+  Micros deadline = 0;                              ///< When the client gives up.
+  int attempts = 0;                                 ///< Attempts sent so far.
+  std::optional<InFlightAttempt> attempt;           ///< The attempt in flight, if any.
+  std::vector<EndpointId> affinityEndpoints;        ///< Endpoints that its prefix hashes to.
+  std::optional<EndpointEntry> kvStateAt;           ///< Endpoint that holds its KV state, after a prefill.
+  Micros kvStateSince = 0;                          ///< Start of the release timeout of that state.
+  std::vector<EndpointId> failedEndpoints;          ///< Endpoints at which an attempt failed.
+  std::vector<std::uint64_t> slowCells;             ///< Cells in which a decode attempt timed out.
   std::optional<EndpointEntry> possiblyExecutedAt;  ///< Endpoint where it was possibly executed ...
   Micros possiblyExecutedSince = 0;                 ///< ... and the time of that send.
-  EstimatedTime excessTime =
-      EstimatedTime::zero();  ///< Predicted time minus the time that admission allows; negative: in time.
-  bool ended = false;         ///< The final response was given.
-  bool cancelled = false;     ///< The client cancelled it.
+  /// Predicted time minus the time that admission allows; negative: in time.
+  EstimatedTime excessTime = EstimatedTime::zero();
+  bool ended = false;      ///< The final response was given.
+  bool cancelled = false;  ///< The client cancelled it.
 
   /// Whether an attempt failed at the endpoint.
   bool hasFailedAt(EndpointId id) const {
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -265,8 +265,8 @@
 
   bool isEndpointBusy(RequestId id, const InFlightAttempt& attempt) {
     const Endpoint& endpoint = registry_.at(attempt.endpoint);
-    const InFlightAttempt* awaitingResponse = endpoint.awaitingResponse.find(id);
-    const bool isStalled = awaitingResponse && timeouts_.isStalled(*awaitingResponse, 1);
+    const InFlightAttempt* awaitingAttempt = endpoint.awaitingResponse.find(id);
+    const bool isStalled = awaitingAttempt && timeouts_.isStalled(*awaitingAttempt, 1);
     return OutlierDetector::wasActiveAfter(endpoint, attempt.sentAt) && !isStalled;
   }
 
@@ -345,7 +345,8 @@
 
   const Settings settings_;
   DecisionContext context_;
-  const PrefixKey routerKey_;  // rendezvous hashing key that breaks ties between equal endpoints per router
+  const PrefixKey
+      routerKey_;  // hash key of this router: routers break ties between equal endpoints differently
   const EstimatedTime smallestObjective_ = smallestTtftObjective(settings_);
   TrackedRequests requests_;
   EndpointRegistry registry_{routerKey_};
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -88,8 +88,8 @@
     record.tokens_.pop_front();
 }
 
-// Returns the phase in [0, 1) at which this router starts granting tokens. It derives from the router's
-// number or, if unknown, from its random hash key, and is shifted by a different offset for each endpoint.
+// Returns the delay before this router's first token, in [0, 1) token intervals. It derives from the router's
+// index or, if unknown, from its random hash key, and is shifted by a different offset for each endpoint.
 double SlowStart::grantPhase(EndpointId id) const {
   const double routerPhase = settings_.self
                                  ? countAsDouble(*settings_.self) / countAsDouble(settings_.routers)
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -22,7 +22,7 @@
 /// hundred routers from sending to an empty endpoint at the same time. Tokens of idle routers expire.
 class SlowStart {
  public:
-  /// `routerKey`: hash key of this router; determines the grant phase if the router's number is unknown.
+  /// `routerKey`: hash key of this router; determines the grant phase if the router's index is unknown.
   SlowStart(const DecisionContext& context, EndpointRegistry& registry, const Settings& settings,
             PrefixKey routerKey)
       : context_(context), registry_(registry), settings_(settings), routerKey_(routerKey) {}
--- a/src/policy/traffic_sample.h
+++ b/src/policy/traffic_sample.h
@@ -17,12 +17,12 @@
   TrafficSample(const EndpointRegistry& registry, const TrackedRequests& requests, std::size_t routers)
       : registry_(registry), requests_(requests), routers_(routers) {}
 
-  /// Weight of own streams as evidence of an endpoint's load, from 0 (none) to 1 (full).
+  /// Weight of this router's streams as evidence of an endpoint's load, from 0 (none) to 1 (full).
   double evidence() const { return evidence_; }
-  /// Number of routers that one own stream represents, from 1 to the number of routers.
+  /// Number of routers that one stream of this router represents, from 1 to the number of routers.
   double routersRepresented() const { return routersRepresented_; }
 
-  /// Recomputes the weight from the number of own attempts that occupy KV cache for an answer.
+  /// Recomputes the weight from the number of this router's attempts that occupy KV cache for an answer.
   void update() {
     const auto streams =
         static_cast<double>(std::count_if(requests_.begin(), requests_.end(), [](const auto& item) {
@@ -37,7 +37,7 @@
   }
 
  private:
-  // Square of the number of own streams per endpoint at which the evidence is 0.5.
+  // Square of the number of this router's streams per endpoint at which the evidence is 0.5.
   static constexpr double kHalfEvidenceStreamsSquared = 0.3;
 
   const EndpointRegistry& registry_;
