--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -345,8 +345,8 @@
 
   const Settings settings_;
   DecisionContext context_;
-  const PrefixKey
-      routerKey_;  // hash key of this router: routers break ties between equal endpoints differently
+  // Hash key of this router, so that routers break ties between equal endpoints differently.
+  const PrefixKey routerKey_;
   const EstimatedTime smallestObjective_ = smallestTtftObjective(settings_);
   TrackedRequests requests_;
   EndpointRegistry registry_{routerKey_};
