--- a/src/policy/affinity_hashing.cpp
+++ b/src/policy/affinity_hashing.cpp
@@ -20,11 +20,11 @@
 
 void AffinityHashing::assign(TrackedRequest& request) {
   request.affinityEndpoints.clear();
-  addOfRole(request, Role::prefill);
-  addOfRole(request, Role::combined);
+  addForRole(request, Role::prefill);
+  addForRole(request, Role::combined);
 }
 
-void AffinityHashing::addOfRole(TrackedRequest& request, Role role) {
+void AffinityHashing::addForRole(TrackedRequest& request, Role role) {
   const RequestArrived& arrival = request.arrival;
   const PrefixKey key = arrival.sharedPrefix.value != 0 ? arrival.sharedPrefix : arrival.session;
   const double share = load_.of(key) / std::max(EstimatedTime(1), load_.total());
@@ -42,7 +42,7 @@
   registry_.appendLowestHashes(role, key, count, all);
   const auto ownEnd = all.begin() + static_cast<std::ptrdiff_t>(std::min(all.size(), kOwnSubsetOfHotPrefix));
   std::partial_sort(all.begin(), ownEnd, all.end(), [this](EndpointId left, EndpointId right) {
-    return rendezvousHash(ownOrder_, left) > rendezvousHash(ownOrder_, right);
+    return rendezvousHash(routerHashKey_, left) > rendezvousHash(routerHashKey_, right);
   });
   request.affinityEndpoints.insert(request.affinityEndpoints.end(), all.begin(), ownEnd);
 }
--- a/src/policy/affinity_hashing.h
+++ b/src/policy/affinity_hashing.h
@@ -53,14 +53,14 @@
 /// looks hot, and more endpoints then cache it.
 class AffinityHashing {
  public:
-  /// `ownOrder`: this router's own order of the endpoints.
-  AffinityHashing(const DecisionContext& context, EndpointRegistry& registry, PrefixKey ownOrder)
-      : context_(context), registry_(registry), ownOrder_(ownOrder) {}
+  /// `routerHashKey`: this router's own order of the endpoints.
+  AffinityHashing(const DecisionContext& context, EndpointRegistry& registry, PrefixKey routerHashKey)
+      : context_(context), registry_(registry), routerHashKey_(routerHashKey) {}
 
   /// Sets the request's affinity endpoints, of the roles that prefill.
   void assign(TrackedRequest& request);
   /// Adds affinity endpoints of one role.
-  void addOfRole(TrackedRequest& request, Role role);
+  void addForRole(TrackedRequest& request, Role role);
   /// Takes in a prefill that is sent, with its predicted time.
   void recordSend(const TrackedRequest& request, EstimatedTime prefillTime);
   /// Drops old load.
@@ -79,7 +79,7 @@
 
   const DecisionContext& context_;
   EndpointRegistry& registry_;
-  PrefixKey ownOrder_;
+  PrefixKey routerHashKey_;
   PrefillLoad load_;
 };
 
--- a/src/policy/candidate_finder.cpp
+++ b/src/policy/candidate_finder.cpp
@@ -44,7 +44,7 @@
   const auto& all = collaborators_.registry.ofRole(role);
   const std::uint64_t requestDraws = request.arrival.id.value * kSampledWhenLate;
   for (std::size_t i = 1; i <= sampled; ++i)
-    group.push_back(all[mixBits(ownOrder_.value ^ mixBits(requestDraws + i)) % all.size()]);
+    group.push_back(all[mixBits(routerHashKey_.value ^ mixBits(requestDraws + i)) % all.size()]);
   std::sort(group.begin(), group.end(),
             [](const Endpoint* left, const Endpoint* right) { return left->entry.id < right->entry.id; });
   group.erase(std::unique(group.begin(), group.end()), group.end());
--- a/src/policy/candidate_finder.h
+++ b/src/policy/candidate_finder.h
@@ -50,9 +50,9 @@
     const RejectionEstimator& rejections;  ///< Which are left alone.
     const PrefixCacheIndex& prefixes;      ///< Which cache the request's prefix.
   };
-  /// `ownOrder`: this router's own order of the endpoints.
-  CandidateFinder(const Collaborators& collaborators, PrefixKey ownOrder)
-      : collaborators_(collaborators), ownOrder_(ownOrder) {}
+  /// `routerHashKey`: this router's own order of the endpoints.
+  CandidateFinder(const Collaborators& collaborators, PrefixKey routerHashKey)
+      : collaborators_(collaborators), routerHashKey_(routerHashKey) {}
 
   /// Whether an endpoint takes requests now.
   bool isUsable(const Endpoint& endpoint) const {
@@ -78,7 +78,7 @@
                         std::size_t sampled) const;
 
   Collaborators collaborators_;
-  PrefixKey ownOrder_;
+  PrefixKey routerHashKey_;
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/combined_share.cpp
+++ b/src/policy/combined_share.cpp
@@ -4,7 +4,7 @@
 
 namespace garnethook::policy {
 
-bool CombinedShare::takes(const TrackedRequest& request) const {
+bool CombinedShare::shouldExecute(const TrackedRequest& request) const {
   if (request.attempts > 0) return false;
   const double combined = capacityOf(Role::combined);
   const double decode = capacityOf(Role::decode);
--- a/src/policy/combined_share.h
+++ b/src/policy/combined_share.h
@@ -30,7 +30,7 @@
 
   /// Whether a request that was not sent yet should go to a combined endpoint. Only prompts up to about the
   /// mean prefill do. Draws a random number where there are such endpoints.
-  bool takes(const TrackedRequest& request) const;
+  bool shouldExecute(const TrackedRequest& request) const;
 
  private:
   static constexpr double kMaxPrefill = 1.25;  // of the mean prefill
--- a/src/policy/decode_selector.cpp
+++ b/src/policy/decode_selector.cpp
@@ -18,7 +18,7 @@
       std::erase_if(fitting, [&](const Endpoint* endpoint) {
         return (endpoint->entry.cell == cell) != inCell || occupancyWith(request, *endpoint) > maxOccupancy;
       });
-      if (const Endpoint* found = lowestScore(fitting, ownOrder_, score)) return found;
+      if (const Endpoint* found = lowestScore(fitting, routerHashKey_, score)) return found;
     }
     return nullptr;
   };
--- a/src/policy/decode_selector.h
+++ b/src/policy/decode_selector.h
@@ -32,10 +32,10 @@
     const RejectionEstimator& rejections;  ///< What rejections cost.
     const SpeedEstimator& speeds;          ///< Speed of endpoints.
   };
-  /// `ownOrder`: this router's own order of the endpoints; `smallestObjective`: the smallest TTFT objective
-  /// of all classes.
-  DecodeSelector(const Collaborators& collaborators, PrefixKey ownOrder, EstimatedTime smallestObjective)
-      : collaborators_(collaborators), ownOrder_(ownOrder), smallestObjective_(smallestObjective) {}
+  /// `routerHashKey`: this router's own order of the endpoints; `smallestObjective`: the smallest TTFT
+  /// objective of all classes.
+  DecodeSelector(const Collaborators& collaborators, PrefixKey routerHashKey, EstimatedTime smallestObjective)
+      : collaborators_(collaborators), routerHashKey_(routerHashKey), smallestObjective_(smallestObjective) {}
 
   /// The endpoint that should decode, for a KV state of that cell, of those that stay within the occupancy;
   /// or nullptr.
@@ -47,7 +47,7 @@
   }
 
   Collaborators collaborators_;
-  PrefixKey ownOrder_;
+  PrefixKey routerHashKey_;
   EstimatedTime smallestObjective_;
 };
 
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -14,7 +14,7 @@
   const auto [from, to] = byCell_.equal_range(*cell);
   for (auto at = from; at != to; ++at)
     if (at->second->role == role && at->second->isListed)
-      ofCell.emplace_back(~rendezvousHash(ownOrder_, at->second->entry.id), at->second);
+      ofCell.emplace_back(~rendezvousHash(routerHashKey_, at->second->entry.id), at->second);
   std::sort(ofCell.begin(), ofCell.end());
   const std::size_t count = std::min(ofCell.size(), kOwnSubsetPerCell);
   for (std::size_t i = 0; i < count; ++i) subset.push_back(ofCell[i].second);
@@ -117,7 +117,7 @@
   if (byRole_[role].size() <= kMaxRoleScannedWhole) return;
   std::vector<std::pair<std::uint64_t, Endpoint*>> draws;
   for (Endpoint* endpoint : byRole_[role])
-    if (endpoint->isListed) draws.emplace_back(~rendezvousHash(ownOrder_, endpoint->entry.id), endpoint);
+    if (endpoint->isListed) draws.emplace_back(~rendezvousHash(routerHashKey_, endpoint->entry.id), endpoint);
   const std::size_t size = std::min(draws.size(), kOwnSubsetSize);
   std::partial_sort(draws.begin(), draws.begin() + static_cast<std::ptrdiff_t>(size), draws.end());
   for (std::size_t i = 0; i < size; ++i) ownSubset_[role].push_back(draws[i].second);
--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -37,8 +37,8 @@
   /// it.
   static constexpr std::size_t kOwnSubsetPerCell = 2;
 
-  /// `ownOrder`: this router's own order of the endpoints.
-  explicit EndpointRegistry(PrefixKey ownOrder) : ownOrder_(ownOrder) {}
+  /// `routerHashKey`: this router's own order of the endpoints.
+  explicit EndpointRegistry(PrefixKey routerHashKey) : routerHashKey_(routerHashKey) {}
 
   /// All endpoints.
   Endpoints& all() { return endpoints_; }
@@ -108,7 +108,7 @@
   void findLowestHashes(Role role, PrefixKey key, std::size_t count, std::vector<EndpointId>& out) const;
   void chooseOwnSubset(std::size_t role);
 
-  PrefixKey ownOrder_;
+  PrefixKey routerHashKey_;
   Endpoints endpoints_;
   std::array<std::vector<Endpoint*>, kRoles> byRole_;
   std::array<std::vector<Endpoint*>, kRoles> ownSubset_;
--- a/src/policy/prefill_selector.cpp
+++ b/src/policy/prefill_selector.cpp
@@ -18,7 +18,7 @@
     Candidates withAffinity = candidates;
     std::erase_if(withAffinity,
                   [&](const Endpoint* endpoint) { return !request.hasAffinityTo(endpoint->entry.id); });
-    const Endpoint* best = lowestScore(withAffinity, ownOrder_, cost);
+    const Endpoint* best = lowestScore(withAffinity, routerHashKey_, cost);
     if (best &&
         collaborators_.rejections.expectedTime(*best) <= kAffinityRejectionShare * smallestObjective_ &&
         isQuick(request, *best))
--- a/src/policy/prefill_selector.h
+++ b/src/policy/prefill_selector.h
@@ -23,10 +23,11 @@
     const PrefixCacheIndex& prefixes;      ///< What is cached where.
     const RejectionEstimator& rejections;  ///< What rejections cost.
   };
-  /// `ownOrder`: this router's own order of the endpoints; `smallestObjective`: the smallest TTFT objective
-  /// of all classes.
-  PrefillSelector(const Collaborators& collaborators, PrefixKey ownOrder, EstimatedTime smallestObjective)
-      : collaborators_(collaborators), ownOrder_(ownOrder), smallestObjective_(smallestObjective) {}
+  /// `routerHashKey`: this router's own order of the endpoints; `smallestObjective`: the smallest TTFT
+  /// objective of all classes.
+  PrefillSelector(const Collaborators& collaborators, PrefixKey routerHashKey,
+                  EstimatedTime smallestObjective)
+      : collaborators_(collaborators), routerHashKey_(routerHashKey), smallestObjective_(smallestObjective) {}
 
   /// The endpoint of a role that should execute the prefill, or nullptr.
   const Endpoint* select(const TrackedRequest& request, Role role) const {
@@ -50,7 +51,7 @@
   const Endpoint* selectFrom(const TrackedRequest& request, const Candidates& candidates) const;
 
   Collaborators collaborators_;
-  PrefixKey ownOrder_;
+  PrefixKey routerHashKey_;
   EstimatedTime smallestObjective_;
 };
 
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -58,7 +58,7 @@
 class RoutingPolicy::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed)
-      : settings_(validated(settings)), context_(seed), ownOrder_{mixBits(seed + 1)} {}
+      : settings_(validated(settings)), context_(seed), routerHashKey_{mixBits(seed + 1)} {}
 
   void handle(Micros now, const Event& event, std::vector<Action>& actions) {
     context_.begin(now, actions);
@@ -130,7 +130,7 @@
     if (!retries_.mayTry(request)) return rejectOrFail(request);
     if (request.kvStateAt && !releaseExpiredState(request)) return decode(request);
     affinity_.assign(request);
-    if (combinedShare_.takes(request) && executeWhole(request, Role::combined)) return;
+    if (combinedShare_.shouldExecute(request) && executeWhole(request, Role::combined)) return;
     if (const Endpoint* endpoint = prefillSelector_.select(request, Role::prefill))
       return prefill(request, *endpoint);
     if (executeWhole(request, Role::combined)) return;
@@ -172,7 +172,7 @@
 
   // Sends both phases to one endpoint, if one of that role is expected to be in time.
   bool executeWhole(TrackedRequest& request, Role role) {
-    if (role == Role::decode) affinity_.addOfRole(request, role);
+    if (role == Role::decode) affinity_.addForRole(request, role);
     const Endpoint* endpoint = prefillSelector_.select(request, role);
     if (!endpoint || !RetryPolicy::isInScope(request, *endpoint)) return false;
     InFlightAttempt attempt{.endpoint = endpoint->entry.id, .phase = Phase::combined};
@@ -334,10 +334,10 @@
 
   const Settings settings_;
   DecisionContext context_;
-  const PrefixKey ownOrder_;  // this router's own order of the endpoints, where they are alike
+  const PrefixKey routerHashKey_;  // this router's own order of the endpoints, where they are alike
   const EstimatedTime smallestObjective_ = smallestTtftObjective(settings_);
   TrackedRequests requests_;
-  EndpointRegistry registry_{ownOrder_};
+  EndpointRegistry registry_{routerHashKey_};
   bool isSubscribed_ = false;
   bool isUpdating_ = false;
 
@@ -346,9 +346,9 @@
   AttemptTimeouts timeouts_{context_, smallestObjective_};
   TrafficSample sample_{registry_, requests_, settings_.routers};
   PrefixCacheIndex prefixes_{context_};
-  AffinityHashing affinity_{context_, registry_, ownOrder_};
+  AffinityHashing affinity_{context_, registry_, routerHashKey_};
   SpeedEstimator speeds_{context_};
-  SlowStart slowStart_{context_, registry_, settings_, ownOrder_};
+  SlowStart slowStart_{context_, registry_, settings_, routerHashKey_};
   QueueEstimator queues_{{context_, registry_, costModel_, timeouts_, sample_, slowStart_},
                          smallestObjective_};
   FirstTokenEstimator firstTokens_{{context_, queues_, sample_}, smallestObjective_};
@@ -356,11 +356,13 @@
   RejectionEstimator rejections_{context_};
   OutlierDetector outliers_{{context_, registry_, requests_, timeouts_, settings_}};
   RetryPolicy retries_{{context_, settings_, timeouts_, firstTokens_}};
-  CandidateFinder candidates_{{registry_, outliers_, slowStart_, rejections_, prefixes_}, ownOrder_};
+  CandidateFinder candidates_{{registry_, outliers_, slowStart_, rejections_, prefixes_}, routerHashKey_};
   PrefillEstimator prefills_{{costModel_, prefixes_, queues_, speeds_, sample_}};
-  PrefillSelector prefillSelector_{
-      {context_, registry_, candidates_, prefills_, prefixes_, rejections_}, ownOrder_, smallestObjective_};
-  DecodeSelector decodeSelector_{{candidates_, memory_, rejections_, speeds_}, ownOrder_, smallestObjective_};
+  PrefillSelector prefillSelector_{{context_, registry_, candidates_, prefills_, prefixes_, rejections_},
+                                   routerHashKey_,
+                                   smallestObjective_};
+  DecodeSelector decodeSelector_{
+      {candidates_, memory_, rejections_, speeds_}, routerHashKey_, smallestObjective_};
   AdmissionController admission_{{context_, settings_, registry_, candidates_, prefills_, firstTokens_},
                                  smallestObjective_};
   KvHoldPolicy kvHold_{context_, settings_, smallestObjective_};
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -88,7 +88,7 @@
 // By the router's number among all, or at random where that is not known; another phase at each endpoint.
 double SlowStart::phaseOf(EndpointId id) const {
   const double own = settings_.self ? countAsDouble(*settings_.self) / countAsDouble(settings_.routers)
-                                    : toUnitInterval(ownOrder_.value);
+                                    : toUnitInterval(routerHashKey_.value);
   const double phase = own + toUnitInterval(mixBits(id.value));
   return phase - std::floor(phase);
 }
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -22,10 +22,10 @@
 /// lapse.
 class SlowStart {
  public:
-  /// `ownOrder`: this router's own order of the endpoints.
+  /// `routerHashKey`: this router's own order of the endpoints.
   SlowStart(const DecisionContext& context, EndpointRegistry& registry, const Settings& settings,
-            PrefixKey ownOrder)
-      : context_(context), registry_(registry), settings_(settings), ownOrder_(ownOrder) {}
+            PrefixKey routerHashKey)
+      : context_(context), registry_(registry), settings_(settings), routerHashKey_(routerHashKey) {}
 
   /// Whether an endpoint started within the warm-up duration.
   bool isWarmingUp(const Endpoint& endpoint) const {
@@ -70,7 +70,7 @@
   const DecisionContext& context_;
   EndpointRegistry& registry_;
   const Settings& settings_;
-  PrefixKey ownOrder_;
+  PrefixKey routerHashKey_;
   std::map<std::size_t, double> meanPrompt_;             // by class
   Ledger arrivals_;                                      // within the horizon
   std::array<double, kRoles> baselineLoad_{-1, -1, -1};  // of a warm endpoint in a window; negative: unknown
