--- a/src/policy/estimated_time.h
+++ b/src/policy/estimated_time.h
@@ -1,5 +1,5 @@
 /// @file
-/// Spans that the policy estimates. They have a type of their own, so that a span can't be added to a share.
+/// Durations that the policy estimates. Their own type prevents the addition of a duration and a ratio.
 #pragma once
 
 #include <chrono>
@@ -8,12 +8,12 @@
 
 namespace garnethook::policy {
 
-/// An estimated span. Instants and spans of the interface are Micros.
+/// An estimated duration. Points in time and durations in the public interface are Micros.
 using EstimatedTime = std::chrono::duration<double, std::micro>;
 
-/// A span of the interface as an estimate.
-constexpr EstimatedTime toEstimate(Micros span) { return EstimatedTime(static_cast<double>(span)); }
-/// An estimate as a span of the interface, cut to whole microseconds.
-constexpr Micros toMicros(EstimatedTime span) { return static_cast<Micros>(span.count()); }
+/// Converts a duration of the public interface to an estimate.
+constexpr EstimatedTime toEstimate(Micros time) { return EstimatedTime(static_cast<double>(time)); }
+/// Converts an estimate to a duration of the public interface, truncated to whole microseconds.
+constexpr Micros toMicros(EstimatedTime time) { return static_cast<Micros>(time.count()); }
 
 }  // namespace garnethook::policy
--- a/src/policy/first_token_estimator.h
+++ b/src/policy/first_token_estimator.h
@@ -1,5 +1,5 @@
 /// @file
-/// Time from a send to the first token, and how long answers stream after it.
+/// Estimates the time from a send to the first token, and the stream time of answers after it.
 #pragma once
 
 #include <algorithm>
@@ -13,74 +13,76 @@
 
 namespace garnethook::policy {
 
-/// Estimates of decode endpoints.
+/// Estimates first-token and stream times of endpoints that decode.
 class FirstTokenEstimator {
  public:
-  /// What the estimator works with.
+  /// Components that the estimator uses.
   struct Collaborators {
-    const DecisionContext& context;  ///< The time.
-    const QueueEstimator& queues;    ///< How long attempts wait now.
-    const TrafficSample& sample;     ///< Weight of own observations.
+    const DecisionContext& context;  ///< Current time.
+    const QueueEstimator& queues;    ///< Current waits of attempts.
+    const TrafficSample& sample;     ///< Weight of this router's own observations.
   };
   /// `smallestObjective`: the smallest TTFT objective of all classes.
   FirstTokenEstimator(const Collaborators& collaborators, EstimatedTime smallestObjective)
       : collaborators_(collaborators),
         smallestObjective_(smallestObjective),
-        baselineTime_(kInitialShare * smallestObjective),
+        baselineTime_(kInitialBaselineShare * smallestObjective),
         streamTimes_{smallestObjective, smallestObjective, smallestObjective} {}
 
-  /// Time without a jam.
+  /// Returns the time to first token without overload.
   EstimatedTime baselineTime() const { return baselineTime_; }
-  /// Time at one endpoint: the latest there, fading to the fleet's without news so that no rejection rests on
-  /// old grounds, and no less than the longest wait there now, the freshest news.
+  /// Returns the expected time at one endpoint. It is the recent time there, which decays to the fleet's
+  /// without new observations, so that no request is rejected because of outdated ones. It is at least the
+  /// longest current wait there, which is the most recent observation.
   EstimatedTime expectedTime(const Endpoint& endpoint) const {
     return std::max(collaborators_.queues.longestWait(endpoint), recentTime(endpoint));
   }
-  /// Latest time at all endpoints. It counts as far as own streams are too few to judge single endpoints, as
-  /// a jam seldom concerns one endpoint alone.
+  /// Returns the recent time of all endpoints. It replaces the baseline as far as this router's own streams
+  /// are too few to estimate single endpoints, since overload seldom affects one endpoint alone.
   EstimatedTime fleetTime() const {
     return baselineTime_ + (1 - collaborators_.sample.evidence()) * (recentFleetTime() - baselineTime_);
   }
-  /// Takes in the time to a first token that came.
+  /// Records the time to a first token that arrived.
   void observe(Endpoint& endpoint, EstimatedTime time) {
-    const EstimatedTime before = recentTime(endpoint);
-    endpoint.firstToken.time_ = before + kSampleWeight * (time - before);
+    const EstimatedTime previousTime = recentTime(endpoint);
+    endpoint.firstToken.time_ = previousTime + kSampleWeight * (time - previousTime);
     endpoint.firstToken.observedAt_ = collaborators_.context.now();
     observeFleet(time);
-    const EstimatedTime sample = std::min(time, PrefillCostModel::kMaxDeviation * baselineTime_);
-    baselineTime_ += (time < baselineTime_ ? kFallWeight : kRiseWeight) * (sample - baselineTime_);
+    const EstimatedTime clampedTime = std::min(time, PrefillCostModel::kMaxDeviationFactor * baselineTime_);
+    baselineTime_ += (time < baselineTime_ ? kFallWeight : kRiseWeight) * (clampedTime - baselineTime_);
   }
-  /// Takes in a time of the fleet, or a bound of it from below.
+  /// Records a time of the fleet, or a lower bound of it.
   void observeFleet(EstimatedTime time) {
-    const EstimatedTime before = recentFleetTime();
-    fleetTime_ = before + kSampleWeight * (time - before);
+    const EstimatedTime previousTime = recentFleetTime();
+    fleetTime_ = previousTime + kSampleWeight * (time - previousTime);
     fleetObservedAt_ = collaborators_.context.now();
   }
 
-  /// Usual time from the first to the last token at endpoints of a role.
+  /// Returns the mean time from the first to the last token at endpoints of a role.
   EstimatedTime streamTime(Role role) const { return streamTimes_[roleIndex(role)]; }
-  /// Takes in the time from the first to the last token of an answer.
+  /// Records the time from the first to the last token of an answer.
   void observeStream(Role role, EstimatedTime time) {
-    EstimatedTime& usual = streamTimes_[roleIndex(role)];
-    usual += kStreamWeight * (time - usual);
+    EstimatedTime& meanTime = streamTimes_[roleIndex(role)];
+    meanTime += kStreamWeight * (time - meanTime);
   }
 
  private:
-  static constexpr double kInitialShare = 0.1;  // of the smallest objective
-  // The baseline rises slowly and falls fast, to leave jams out.
+  static constexpr double kInitialBaselineShare = 0.1;  // of the smallest TTFT objective
+  // The baseline rises slowly and falls fast, so that it excludes overload.
   static constexpr double kRiseWeight = 0.01;
   static constexpr double kFallWeight = 0.1;
   static constexpr double kSampleWeight = 0.4;
-  static constexpr double kLifetime = 2;  // of an observation: smallest objectives
+  static constexpr double kObservationLifetimeObjectives = 2;  // in smallest TTFT objectives
   static constexpr double kStreamWeight = 0.1;
 
   EstimatedTime recentTime(const Endpoint& endpoint) const {
-    return fade(endpoint.firstToken.time_, endpoint.firstToken.observedAt_, fleetTime());
+    return decayTo(endpoint.firstToken.time_, endpoint.firstToken.observedAt_, fleetTime());
   }
-  EstimatedTime recentFleetTime() const { return fade(fleetTime_, fleetObservedAt_, baselineTime_); }
-  EstimatedTime fade(EstimatedTime value, Micros observedAt, EstimatedTime rest) const {
-    return rest +
-           (value - rest) * collaborators_.context.freshness(observedAt, kLifetime * smallestObjective_);
+  EstimatedTime recentFleetTime() const { return decayTo(fleetTime_, fleetObservedAt_, baselineTime_); }
+  EstimatedTime decayTo(EstimatedTime recentValue, Micros observedAt, EstimatedTime longTermTime) const {
+    return longTermTime + (recentValue - longTermTime) *
+                              collaborators_.context.freshness(
+                                  observedAt, kObservationLifetimeObjectives * smallestObjective_);
   }
 
   Collaborators collaborators_;
--- a/src/policy/hash.h
+++ b/src/policy/hash.h
@@ -8,7 +8,7 @@
 
 namespace garnethook::policy {
 
-/// Spreads the bits of a number evenly (the finalizer of SplitMix64).
+/// Mixes the bits of a number (the finalizer of SplitMix64).
 inline std::uint64_t mixBits(std::uint64_t value) {
   value ^= value >> 30;
   value *= 0xbf58476d1ce4e5b9ULL;
@@ -17,11 +17,11 @@
   return value ^ (value >> 31);
 }
 
-/// Mixes a key, so that small keys and small identifiers do not collide.
+/// Mixes the bits of a key, with an offset so that small keys and small identifiers do not collide.
 inline std::uint64_t mixKey(PrefixKey key) { return mixBits(key.value + 0x9e3779b97f4a7c15ULL); }
 
-/// Rendezvous hash of a key and an endpoint. It is equal at every router, so that all of them send an unknown
-/// key to the same endpoint.
+/// Returns the rendezvous hash of a key and an endpoint. It is the same at every router, so that all routers
+/// send a key that is cached nowhere to the same endpoint.
 inline std::uint64_t rendezvousHash(PrefixKey key, EndpointId endpoint) {
   return mixBits(mixKey(key) ^ mixBits(endpoint.value));
 }
--- a/src/policy/initial_estimates.h
+++ b/src/policy/initial_estimates.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the policy expects before it has seen anything, from the settings alone.
+/// Estimates that the policy starts with, derived from the settings alone.
 #pragma once
 
 #include "policy/prefill_cost_model.h"
@@ -7,11 +7,11 @@
 
 namespace garnethook::policy {
 
-/// The smallest TTFT objective of all classes, the unit of many estimates; one second without
+/// Returns the smallest TTFT objective of all classes, the unit of many estimates; one second if there are no
 /// classes.
 EstimatedTime smallestTtftObjective(const Settings& settings);
 
-/// A cost model that fits the objectives.
+/// Returns a cost model whose initial coefficients are derived from the TTFT objectives.
 PrefillCostModel initialCostModel(const Settings& settings);
 
 }  // namespace garnethook::policy
--- a/src/policy/prefill_cost_model.h
+++ b/src/policy/prefill_cost_model.h
@@ -1,5 +1,5 @@
 /// @file
-/// The time that a prefill takes by the length of the prompt and its cached part, fitted online.
+/// Predicts the time of a prefill from the length of the prompt and its cached part.
 #pragma once
 
 #include <algorithm>
@@ -10,61 +10,65 @@
 
 namespace garnethook::policy {
 
-/// time(x, y) = d + c x (1 - y) + a x^2 (1 - y^2), with x in thousands of tokens, y the cached share and the
-/// coefficients in microseconds. Fitted online by least squares with forgetting; coordinate descent keeps
-/// every coefficient at 0 or above.
+/// The model is time(x, y) = d + c x (1 - y) + a x^2 (1 - y^2), with x the prompt length in thousands of
+/// tokens, y the cached share, and the coefficients in microseconds. It is fitted online by least squares
+/// with exponential forgetting. Coordinate descent keeps every coefficient non-negative.
 class PrefillCostModel {
  public:
-  /// Samples that still count.
-  static constexpr double kMemory = 300;
+  /// Effective number of past samples that the fit takes into account.
+  static constexpr double kMemorySamples = 300;
   /// Weight of the initial coefficients, in samples.
-  static constexpr double kPriorWeight = 3;
-  /// How far from its prediction a sample may pull, as a factor.
-  static constexpr double kMaxDeviation = 3;
+  static constexpr double kPriorWeightSamples = 3;
+  /// Largest ratio between a sample and its prediction; samples beyond it are clamped.
+  static constexpr double kMaxDeviationFactor = 3;
 
-  /// Initial coefficients: a fixed time, and the time for 1,000 tokens.
+  /// The initial coefficients are a fixed time and a time per 1,000 tokens.
   PrefillCostModel(EstimatedTime fixedTime, EstimatedTime timePerKiloToken)
       : prior_{fixedTime.count(), timePerKiloToken.count(), 0}, coefficients_(prior_) {}
 
-  /// Predicted time of a prefill; tokens beyond the prompt's do not count as cached.
+  /// Returns the predicted time of a prefill; cached tokens beyond the prompt's length are ignored.
   EstimatedTime predict(double tokens, double cachedTokens) const {
-    const Triple x = features(tokens, cachedTokens);
-    return EstimatedTime(coefficients_[0] * x[0] + coefficients_[1] * x[1] + coefficients_[2] * x[2]);
+    const Vector3 sample = features(tokens, cachedTokens);
+    return EstimatedTime(coefficients_[0] * sample[0] + coefficients_[1] * sample[1] +
+                         coefficients_[2] * sample[2]);
   }
 
-  /// Takes in the observed time of a prefill.
+  /// Updates the model with the observed time of a prefill.
   void learn(double tokens, double cachedTokens, EstimatedTime time) {
-    const Triple x = features(tokens, cachedTokens);
+    const Vector3 sample = features(tokens, cachedTokens);
     const EstimatedTime expected = predict(tokens, cachedTokens);
-    time = std::clamp(time, expected / kMaxDeviation, expected * kMaxDeviation);
-    for (std::size_t i = 0; i < 3; ++i) {
-      for (std::size_t j = 0; j < 3; ++j) normal_[i][j] += x[i] * x[j] - normal_[i][j] / kMemory;
-      right_[i] += x[i] * time.count() - right_[i] / kMemory;
+    time = std::clamp(time, expected / kMaxDeviationFactor, expected * kMaxDeviationFactor);
+    for (std::size_t row = 0; row < 3; ++row) {
+      for (std::size_t column = 0; column < 3; ++column)
+        normalMatrix_[row][column] +=
+            sample[row] * sample[column] - normalMatrix_[row][column] / kMemorySamples;
+      rightHandSide_[row] += sample[row] * time.count() - rightHandSide_[row] / kMemorySamples;
     }
-    for (int sweep = 0; sweep < kSweeps; ++sweep) descend();
+    for (int pass = 0; pass < kDescentSweeps; ++pass) runDescentSweep();
   }
 
  private:
-  using Triple = std::array<double, 3>;
-  static constexpr int kSweeps = 8;
+  using Vector3 = std::array<double, 3>;
+  static constexpr int kDescentSweeps = 8;
 
-  static Triple features(double tokens, double cachedTokens) {
-    const double x = tokens / 1000;
-    const double y = tokens > 0 ? std::clamp(cachedTokens / tokens, 0.0, 1.0) : 0;
-    return {1, x * (1 - y), x * x * (1 - y * y)};
+  static Vector3 features(double tokens, double cachedTokens) {
+    const double kiloTokens = tokens / 1000;
+    const double cachedShare = tokens > 0 ? std::clamp(cachedTokens / tokens, 0.0, 1.0) : 0;
+    return {1, kiloTokens * (1 - cachedShare), kiloTokens * kiloTokens * (1 - cachedShare * cachedShare)};
   }
-  void descend() {
-    for (std::size_t i = 0; i < 3; ++i) {
-      double rest = right_[i] + kPriorWeight * prior_[i];
-      for (std::size_t j = 0; j < 3; ++j) rest -= j == i ? 0 : normal_[i][j] * coefficients_[j];
-      coefficients_[i] = std::max(0.0, rest / (normal_[i][i] + kPriorWeight));
+  void runDescentSweep() {
+    for (std::size_t row = 0; row < 3; ++row) {
+      double residual = rightHandSide_[row] + kPriorWeightSamples * prior_[row];
+      for (std::size_t column = 0; column < 3; ++column)
+        residual -= column == row ? 0 : normalMatrix_[row][column] * coefficients_[column];
+      coefficients_[row] = std::max(0.0, residual / (normalMatrix_[row][row] + kPriorWeightSamples));
     }
   }
 
-  Triple prior_;
-  Triple coefficients_;
-  std::array<Triple, 3> normal_{};
-  Triple right_{};
+  Vector3 prior_;
+  Vector3 coefficients_;
+  std::array<Vector3, 3> normalMatrix_{};
+  Vector3 rightHandSide_{};
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/prefill_estimator.h
+++ b/src/policy/prefill_estimator.h
@@ -1,5 +1,5 @@
 /// @file
-/// Cost of a request's prefill at an endpoint: its own time, and the queue before it.
+/// Estimates the time of a request's prefill at an endpoint, with and without the queueing delay.
 #pragma once
 
 #include <algorithm>
@@ -12,30 +12,30 @@
 
 namespace garnethook::policy {
 
-/// Puts the estimates of one prefill together.
+/// Combines the estimates that apply to one prefill.
 class PrefillEstimator {
  public:
-  /// What the estimator works with.
+  /// Components that the estimator uses.
   struct Collaborators {
-    const PrefillCostModel& costModel;  ///< Time by tokens.
-    const PrefixCacheIndex& prefixes;   ///< What is cached where.
+    const PrefillCostModel& costModel;  ///< Prefill times by tokens.
+    const PrefixCacheIndex& prefixes;   ///< Which prefixes are cached where.
     const QueueEstimator& queues;       ///< Queueing delay.
     const SpeedEstimator& speeds;       ///< Speed of endpoints.
-    const TrafficSample& sample;        ///< Weight of own observations.
+    const TrafficSample& sample;        ///< Weight of this router's own observations.
   };
   /// The collaborators must outlive the estimator.
   explicit PrefillEstimator(const Collaborators& collaborators) : collaborators_(collaborators) {}
 
-  /// Time of the prefill itself at usual speed.
+  /// Returns the time of the prefill alone at usual speed.
   EstimatedTime prefillTime(const TrackedRequest& request, const Endpoint& endpoint) const {
     const double weight = 1 - collaborators_.sample.evidence();
     return collaborators_.costModel.predict(
         request.promptTokensAt(endpoint.entry),
         collaborators_.prefixes.expectedCachedTokens(request, endpoint, weight));
   }
-  /// Time until the prefill is complete: queue and prefill at the endpoint's speed. The longest wait of an
-  /// own attempt there bounds the queue from below: where nobody reports, others' load shows in nothing else
-  /// so early.
+  /// Returns the time until the prefill is complete: queue and prefill, at the endpoint's speed. The longest
+  /// wait of an attempt of this router is a lower bound of the queueing delay: where endpoints do not report
+  /// their load, it is the earliest sign of the load of other routers.
   EstimatedTime totalTime(const TrackedRequest& request, const Endpoint& endpoint) const {
     const double speed = collaborators_.speeds.factor(endpoint);
     const EstimatedTime queue =
--- a/src/policy/queue_estimator.cpp
+++ b/src/policy/queue_estimator.cpp
@@ -10,8 +10,8 @@
     total += attempt.prefillTime;
     if (attempt.prefillTime > EstimatedTime::zero()) firstSentAt = std::min(firstSentAt, attempt.sentAt);
   }
-  const Micros workingSince = std::max(firstSentAt, endpoint.queue.prefillDoneAt_);
-  return std::max(EstimatedTime::zero(), total - collaborators_.context.elapsedSince(workingSince));
+  const Micros busySince = std::max(firstSentAt, endpoint.queue.prefillDoneAt_);
+  return std::max(EstimatedTime::zero(), total - collaborators_.context.elapsedSince(busySince));
 }
 
 EstimatedTime QueueEstimator::longestWait(const Endpoint& endpoint) const {
@@ -24,12 +24,12 @@
 
 EstimatedTime QueueEstimator::delay(const Endpoint& endpoint) const {
   const double evidence = collaborators_.sample.evidence();
-  const EstimatedTime mean = collaborators_.slowStart.isWarmingUp(endpoint)
-                                 ? EstimatedTime::zero()
-                                 : meanDelay_[roleIndex(endpoint.role)] * (1 - evidence) * (1 - evidence);
-  const QueueRecord& record = endpoint.queue;
-  return mean +
-         (record.delay_ - mean) * collaborators_.context.freshness(record.observedAt_, kObservationLifetime);
+  const EstimatedTime roleMean = collaborators_.slowStart.isWarmingUp(endpoint)
+                                     ? EstimatedTime::zero()
+                                     : meanDelay_[roleIndex(endpoint.role)] * (1 - evidence) * (1 - evidence);
+  const QueueRecord& queueRecord = endpoint.queue;
+  return roleMean + (queueRecord.delay_ - roleMean) *
+                        collaborators_.context.freshness(queueRecord.observedAt_, kObservationLifetime);
 }
 
 void QueueEstimator::observeDelay(Endpoint& endpoint, EstimatedTime time) const {
@@ -37,24 +37,25 @@
   endpoint.queue.observedAt_ = collaborators_.context.now();
 }
 
-// Queued tokens cost the model's slope, as far as prefills sent there did wait for them: many may be cached
-// or computed side by side. An average prefill would price a cached prefix into every token.
+// Each queued token takes the time by the cost model's slope, scaled by the share of reported delays that
+// prefills actually waited, since many queued tokens may be cached or computed in parallel. Time per token
+// from the mean prefill would include the cost of its cached prefix in every token.
 void QueueEstimator::observeReport(Endpoint& endpoint, const LoadReport& report) const {
   const auto& queued = report.queuedKiloTokens ? report.queuedKiloTokens : report.queuedRequests;
   endpoint.queue.reportsQueue_ = queued.has_value();
   if (!queued) return;
   const EstimatedTime perKiloToken =
       collaborators_.costModel.predict(2000, 0) - collaborators_.costModel.predict(1000, 0);
-  const EstimatedTime timeEach = report.queuedKiloTokens ? perKiloToken : meanPrefillTime_;
-  observeDelay(endpoint, believability() * *queued * timeEach - ownBacklog(endpoint));
+  const EstimatedTime timePerUnit = report.queuedKiloTokens ? perKiloToken : meanPrefillTime_;
+  observeDelay(endpoint, reportReliability() * *queued * timePerUnit - ownBacklog(endpoint));
 }
 
 void QueueEstimator::observeReportedWait(const Endpoint& endpoint, const InFlightAttempt& attempt,
                                          EstimatedTime waited) {
   if (!endpoint.queue.reportsQueue_) return;
-  reported_ += attempt.reportedDelay - reported_ / PrefillCostModel::kMemory;
-  waited_ +=
-      std::clamp(waited, EstimatedTime::zero(), attempt.reportedDelay) - waited_ / PrefillCostModel::kMemory;
+  reportedDelaySum_ += attempt.reportedDelay - reportedDelaySum_ / PrefillCostModel::kMemorySamples;
+  waitedDelaySum_ += std::clamp(waited, EstimatedTime::zero(), attempt.reportedDelay) -
+                     waitedDelaySum_ / PrefillCostModel::kMemorySamples;
 }
 
 void QueueEstimator::observeUnreportedWait(Endpoint& endpoint, EstimatedTime waited) const {
@@ -62,8 +63,9 @@
 }
 
 void QueueEstimator::recordPrefillDone(Endpoint& endpoint, EstimatedTime ownTime) {
-  meanPrefillTime_ +=
-      meanPrefillTime_ == EstimatedTime::zero() ? ownTime : kMeanPrefillWeight * (ownTime - meanPrefillTime_);
+  meanPrefillTime_ += meanPrefillTime_ == EstimatedTime::zero()
+                          ? ownTime
+                          : kMeanPrefillSampleWeight * (ownTime - meanPrefillTime_);
   endpoint.queue.prefillDoneAt_ = collaborators_.context.now();
 }
 
@@ -77,10 +79,10 @@
   meanDelay_.fill(EstimatedTime::zero());
   for (const auto& [id, endpoint] : collaborators_.registry.contacted()) {
     if (!endpoint->isListed) continue;
-    const QueueRecord& record = endpoint->queue;
-    const double weight =
-        collaborators_.context.freshness(record.observedAt_, kMeanLifetime * smallestObjective_);
-    meanDelay_[roleIndex(endpoint->role)] += weight * record.delay_;
+    const QueueRecord& queueRecord = endpoint->queue;
+    const double weight = collaborators_.context.freshness(queueRecord.observedAt_,
+                                                           kMeanLifetimeObjectives * smallestObjective_);
+    meanDelay_[roleIndex(endpoint->role)] += weight * queueRecord.delay_;
     weights[roleIndex(endpoint->role)] += weight;
   }
   for (std::size_t role = 0; role < kRoles; ++role) meanDelay_[role] /= weights[role];
--- a/src/policy/queue_estimator.h
+++ b/src/policy/queue_estimator.h
@@ -1,5 +1,6 @@
 /// @file
-/// Queueing delay at endpoints: this router's own backlog, and others' load as reported and as observed.
+/// Estimates the queueing delay at endpoints from this router's own backlog and from the load of other
+/// routers, as reported by endpoints and as observed.
 #pragma once
 
 #include <algorithm>
@@ -17,72 +18,82 @@
 /// Estimates how long a new prefill waits at an endpoint.
 class QueueEstimator {
  public:
-  /// What the estimator works with.
+  /// Components that the estimator uses.
   struct Collaborators {
-    const DecisionContext& context;     ///< The time.
-    const EndpointRegistry& registry;   ///< Endpoints.
-    const PrefillCostModel& costModel;  ///< Cost of a prefill.
+    const DecisionContext& context;     ///< Current time.
+    const EndpointRegistry& registry;   ///< All known endpoints.
+    const PrefillCostModel& costModel;  ///< Prefill times by tokens.
     const AttemptTimeouts& timeouts;    ///< Which attempts are stalled.
-    const TrafficSample& sample;        ///< Weight of own observations.
-    const SlowStart& slowStart;         ///< Which endpoints warm up.
+    const TrafficSample& sample;        ///< Weight of this router's own observations.
+    const SlowStart& slowStart;         ///< Which endpoints are warming up.
   };
   /// `smallestObjective`: the smallest TTFT objective of all classes.
   QueueEstimator(const Collaborators& collaborators, EstimatedTime smallestObjective)
       : collaborators_(collaborators), smallestObjective_(smallestObjective) {}
 
-  /// Time that this router's own unfinished prefills take there.
+  /// Returns the remaining time of this router's own unfinished prefills at the endpoint.
   EstimatedTime ownBacklog(const Endpoint& endpoint) const;
-  /// How long the oldest own attempt there has waited for a response; stalled ones don't count.
+  /// Returns how long this router's oldest attempt at the endpoint has waited for a response, without stalled
+  /// attempts.
   EstimatedTime longestWait(const Endpoint& endpoint) const;
 
-  /// Others' load before a new prefill, as time: as last seen there (by report, or by waits beyond the own
-  /// backlog), fading to the mean seen lately at its role. An endpoint that warms up and was not used has
-  /// what its budget lets in, next to nothing. This guards against taking endpoints not used lately for idle
-  /// in any jam; an idle one is passed over while all that were used are jammed.
+  /// Returns the delay of a new prefill by the load of other routers. It is the last delay observed at the
+  /// endpoint, by its report or by waits beyond this router's own backlog, and decays to the recent mean of
+  /// the endpoint's role, or to zero while the endpoint is warming up, since its budget then admits next to
+  /// nothing. The mean prevents endpoints that were not used recently from being taken for idle under
+  /// overload. The drawback: an idle endpoint is passed over while all recently used ones are overloaded.
   EstimatedTime delay(const Endpoint& endpoint) const;
-  /// The part of that delay that reports alone claim, before it is weighed by believability().
-  EstimatedTime reportedDelay(const Endpoint& endpoint) const { return delay(endpoint) / believability(); }
-  /// Mean time of a prefill, 0 before the first.
+  /// Returns that delay as reported, without the weighting by reportReliability().
+  EstimatedTime reportedDelay(const Endpoint& endpoint) const {
+    return delay(endpoint) / reportReliability();
+  }
+  /// Returns the mean time of a prefill, 0 before the first.
   EstimatedTime meanPrefillTime() const { return meanPrefillTime_; }
 
-  /// Takes in an observed delay.
+  /// Records an observed delay.
   void observeDelay(Endpoint& endpoint, EstimatedTime time) const;
-  /// Takes in an endpoint's report.
+  /// Records an endpoint's load report.
   void observeReport(Endpoint& endpoint, const LoadReport& report) const;
-  /// Time of a prefill that completes now, less the wait for earlier prefills of this router.
+  /// Returns the time of a prefill that completes now, without the wait for this router's earlier prefills.
   EstimatedTime ownPrefillTime(const Endpoint& endpoint, const InFlightAttempt& attempt) const {
     return collaborators_.context.elapsedSince(std::max(attempt.sentAt, endpoint.queue.prefillDoneAt_));
   }
-  /// Takes in how much of the delay that the endpoint had reported a prefill did wait.
+  /// Records how long a prefill actually waited, to be compared with the delay that the endpoint had
+  /// reported.
   void observeReportedWait(const Endpoint& endpoint, const InFlightAttempt& attempt, EstimatedTime waited);
-  /// Takes in a wait for others' prefills, unless the endpoint reports its queue.
+  /// Records a wait for prefills of other routers, unless the endpoint reports its queue.
   void observeUnreportedWait(Endpoint& endpoint, EstimatedTime waited) const;
-  /// Notes that a prefill has completed, and how long it took without the wait for own earlier ones.
+  /// Records the completion of a prefill, and the time it took without the wait for this router's earlier
+  /// ones.
   void recordPrefillDone(Endpoint& endpoint, EstimatedTime ownTime);
-  /// Forgets what was known of an endpoint that restarted.
+  /// Discards the observations of an endpoint that restarted.
   static void reset(Endpoint& endpoint);
-  /// Measures the mean delay of each role anew.
+  /// Recomputes the mean delay of each role.
   void update();
 
  private:
   static constexpr EstimatedTime kObservationLifetime = std::chrono::seconds(1);
-  static constexpr double kMeanLifetime = 2;  // in the mean of a role: smallest objectives
-  // Weight, in smallest objectives, of the initial belief that reported tokens cost a prefill's full price.
-  static constexpr double kReportPrior = 1;
-  static constexpr double kMeanPrefillWeight = 0.05;
+  // Lifetime, in smallest TTFT objectives, of an observation in the mean of a role.
+  static constexpr double kMeanLifetimeObjectives = 2;
+  // Weight, in smallest TTFT objectives, of the initial assumption that reported tokens take the full prefill
+  // time.
+  static constexpr double kReportPriorObjectives = 1;
+  static constexpr double kMeanPrefillSampleWeight = 0.05;
 
-  // Of the delays that were reported, the part that prefills waited. This guards against rejecting for queues
-  // of cached prompts; a queue that builds up beside quick ones is believed late.
-  double believability() const {
-    return (kReportPrior * smallestObjective_ + waited_) / (kReportPrior * smallestObjective_ + reported_);
+  // Returns the share of the reported delays that prefills actually waited. This prevents rejections because
+  // of queues of cached prompts, which take little time. The drawback: a long queue that builds up after
+  // quick ones is recognised late.
+  double reportReliability() const {
+    return (kReportPriorObjectives * smallestObjective_ + waitedDelaySum_) /
+           (kReportPriorObjectives * smallestObjective_ + reportedDelaySum_);
   }
 
   Collaborators collaborators_;
   EstimatedTime smallestObjective_;
   std::array<EstimatedTime, kRoles> meanDelay_{};
   EstimatedTime meanPrefillTime_ = EstimatedTime::zero();
-  EstimatedTime reported_ = EstimatedTime::zero();  // delays reported where prefills were sent, lately ...
-  EstimatedTime waited_ = EstimatedTime::zero();    // ... and what of them was waited
+  EstimatedTime reportedDelaySum_ = EstimatedTime::zero();  // recent delays reported where prefills were sent
+  EstimatedTime waitedDelaySum_ = EstimatedTime::zero();    // part of them that the prefills waited
 };
 
 }  // namespace garnethook::policy
--- a/src/policy/speed_estimator.h
+++ b/src/policy/speed_estimator.h
@@ -1,5 +1,5 @@
 /// @file
-/// Speed of each endpoint relative to what the cost model predicts.
+/// Estimates the speed of each endpoint relative to the cost model's prediction.
 #pragma once
 
 #include <algorithm>
@@ -10,28 +10,30 @@
 
 namespace garnethook::policy {
 
-/// One cost model can't price slow or crowded endpoints; a factor for each endpoint does.
+/// Keeps a factor for each endpoint, as a single cost model cannot predict the times of slow or crowded
+/// endpoints.
 class SpeedEstimator {
  public:
-  /// Largest factor; counted for an attempt that timed out.
+  /// Largest factor; it is also recorded for an attempt that timed out.
   static constexpr double kMaxFactor = 8;
 
-  /// Takes the time from `context`.
+  /// `context` provides the current time.
   explicit SpeedEstimator(const DecisionContext& context) : context_(context) {}
 
-  /// Observed over predicted time, fading to 1 without news.
+  /// Returns the ratio of observed to predicted time, which decays to 1 without new observations.
   double factor(const Endpoint& endpoint) const {
     const SpeedRecord& record = endpoint.speed;
     return 1 + (record.factor_ - 1) * std::exp(-context_.elapsedSince(record.observedAt_) / kLifetime);
   }
-  /// Takes in the ratio of an observed to a predicted time.
+  /// Records the ratio of an observed to a predicted time.
   void learn(Endpoint& endpoint, double ratio) const {
-    const double sample = std::clamp(ratio, kMinFactor, kMaxFactor);
-    const double before = factor(endpoint);
-    endpoint.speed.factor_ = std::clamp(before + kSampleWeight * (sample - before), kMinFactor, kMaxFactor);
+    const double clampedRatio = std::clamp(ratio, kMinFactor, kMaxFactor);
+    const double previousFactor = factor(endpoint);
+    endpoint.speed.factor_ =
+        std::clamp(previousFactor + kSampleWeight * (clampedRatio - previousFactor), kMinFactor, kMaxFactor);
     endpoint.speed.observedAt_ = context_.now();
   }
-  /// Forgets the factor of an endpoint that restarted.
+  /// Resets the factor of an endpoint that restarted.
   static void reset(Endpoint& endpoint) { endpoint.speed.factor_ = 1; }
 
  private:
