--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,6 +1,6 @@
 /// @file
-/// Admission: whether a request gets an attempt now, may be served later, or is rejected, and when its
-/// client should retry.
+/// Admission control: decides whether a request is attempted now, kept until an endpoint has room, or
+/// rejected, and when the client of a rejected request should retry.
 #pragma once
 
 #include "policy/candidate_finder.h"
@@ -10,64 +10,66 @@
 
 namespace garnethook::policy {
 
-/// Rejects what would be late.
+/// Rejects requests whose first token is expected to be late.
 ///
-/// A request that can't have a timely first token makes those behind it late as well; rejecting it is cheap,
-/// and its client may come again. What is uncertain is the wait more than the own prefill, of which only a
-/// part needs a margin; this guards against rejecting long prompts that would be in time. In a jam dear
-/// requests are admitted that cheap ones could use.
+/// Executing such a request also delays the requests queued behind it, whereas a rejection is cheap and the
+/// client can retry. The queueing delay is less certain than the time of the request's own prefill, so the
+/// safety margin applies to all of the delay but only to part of the prefill time. This prevents rejections
+/// of long prompts that would be in time. The drawback: under overload, expensive requests are admitted whose
+/// capacity could serve several cheap ones.
 class AdmissionController {
  public:
-  /// What the controller works with.
+  /// Components that the controller uses.
   struct Collaborators {
-    DecisionContext& context;                ///< The time and random numbers.
-    const Settings& settings;                ///< Whether and how far clients obey Retry-After.
-    const EndpointRegistry& registry;        ///< Endpoints.
-    const CandidateFinder& candidates;       ///< Which are usable now.
-    const PrefillEstimator& prefills;        ///< What a prefill costs.
-    const FirstTokenEstimator& firstTokens;  ///< Time to a first token.
+    DecisionContext& context;                ///< Current time and random numbers.
+    const Settings& settings;                ///< Whether clients get a Retry-After, and its limit.
+    const EndpointRegistry& registry;        ///< All known endpoints.
+    const CandidateFinder& candidates;       ///< Which endpoints are usable now.
+    const PrefillEstimator& prefills;        ///< Prefill times.
+    const FirstTokenEstimator& firstTokens;  ///< Times to first token.
   };
   /// `smallestObjective`: the smallest TTFT objective of all classes.
   AdmissionController(const Collaborators& collaborators, EstimatedTime smallestObjective)
       : collaborators_(collaborators), smallestObjective_(smallestObjective) {}
 
-  /// When a first token is due for the next attempt: at the objective at first, then at the deadline.
+  /// Returns when the first token of the next attempt is due: at the TTFT objective for the first attempt, at
+  /// the deadline for retries.
   static Micros firstTokenDueAt(const TrackedRequest& request) {
     return request.attempts == 0 ? request.objectiveAt : request.deadline;
   }
-  /// Whether a first token after `time`, of which the own prefill takes `prefillTime`, is expected by
-  /// `dueAt`; notes the excess in the request.
+  /// Returns whether a first token that takes `time`, including `prefillTime` for the request's own prefill,
+  /// is expected by `dueAt`. Stores the time beyond what admission allows in the request's `excessTime`.
   bool isExpectedInTime(TrackedRequest& request, EstimatedTime time, EstimatedTime prefillTime,
                         Micros dueAt) const {
-    const EstimatedTime certain = kCertainShare * prefillTime;
-    const EstimatedTime left = toEstimate(dueAt - collaborators_.context.now());
-    request.excessTime = time - certain - kTimeShare * (left - certain);
+    const EstimatedTime prefillWithoutMargin = kPrefillShareWithoutMargin * prefillTime;
+    const EstimatedTime remaining = toEstimate(dueAt - collaborators_.context.now());
+    request.excessTime = time - prefillWithoutMargin - kUsableTimeShare * (remaining - prefillWithoutMargin);
     return request.excessTime <= EstimatedTime::zero();
   }
 
-  /// Whether a request without a usable endpoint is kept for a while: only an endpoint that is full or
-  /// warming up by now, and quick enough later, justifies the wait. Otherwise the answer comes at once, as a
-  /// client that is held back can't retry elsewhere in time.
+  /// Returns whether a request without a usable endpoint is kept for a while. The wait is justified only if
+  /// an endpoint is full or warming up now and could still prefill the prompt in time later. Otherwise the
+  /// request is rejected at once, since its client could not retry elsewhere in time after a wait.
   bool mayPrefillLater(const TrackedRequest& request) const;
-  /// Whether a KV state is kept for a while until an endpoint has room to decode it.
+  /// Returns whether a KV state is kept for a while until an endpoint has room to decode it.
   bool mayDecodeLater(const TrackedRequest& request) const;
-  /// Time between two tries of a request that is kept without KV state.
-  Micros reevaluationInterval() const { return toMicros(smallestObjective_ / kReevaluations); }
+  /// Interval at which a request that is kept without a KV state is evaluated again.
+  Micros reevaluationInterval() const { return toMicros(smallestObjective_ / kReevaluationsPerObjective); }
 
-  /// When the client of a rejected request should retry; 0: clients don't get to know. It is the time by
-  /// which the request was expected to be late. Up to half of it is taken off at random, so that clients
-  /// rejected together don't return together.
+  /// Returns the delay after which the client of a rejected request should retry, or 0 if clients get no
+  /// Retry-After. The delay is the time by which the request was expected to be late. It is shortened at
+  /// random by up to half, so that clients that are rejected together do not retry together.
   Micros retryAfter(const TrackedRequest& request) const;
 
  private:
-  static constexpr double kTimeShare = 0.7;     // of the time left, that may be predicted
-  static constexpr double kCertainShare = 0.5;  // of the own prefill's time, that needs no margin
-  static constexpr int kReevaluations = 10;
-  static constexpr double kMinRetryAfter = 0.1;  // of the smallest objective
-  static constexpr double kRetryAfterSpread = 0.5;
+  static constexpr double kUsableTimeShare = 0.7;  // of the remaining time; the rest is the safety margin
+  static constexpr double kPrefillShareWithoutMargin = 0.5;  // of the request's own prefill time
+  static constexpr int kReevaluationsPerObjective = 10;
+  static constexpr double kMinRetryAfterShare = 0.1;  // of the smallest TTFT objective
+  static constexpr double kRetryAfterJitter = 0.5;
 
-  template <class Test>
-  bool anyListed(Test test) const;
+  template <class Predicate>
+  bool anyListed(Predicate predicate) const;
 
   Collaborators collaborators_;
   EstimatedTime smallestObjective_;
--- a/src/policy/combined_share.cpp
+++ b/src/policy/combined_share.cpp
@@ -6,15 +6,15 @@
 
 bool CombinedShare::shouldExecute(const TrackedRequest& request) const {
   if (request.attempts > 0) return false;
-  const double combined = capacityOf(Role::combined);
-  const double decode = capacityOf(Role::decode);
+  const double combined = decodeCapacity(Role::combined);
+  const double decode = decodeCapacity(Role::decode);
   if (combined <= 0 || collaborators_.context.uniform() * (combined + decode) >= combined) return false;
   const Endpoint* endpoint = collaborators_.selector.select(request, Role::combined);
   return endpoint && collaborators_.prefills.prefillTime(request, *endpoint) <=
-                         kMaxPrefill * collaborators_.queues.meanPrefillTime();
+                         kMaxPrefillRatio * collaborators_.queues.meanPrefillTime();
 }
 
-double CombinedShare::capacityOf(Role role) const {
+double CombinedShare::decodeCapacity(Role role) const {
   const double streamTime = collaborators_.firstTokens.streamTime(role).count();
   if (collaborators_.registry.isLarge(role))
     return collaborators_.registry.listedMemoryTokens(role) / streamTime;
--- a/src/policy/combined_share.h
+++ b/src/policy/combined_share.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which requests endpoints of the combined role execute whole.
+/// Decides which requests are executed whole, prefill and decode, at a combined endpoint.
 #pragma once
 
 #include "policy/decision_context.h"
@@ -11,31 +11,34 @@
 
 namespace garnethook::policy {
 
-/// Gives combined endpoints their share of the requests: the part of all KV cache capacity that is theirs,
-/// over how long answers stream lately at either role. This guards against streams that are slowed by
-/// prefills between them; answers that are longer at one role look slow.
+/// Assigns combined endpoints their share of the requests. The share is their part of the fleet's KV cache
+/// capacity, where the capacity of each role is divided by the recent stream time of its answers. This
+/// prevents too many prefills from slowing the streams at combined endpoints. The drawback: a role that
+/// receives longer answers is taken for slow.
 class CombinedShare {
  public:
-  /// What the share is drawn by.
+  /// Components that the decision uses.
   struct Collaborators {
     DecisionContext& context;                ///< Random numbers.
-    const EndpointRegistry& registry;        ///< Endpoints.
-    const FirstTokenEstimator& firstTokens;  ///< How long answers stream.
-    const PrefillSelector& selector;         ///< Which endpoint would take the request.
-    const PrefillEstimator& prefills;        ///< What its prefill costs there.
-    const QueueEstimator& queues;            ///< What a mean prefill costs.
+    const EndpointRegistry& registry;        ///< All known endpoints.
+    const FirstTokenEstimator& firstTokens;  ///< Stream times of answers.
+    const PrefillSelector& selector;         ///< Which endpoint would execute the request.
+    const PrefillEstimator& prefills;        ///< The time of its prefill there.
+    const QueueEstimator& queues;            ///< The time of a mean prefill.
   };
   /// The collaborators must outlive the share.
   explicit CombinedShare(const Collaborators& collaborators) : collaborators_(collaborators) {}
 
-  /// Whether a request that was not sent yet should go to a combined endpoint. Only prompts up to about the
-  /// mean prefill do. Draws a random number where there are such endpoints.
+  /// Returns whether a request that has not been sent yet should go to a combined endpoint. Only prompts
+  /// whose prefill is at most slightly longer than the mean do. Draws a random number if there are combined
+  /// endpoints.
   bool shouldExecute(const TrackedRequest& request) const;
 
  private:
-  static constexpr double kMaxPrefill = 1.25;  // of the mean prefill
+  static constexpr double kMaxPrefillRatio = 1.25;  // relative to the mean prefill time
 
-  double capacityOf(Role role) const;
+  // KV cache tokens of the role's endpoints over the stream time of its answers.
+  double decodeCapacity(Role role) const;
 
   Collaborators collaborators_;
 };
--- a/src/policy/kv_hold_policy.h
+++ b/src/policy/kv_hold_policy.h
@@ -1,5 +1,5 @@
 /// @file
-/// How long a KV state is kept at its prefill endpoint for a decode endpoint with room.
+/// Limits how long a KV state is held at its prefill endpoint until a decode endpoint has room.
 #pragma once
 
 #include "policy/decision_context.h"
@@ -7,33 +7,34 @@
 
 namespace garnethook::policy {
 
-/// Keeps the rule that a KV state is not held beyond the release timeout.
+/// Enforces that a KV state is not held beyond the release timeout.
 class KvHoldPolicy {
  public:
-  /// `smallestObjective`: the smallest TTFT objective of all classes; it stands for a
-  /// release timeout that is not set.
+  /// `smallestObjective`: the smallest TTFT objective of all classes, used if no release timeout is set.
   KvHoldPolicy(const DecisionContext& context, const Settings& settings, EstimatedTime smallestObjective)
       : context_(context),
-        limit_(settings.kvReleaseTimeout > 0 ? settings.kvReleaseTimeout : toMicros(smallestObjective)) {}
+        maxHoldTime_(settings.kvReleaseTimeout > 0 ? settings.kvReleaseTimeout
+                                                   : toMicros(smallestObjective)) {}
 
-  /// Whether the state's time is over, used up by attempts that never arrived. It is then released and the
-  /// prompt prefilled anew: connections to decode endpoints may fail one after another.
+  /// Returns whether the hold time of the request's KV state is over. This happens when attempts never reach
+  /// a decode endpoint, as connections to several endpoints may fail in turn. The state is then released and
+  /// the prompt prefilled again.
   bool isExpired(const TrackedRequest& request) const {
-    return context_.now() - request.kvStateSince >= limit_;
+    return context_.now() - request.kvStateSince >= maxHoldTime_;
   }
-  /// Whether the next attempt is the last that the state's time allows.
+  /// Returns whether the next attempt is the last one within the hold time.
   bool isLastAttempt(const TrackedRequest& request) const {
-    return context_.elapsedSince(request.kvStateSince) >= kWaitShare * toEstimate(limit_);
+    return context_.elapsedSince(request.kvStateSince) >= kMaxWaitShare * toEstimate(maxHoldTime_);
   }
-  /// Time between two looks for an endpoint with room.
-  Micros reevaluationInterval() const { return limit_ / kReevaluations; }
+  /// Interval at which a request that waits for an endpoint with room is evaluated again.
+  Micros reevaluationInterval() const { return maxHoldTime_ / kReevaluationsPerHold; }
 
  private:
-  static constexpr double kWaitShare = 0.7;  // of the limit, that may be waited before the last attempt
-  static constexpr int kReevaluations = 10;
+  static constexpr double kMaxWaitShare = 0.7;  // of the hold time, before the last attempt
+  static constexpr int kReevaluationsPerHold = 10;
 
   const DecisionContext& context_;
-  Micros limit_;
+  Micros maxHoldTime_;
 };
 
 }  // namespace garnethook::policy
