--- a/src/policy/affinity_hashing.cpp
+++ b/src/policy/affinity_hashing.cpp
@@ -6,16 +6,16 @@
 namespace garnethook::policy {
 
 void PrefillLoad::add(PrefixKey key, Micros sentAt, EstimatedTime time) {
-  prefills_.push_back({key, sentAt, time});
-  count(prefills_.back());
+  sentPrefills_.push_back({key, sentAt, time});
+  addToSums(sentPrefills_.back());
 }
 
 void PrefillLoad::expire(Micros before) {
-  if (prefills_.empty() || prefills_.front().sentAt >= before) return;
-  while (!prefills_.empty() && prefills_.front().sentAt < before) prefills_.pop_front();
+  if (sentPrefills_.empty() || sentPrefills_.front().sentAt >= before) return;
+  while (!sentPrefills_.empty() && sentPrefills_.front().sentAt < before) sentPrefills_.pop_front();
   total_ = EstimatedTime::zero();
   byKey_.clear();
-  for (const SentPrefill& prefill : prefills_) count(prefill);
+  for (const SentPrefill& prefill : sentPrefills_) addToSums(prefill);
 }
 
 void AffinityHashing::assign(TrackedRequest& request) {
@@ -36,11 +36,12 @@
   if (key.value != 0) addOwnSubset(request, role, key, count);
 }
 
-// This router's own ones of many; all routers together use all.
+// Adds this router's own part of a hot prefix's endpoints; together, all routers use all of them.
 void AffinityHashing::addOwnSubset(TrackedRequest& request, Role role, PrefixKey key, std::size_t count) {
   std::vector<EndpointId> all;
   registry_.appendLowestHashes(role, key, count, all);
-  const auto ownEnd = all.begin() + static_cast<std::ptrdiff_t>(std::min(all.size(), kOwnSubsetOfHotPrefix));
+  const auto ownEnd =
+      all.begin() + static_cast<std::ptrdiff_t>(std::min(all.size(), kMaxOwnEndpointsOfHotPrefix));
   std::partial_sort(all.begin(), ownEnd, all.end(), [this](EndpointId left, EndpointId right) {
     return rendezvousHash(routerHashKey_, left) > rendezvousHash(routerHashKey_, right);
   });
@@ -52,11 +53,12 @@
     load_.add(request.arrival.sharedPrefix, context_.now(), prefillTime);
 }
 
-// The weight of a prefill endpoint is the decode memory for each prefill endpoint of its cell, over the
-// fleet's. This guards against cells whose prefill endpoints would hand over more than their decode endpoints
-// can take. A cell that can't decode jams none of its own, as its KV states go to all others; a low weight
-// would leave half of the fleet's prefill idle where there are fewer decode endpoints than cells. More KV
-// states then cross links, which may be slow.
+// The weight of a prefill endpoint is the decode memory per prefill endpoint of its cell, relative to the
+// same ratio of the fleet. This prevents the prefill endpoints of a cell from producing more KV states than
+// its decode endpoints can take. A cell without decode endpoints cannot overload its own, as its KV states go
+// to all other cells. A low weight for it would leave half of the fleet's prefill endpoints idle where there
+// are fewer decode endpoints than cells. The drawback: more KV states cross links between cells, which may be
+// slow.
 void AffinityHashing::updateWeights() {
   struct Capacity {
     double prefillEndpoints = 0;
--- a/src/policy/affinity_hashing.h
+++ b/src/policy/affinity_hashing.h
@@ -1,5 +1,5 @@
 /// @file
-/// Affinity of prefixes to endpoints by weighted rendezvous hashing, which is equal at all routers.
+/// Assigns prefixes to endpoints by weighted rendezvous hashing, with the same result at all routers.
 #pragma once
 
 #include <cstdint>
@@ -14,20 +14,20 @@
 
 namespace garnethook::policy {
 
-/// Predicted time of the prefills that were sent lately, in all and by prefix. Times are added up in the
-/// order of the sends, oldest first, so the sums are to the last bit what walking all of them gives.
+/// Predicted time of the recently sent prefills, in total and by prefix. Times are added in the order of the
+/// sends, oldest first, so that the sums equal a full recomputation to the last bit.
 class PrefillLoad {
  public:
-  /// Sum of all.
+  /// Sum over all prefixes.
   EstimatedTime total() const { return total_; }
-  /// Sum of those with that prefix.
+  /// Sum over the prefills with that prefix.
   EstimatedTime of(PrefixKey key) const {
     const auto at = byKey_.find(key.value);
     return at == byKey_.end() ? EstimatedTime::zero() : at->second;
   }
-  /// Adds a prefill that is sent.
+  /// Adds a prefill that is being sent.
   void add(PrefixKey key, Micros sentAt, EstimatedTime time);
-  /// Drops what was sent before that time.
+  /// Drops the prefills that were sent before that time.
   void expire(Micros before);
 
  private:
@@ -36,44 +36,45 @@
     Micros sentAt = 0;
     EstimatedTime time = EstimatedTime::zero();
   };
-  void count(const SentPrefill& prefill) {
+  void addToSums(const SentPrefill& prefill) {
     total_ += prefill.time;
     byKey_.try_emplace(prefill.key.value, EstimatedTime::zero()).first->second += prefill.time;
   }
 
-  std::deque<SentPrefill> prefills_;
+  std::deque<SentPrefill> sentPrefills_;
   std::unordered_map<std::uint64_t, EstimatedTime> byKey_;
   EstimatedTime total_ = EstimatedTime::zero();
 };
 
-/// Chooses the endpoints to which a prefix is hashed.
+/// Chooses the affinity endpoints of a request's prefix.
 ///
-/// They are as many as the prefix makes up endpoints' shares of the own prefill load. This guards against one
-/// endpoint, not seen by most routers, for a prefix that all routers send; with few own prefills any prefix
-/// looks hot, and more endpoints then cache it.
+/// Their number is the prefix's share of this router's prefill load in units of one endpoint's share, rounded
+/// down, plus one. This prevents overload of a single endpoint by a hot prefix that all routers send, each of
+/// which sees only its own part of that load. The drawback: with few prefills of its own, a router takes any
+/// prefix for hot, and more endpoints than needed cache it.
 class AffinityHashing {
  public:
-  /// `routerHashKey`: this router's own order of the endpoints.
+  /// `routerHashKey`: hash key of this router's own order of the endpoints.
   AffinityHashing(const DecisionContext& context, EndpointRegistry& registry, PrefixKey routerHashKey)
       : context_(context), registry_(registry), routerHashKey_(routerHashKey) {}
 
-  /// Sets the request's affinity endpoints, of the roles that prefill.
+  /// Sets the request's affinity endpoints among the prefill and combined endpoints.
   void assign(TrackedRequest& request);
-  /// Adds affinity endpoints of one role.
+  /// Adds the request's affinity endpoints of one role.
   void addForRole(TrackedRequest& request, Role role);
-  /// Takes in a prefill that is sent, with its predicted time.
+  /// Records a prefill that is being sent, with its predicted time.
   void recordSend(const TrackedRequest& request, EstimatedTime prefillTime);
-  /// Drops old load.
+  /// Drops load older than PrefixCacheIndex::kLifetime.
   void expire() { load_.expire(context_.now() - PrefixCacheIndex::kLifetime); }
-  /// Sets the endpoints' weights and brings the registry's hash index up to date, after the list has changed.
+  /// Updates the endpoints' hash weights and the registry's hash index after a change of the endpoint list.
   void updateWeights();
 
  private:
   static constexpr double kMinWeight = 0.1;
   static constexpr double kMaxWeight = 1.4;
-  static constexpr double kWeightWithoutDecode = 0.6;  // of a prefill endpoint whose cell can't decode at all
-  // Of a large role a request considers so many of a hot prefix's endpoints.
-  static constexpr std::size_t kOwnSubsetOfHotPrefix = 16;
+  static constexpr double kWeightWithoutDecode = 0.6;  // of a prefill endpoint in a cell without decode
+  // Number of a hot prefix's endpoints that one router uses in a large role.
+  static constexpr std::size_t kMaxOwnEndpointsOfHotPrefix = 16;
 
   void addOwnSubset(TrackedRequest& request, Role role, PrefixKey key, std::size_t count);
 
--- a/src/policy/candidate_finder.cpp
+++ b/src/policy/candidate_finder.cpp
@@ -5,32 +5,32 @@
 namespace garnethook::policy {
 
 Candidates CandidateFinder::find(const TrackedRequest& request, Role role, const std::uint64_t* cell,
-                                 std::size_t sampled) const {
+                                 std::size_t sampleSize) const {
   if (collaborators_.registry.isLarge(role)) {
-    Candidates found = boundedSet(request, role, cell, sampled);
+    Candidates found = boundedCandidateSet(request, role, cell, sampleSize);
     std::erase_if(found, [&](const Endpoint* endpoint) {
-      return !fits(request, *endpoint, Strictness::trustedAndNotFailed);
+      return !isEligible(request, *endpoint, Strictness::trustedAndNotFailed);
     });
     if (!found.empty()) return found;
   }
   for (const auto strictness : {Strictness::trustedAndNotFailed, Strictness::trusted, Strictness::usable}) {
     Candidates found;
     for (const Endpoint* endpoint : collaborators_.registry.ofRole(role))
-      if (fits(request, *endpoint, strictness)) found.push_back(endpoint);
+      if (isEligible(request, *endpoint, strictness)) found.push_back(endpoint);
     if (!found.empty()) return found;
   }
   return {};
 }
 
-bool CandidateFinder::fits(const TrackedRequest& request, const Endpoint& endpoint,
-                           Strictness strictness) const {
+bool CandidateFinder::isEligible(const TrackedRequest& request, const Endpoint& endpoint,
+                                 Strictness strictness) const {
   if (!isUsable(endpoint) || !RetryPolicy::isInScope(request, endpoint)) return false;
   if (strictness == Strictness::trustedAndNotFailed && request.hasFailedAt(endpoint.entry.id)) return false;
   return strictness == Strictness::usable || collaborators_.outliers.isTrusted(endpoint, request);
 }
 
-Candidates CandidateFinder::boundedSet(const TrackedRequest& request, Role role, const std::uint64_t* cell,
-                                       std::size_t sampled) const {
+Candidates CandidateFinder::boundedCandidateSet(const TrackedRequest& request, Role role,
+                                                const std::uint64_t* cell, std::size_t sampleSize) const {
   Candidates group = collaborators_.registry.ownSubset(role, cell);
   const auto add = [&](EndpointId id) {
     const Endpoint* endpoint = collaborators_.registry.find(id);
@@ -42,9 +42,9 @@
     if (locations != nullptr)
       for (const CachedPrefix& prefix : *locations) add(prefix.endpoint);
   const auto& all = collaborators_.registry.ofRole(role);
-  const std::uint64_t requestDraws = request.arrival.id.value * kSampledWhenLate;
-  for (std::size_t i = 1; i <= sampled; ++i)
-    group.push_back(all[mixBits(routerHashKey_.value ^ mixBits(requestDraws + i)) % all.size()]);
+  const std::uint64_t drawOffset = request.arrival.id.value * kSampleSizeWhenLate;
+  for (std::size_t draw = 1; draw <= sampleSize; ++draw)
+    group.push_back(all[mixBits(routerHashKey_.value ^ mixBits(drawOffset + draw)) % all.size()]);
   std::sort(group.begin(), group.end(),
             [](const Endpoint* left, const Endpoint* right) { return left->entry.id < right->entry.id; });
   group.erase(std::unique(group.begin(), group.end()), group.end());
--- a/src/policy/candidate_finder.h
+++ b/src/policy/candidate_finder.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which endpoints a request may be sent to.
+/// Finds the endpoints that a request may be sent to.
 #pragma once
 
 #include <cstddef>
@@ -16,11 +16,12 @@
 
 namespace garnethook::policy {
 
-/// Some endpoints that a selector chooses from.
+/// Endpoints that a selector chooses from.
 using Candidates = EndpointRegistry::Group;
 
-/// The candidate with the lowest score, or nullptr. Ties go by rendezvous hash of `tieKey`: a key that is
-/// equal at all routers, or a router's own order, so that many routers that know nothing don't choose alike.
+/// Returns the candidate with the lowest score, or nullptr. Ties are broken by the rendezvous hash of
+/// `tieKey`: either a key that is equal at all routers, or the router's own key, so that many routers without
+/// observations do not all choose the same endpoint.
 template <class Score>
 const Endpoint* lowestScore(const Candidates& candidates, PrefixKey tieKey, Score score) {
   const Endpoint* best = nullptr;
@@ -37,45 +38,47 @@
 /// Finds the candidates of a request.
 class CandidateFinder {
  public:
-  /// Endpoints drawn for each request of a large role (the power of several choices).
-  static constexpr std::size_t kSampled = 8;
-  /// Endpoints drawn where the best of the usual candidates is late.
-  static constexpr std::size_t kSampledWhenLate = 128;
+  /// Number of endpoints sampled from a large role for each request (the power of several choices).
+  static constexpr std::size_t kSampleSize = 8;
+  /// Number of endpoints sampled if the best of the usual candidates is late.
+  static constexpr std::size_t kSampleSizeWhenLate = 128;
 
-  /// What the finder works with.
+  /// Components that the finder uses.
   struct Collaborators {
-    const EndpointRegistry& registry;      ///< Endpoints.
-    const OutlierDetector& outliers;       ///< Which are trusted.
-    const SlowStart& slowStart;            ///< Which have budget.
-    const RejectionEstimator& rejections;  ///< Which are left alone.
-    const PrefixCacheIndex& prefixes;      ///< Which cache the request's prefix.
+    const EndpointRegistry& registry;      ///< All known endpoints.
+    const OutlierDetector& outliers;       ///< Which endpoints are trusted.
+    const SlowStart& slowStart;            ///< Which endpoints have budget.
+    const RejectionEstimator& rejections;  ///< Which endpoints are backed off from.
+    const PrefixCacheIndex& prefixes;      ///< Which endpoints cache the request's prefix.
   };
-  /// `routerHashKey`: this router's own order of the endpoints.
+  /// `routerHashKey`: hash key of this router's own order of the endpoints.
   CandidateFinder(const Collaborators& collaborators, PrefixKey routerHashKey)
       : collaborators_(collaborators), routerHashKey_(routerHashKey) {}
 
-  /// Whether an endpoint takes requests now.
+  /// Returns whether an endpoint accepts requests now.
   bool isUsable(const Endpoint& endpoint) const {
     return endpoint.isListed && collaborators_.slowStart.hasBudget(endpoint) &&
            !collaborators_.rejections.isBackingOff(endpoint);
   }
 
-  /// The endpoints of a role that may take the request: trusted ones where it has not failed; without those,
-  /// trusted ones; without those, any that are usable, so that with everything ejected requests are served as
-  /// if nothing were. Of a large role only a bounded set is considered while it has any of the first kind;
-  /// `cell`: whose endpoints belong to that set; `sampled`: how many that are drawn for this request do.
+  /// Returns the endpoints of a role that the request may be sent to: the trusted ones at which it has not
+  /// failed; if there are none, all trusted ones; if there are none, all usable ones, so that requests are
+  /// still served as usual when every endpoint is ejected. For a large role, only a bounded set is considered
+  /// as long as it holds a trusted endpoint at which the request has not failed. `cell`: the set includes
+  /// endpoints of this cell, unless nullptr; `sampleSize`: the number of endpoints sampled into the set for
+  /// this request.
   Candidates find(const TrackedRequest& request, Role role, const std::uint64_t* cell = nullptr,
-                  std::size_t sampled = kSampled) const;
+                  std::size_t sampleSize = kSampleSize) const;
 
  private:
   enum class Strictness { trustedAndNotFailed, trusted, usable };
 
-  bool fits(const TrackedRequest& request, const Endpoint& endpoint, Strictness strictness) const;
-  // This router's own subset, the affinity endpoints, those that cache its prefixes, and some that are drawn
-  // for the request. This guards against walking thousands of endpoints for each request; a better endpoint
-  // outside of the set is passed over.
-  Candidates boundedSet(const TrackedRequest& request, Role role, const std::uint64_t* cell,
-                        std::size_t sampled) const;
+  bool isEligible(const TrackedRequest& request, const Endpoint& endpoint, Strictness strictness) const;
+  // Returns this router's own subset, the affinity endpoints, the endpoints that cache the request's
+  // prefixes, and a sample drawn for the request. This prevents a scan of thousands of endpoints for each
+  // request. The drawback: a better endpoint outside the set is missed.
+  Candidates boundedCandidateSet(const TrackedRequest& request, Role role, const std::uint64_t* cell,
+                                 std::size_t sampleSize) const;
 
   Collaborators collaborators_;
   PrefixKey routerHashKey_;
--- a/src/policy/decode_selector.cpp
+++ b/src/policy/decode_selector.cpp
@@ -14,11 +14,11 @@
   };
   const auto best = [&](bool inCell) -> const Endpoint* {
     for (const Candidates* group : {&decode, &combined}) {
-      Candidates fitting = *group;
-      std::erase_if(fitting, [&](const Endpoint* endpoint) {
+      Candidates eligible = *group;
+      std::erase_if(eligible, [&](const Endpoint* endpoint) {
         return (endpoint->entry.cell == cell) != inCell || occupancyWith(request, *endpoint) > maxOccupancy;
       });
-      if (const Endpoint* found = lowestScore(fitting, routerHashKey_, score)) return found;
+      if (const Endpoint* found = lowestScore(eligible, routerHashKey_, score)) return found;
     }
     return nullptr;
   };
--- a/src/policy/decode_selector.h
+++ b/src/policy/decode_selector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Selection of the endpoint that decodes a request whose KV state lies at a prefill endpoint.
+/// Selects the endpoint that decodes a request whose KV state is held by a prefill endpoint.
 #pragma once
 
 #include <cstdint>
@@ -11,34 +11,36 @@
 
 namespace garnethook::policy {
 
-/// Selects the endpoint with most room, first in the cell of the KV state.
+/// Selects the endpoint with the lowest KV cache occupancy, adjusted for its speed and its rejections,
+/// preferably in the cell of the KV state.
 ///
-/// A cell's decode endpoints take the KV states of the same prefill endpoints and are busy together: a
-/// request that one of them kept waiting leaves the cell. This guards against attempts at all decode
-/// endpoints of a cell, one after the other; a KV state crosses a link where one endpoint alone is slow.
+/// The decode endpoints of a cell take their KV states from the same prefill endpoints and are busy at the
+/// same time. A request that gets no first token in time from one of them therefore moves to another cell.
+/// This prevents attempts at each decode endpoint of a busy cell in turn. The drawback: where only one
+/// endpoint is slow, the KV state crosses a link between cells needlessly.
 class DecodeSelector {
  public:
-  /// Share of the KV cache up to which an endpoint has room.
+  /// Occupancy, as a share of the KV cache, up to which an endpoint has room.
   static constexpr double kMaxOccupancy = 0.95;
-  /// Share beyond which, at every endpoint, nothing new is admitted.
+  /// Occupancy up to which new requests are admitted; above it at every endpoint, they are rejected.
   static constexpr double kMaxOccupancyToAdmit = 0.9;
-  /// No limit: the endpoint may reject.
+  /// No limit on the occupancy; the endpoint may reject the request.
   static constexpr double kAnyOccupancy = 1e9;
 
-  /// What the selector works with.
+  /// Components that the selector uses.
   struct Collaborators {
-    const CandidateFinder& candidates;     ///< Which may be chosen.
-    const KvMemoryEstimator& memory;       ///< Which have room.
-    const RejectionEstimator& rejections;  ///< What rejections cost.
+    const CandidateFinder& candidates;     ///< Which endpoints may be selected.
+    const KvMemoryEstimator& memory;       ///< KV cache occupancy of endpoints.
+    const RejectionEstimator& rejections;  ///< Expected time lost to rejections.
     const SpeedEstimator& speeds;          ///< Speed of endpoints.
   };
-  /// `routerHashKey`: this router's own order of the endpoints; `smallestObjective`: the smallest TTFT
-  /// objective of all classes.
+  /// `routerHashKey`: hash key of this router's own order of the endpoints; `smallestObjective`: the smallest
+  /// TTFT objective of all classes.
   DecodeSelector(const Collaborators& collaborators, PrefixKey routerHashKey, EstimatedTime smallestObjective)
       : collaborators_(collaborators), routerHashKey_(routerHashKey), smallestObjective_(smallestObjective) {}
 
-  /// The endpoint that should decode, for a KV state of that cell, of those that stay within the occupancy;
-  /// or nullptr.
+  /// Returns the endpoint that should decode a KV state held in `cell`, among those whose occupancy including
+  /// the request is at most `maxOccupancy`; nullptr if there is none.
   const Endpoint* select(const TrackedRequest& request, std::uint64_t cell, double maxOccupancy) const;
 
  private:
--- a/src/policy/prefill_selector.cpp
+++ b/src/policy/prefill_selector.cpp
@@ -21,7 +21,7 @@
     const Endpoint* best = lowestScore(withAffinity, routerHashKey_, cost);
     if (best &&
         collaborators_.rejections.expectedTime(*best) <= kAffinityRejectionShare * smallestObjective_ &&
-        isQuick(request, *best))
+        hasTimeMargin(request, *best))
       return best;
   }
   return lowestScore(candidates, request.arrival.sharedPrefix, cost);
--- a/src/policy/prefill_selector.h
+++ b/src/policy/prefill_selector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Selection of the endpoint that executes a request's prefill.
+/// Selects the endpoint that executes a request's prefill.
 #pragma once
 
 #include "policy/candidate_finder.h"
@@ -10,41 +10,44 @@
 
 namespace garnethook::policy {
 
-/// Selects where queue and prefill together take least. A prefix that is cached nowhere goes to an affinity
-/// endpoint, where other routers send it as well, unless the queue there is long.
+/// Selects the endpoint with the shortest predicted time for queue and prefill together. A request whose
+/// prefix is not known to be cached goes to an affinity endpoint, where other routers send the prefix as
+/// well, unless the queue there is long.
 class PrefillSelector {
  public:
-  /// What the selector works with.
+  /// Components that the selector uses.
   struct Collaborators {
-    const DecisionContext& context;        ///< The time.
-    const EndpointRegistry& registry;      ///< Endpoints.
-    const CandidateFinder& candidates;     ///< Which may be chosen.
-    const PrefillEstimator& prefills;      ///< What a prefill costs.
-    const PrefixCacheIndex& prefixes;      ///< What is cached where.
-    const RejectionEstimator& rejections;  ///< What rejections cost.
+    const DecisionContext& context;        ///< Current time.
+    const EndpointRegistry& registry;      ///< All known endpoints.
+    const CandidateFinder& candidates;     ///< Which endpoints may be selected.
+    const PrefillEstimator& prefills;      ///< Prefill and queueing times.
+    const PrefixCacheIndex& prefixes;      ///< Which prefixes are cached where.
+    const RejectionEstimator& rejections;  ///< Expected time lost to rejections.
   };
-  /// `routerHashKey`: this router's own order of the endpoints; `smallestObjective`: the smallest TTFT
-  /// objective of all classes.
+  /// `routerHashKey`: hash key of this router's own order of the endpoints; `smallestObjective`: the smallest
+  /// TTFT objective of all classes.
   PrefillSelector(const Collaborators& collaborators, PrefixKey routerHashKey,
                   EstimatedTime smallestObjective)
       : collaborators_(collaborators), routerHashKey_(routerHashKey), smallestObjective_(smallestObjective) {}
 
-  /// The endpoint of a role that should execute the prefill, or nullptr.
+  /// Returns the endpoint of a role that should execute the prefill, or nullptr.
   const Endpoint* select(const TrackedRequest& request, Role role) const {
     const Endpoint* selected = selectFrom(request, collaborators_.candidates.find(request, role));
-    // Where the usual candidates of a large role are late, more of them are considered.
-    if (!selected || !collaborators_.registry.isLarge(role) || isQuick(request, *selected)) return selected;
-    return selectFrom(
-        request, collaborators_.candidates.find(request, role, nullptr, CandidateFinder::kSampledWhenLate));
+    // If the best of the usual candidates of a large role is late, a larger sample is considered.
+    if (!selected || !collaborators_.registry.isLarge(role) || hasTimeMargin(request, *selected))
+      return selected;
+    return selectFrom(request, collaborators_.candidates.find(request, role, nullptr,
+                                                              CandidateFinder::kSampleSizeWhenLate));
   }
 
  private:
-  // Of the time left to the objective: what queue and prefill at an affinity endpoint may take.
+  // Share of the time left to the TTFT objective that queue and prefill at an affinity endpoint may take.
   static constexpr double kAffinityTimeShare = 0.6;
-  // Smallest objectives: an affinity endpoint that rejects for longer is one candidate among others.
+  // Share of the smallest TTFT objective. An affinity endpoint whose rejections are expected to cost more
+  // time gets no preference over the other candidates.
   static constexpr double kAffinityRejectionShare = 0.1;
 
-  bool isQuick(const TrackedRequest& request, const Endpoint& endpoint) const {
+  bool hasTimeMargin(const TrackedRequest& request, const Endpoint& endpoint) const {
     const EstimatedTime left = toEstimate(request.objectiveAt - collaborators_.context.now());
     return collaborators_.prefills.totalTime(request, endpoint) <= kAffinityTimeShare * left;
   }
--- a/src/policy/prefix_cache_index.cpp
+++ b/src/policy/prefix_cache_index.cpp
@@ -5,23 +5,23 @@
 namespace garnethook::policy {
 
 PrefixLocations::Locations& PrefixLocations::touch(PrefixKey key, Micros now) {
-  uses_.emplace_back(now, key.value);
+  usesByTime_.emplace_back(now, key.value);
   lastKey_ = 0;
   return locations_[key.value];
 }
 
 void PrefixLocations::expire(Micros before) {
   lastKey_ = 0;
-  for (; !uses_.empty() && uses_.front().first < before; uses_.pop_front()) {
-    const auto at = locations_.find(uses_.front().second);
+  for (; !usesByTime_.empty() && usesByTime_.front().first < before; usesByTime_.pop_front()) {
+    const auto at = locations_.find(usesByTime_.front().second);
     if (at != locations_.end() && at->second.back().at < before) locations_.erase(at);
   }
 }
 
 double PrefixCacheIndex::cachedTokens(const TrackedRequest& request, const Endpoint& endpoint) const {
-  const double shared = std::min(tokensIn(sharedPrefixes_, request.arrival.sharedPrefix, endpoint),
+  const double shared = std::min(cachedTokensIn(sharedPrefixes_, request.arrival.sharedPrefix, endpoint),
                                  request.sharedPrefixTokensAt(endpoint.entry));
-  return std::min(std::max(shared, tokensIn(sessions_, request.arrival.session, endpoint)),
+  return std::min(std::max(shared, cachedTokensIn(sessions_, request.arrival.session, endpoint)),
                   request.promptTokensAt(endpoint.entry));
 }
 
@@ -37,14 +37,14 @@
                                      const InFlightAttempt& attempt, double foundTokens) {
   const double shared = request.sharedPrefixTokensAt(endpoint.entry);
   if (attempt.expectedCachedTokens == 0 && shared > 0 && request.hasAffinityTo(endpoint.entry.id))
-    affinityShare_ += std::max(kAffinityWeight, 1.0 / ++affinityPrefills_) *
+    affinityShare_ += std::max(kAffinityShareWeight, 1.0 / ++affinityPrefills_) *
                       (std::clamp(foundTokens / shared, 0.0, 1.0) - affinityShare_);
   const bool missed = attempt.expectedCachedTokens > 0 && foundTokens < attempt.expectedCachedTokens / 2;
   int& misses = endpoint.prefixes.consecutiveMisses_;
   misses = missed ? misses + 1 : 0;
   if (misses >= kMissesToInvalidate) invalidate(endpoint);
-  remember(sharedPrefixes_, request.arrival.sharedPrefix, attempt.endpoint, shared);
-  remember(sessions_, request.arrival.session, attempt.endpoint, request.promptTokensAt(endpoint.entry));
+  addLocation(sharedPrefixes_, request.arrival.sharedPrefix, attempt.endpoint, shared);
+  addLocation(sessions_, request.arrival.session, attempt.endpoint, request.promptTokensAt(endpoint.entry));
 }
 
 void PrefixCacheIndex::expire() {
@@ -52,8 +52,8 @@
   sessions_.expire(context_.now() - kLifetime);
 }
 
-double PrefixCacheIndex::tokensIn(const PrefixLocations& index, PrefixKey key,
-                                  const Endpoint& endpoint) const {
+double PrefixCacheIndex::cachedTokensIn(const PrefixLocations& index, PrefixKey key,
+                                        const Endpoint& endpoint) const {
   const auto* locations = index.find(key);
   if (locations == nullptr) return 0;
   for (const CachedPrefix& prefix : *locations)
@@ -63,8 +63,8 @@
   return 0;
 }
 
-void PrefixCacheIndex::remember(PrefixLocations& index, PrefixKey key, EndpointId endpoint,
-                                double tokens) const {
+void PrefixCacheIndex::addLocation(PrefixLocations& index, PrefixKey key, EndpointId endpoint,
+                                   double tokens) const {
   if (key.value == 0 || tokens <= 0) return;
   if (index.size() >= kMaxKeys && index.find(key) == nullptr) return;
   auto& locations = index.touch(key, context_.now());
