--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -1,4 +1,4 @@
-// A request that can't be served is rejected at once, and its client gets a Retry-After.
+// A request that cannot be served in time is rejected at once, and its client gets a Retry-After.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -9,10 +9,10 @@
 namespace {
 
 Settings settingsWithRetryAfter() {
-  Settings custom = settings();
-  custom.passesRetryAfter = true;
-  custom.maxRetryAfter = 500 * kMs;
-  return custom;
+  Settings customSettings = settings();
+  customSettings.passesRetryAfter = true;
+  customSettings.maxRetryAfter = 500 * kMs;
+  return customSettings;
 }
 
 const Reject* rejection(const std::vector<Action>& actions) {
@@ -21,34 +21,34 @@
   return nullptr;
 }
 
-// Sends requests to one prefill endpoint until one is rejected; returns that rejection.
-Reject untilRejected(PolicyDriver& driver) {
+// Sends requests until one is rejected and returns that rejection.
+Reject sendUntilRejected(PolicyDriver& driver) {
   for (std::uint64_t id = 1; id < 200; ++id) {
     auto request = driver.newRequest(id);
     request.promptTokens = 5000;
     if (const auto actions = driver.deliver(request); rejection(actions) != nullptr)
       return *rejection(actions);
   }
-  ADD_FAILURE() << "never rejected";
+  ADD_FAILURE() << "no request was rejected";
   return {};
 }
 
-TEST(RetryAfter, IsGivenOnlyWhenItReachesClients) {
-  PolicyDriver without(settings());
+TEST(RetryAfter, IsSetOnlyWhenItIsPassedToClients) {
+  PolicyDriver withoutRetryAfter(settings());
   PolicyDriver withRetryAfter(settingsWithRetryAfter());
-  for (auto* driver : {&without, &withRetryAfter})
+  for (auto* driver : {&withoutRetryAfter, &withRetryAfter})
     driver->setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
-  EXPECT_EQ(untilRejected(without).retryAfter, 0);
-  EXPECT_GT(untilRejected(withRetryAfter).retryAfter, 0);
+  EXPECT_EQ(sendUntilRejected(withoutRetryAfter).retryAfter, 0);
+  EXPECT_GT(sendUntilRejected(withRetryAfter).retryAfter, 0);
 }
 
-TEST(RetryAfter, NeverExceedsWhatClientsObey) {
+TEST(RetryAfter, NeverExceedsTheConfiguredMaximum) {
   PolicyDriver driver(settingsWithRetryAfter());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
-  untilRejected(driver);
+  sendUntilRejected(driver);
   for (std::uint64_t id = 500; id < 520; ++id) {
     auto request = driver.newRequest(id);
-    request.promptTokens = 80'000;  // seconds too late
+    request.promptTokens = 80'000;  // late by several seconds
     const auto actions = driver.deliver(request);
     ASSERT_NE(rejection(actions), nullptr);
     EXPECT_LE(rejection(actions)->retryAfter, 500 * kMs);
@@ -57,24 +57,24 @@
 }
 
 TEST(RetryAfter, GrowsWithTheExpectedLateness) {
-  Settings custom = settingsWithRetryAfter();
-  custom.maxRetryAfter = 60 * kSec;
-  PolicyDriver driver(custom);
+  Settings customSettings = settingsWithRetryAfter();
+  customSettings.maxRetryAfter = 60 * kSec;
+  PolicyDriver driver(customSettings);
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
-  const auto shortWait = untilRejected(driver).retryAfter;
+  const auto shortDelay = sendUntilRejected(driver).retryAfter;
   auto request = driver.newRequest(500);
   request.promptTokens = 80'000;
   const auto actions = driver.deliver(request);
   ASSERT_NE(rejection(actions), nullptr);
-  EXPECT_GT(rejection(actions)->retryAfter, 4 * shortWait);
+  EXPECT_GT(rejection(actions)->retryAfter, 4 * shortDelay);
 }
 
-TEST(RetryAfter, SpreadsClientsThatAreRejectedTogether) {
+TEST(RetryAfter, DiffersBetweenClientsThatAreRejectedTogether) {
   std::set<Micros> delays;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     PolicyDriver driver(settingsWithRetryAfter(), seed);
     driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
-    delays.insert(untilRejected(driver).retryAfter / kMs);
+    delays.insert(sendUntilRejected(driver).retryAfter / kMs);
   }
   EXPECT_GT(delays.size(), 10u);
 }
@@ -93,7 +93,7 @@
   EXPECT_NE(rejection(driver.deliver(driver.newRequest(1))), nullptr);
 }
 
-// The prefill endpoint is full for a moment: it may serve later, so the request waits.
+// The prefill endpoint is full only for a moment and may serve the request later, so the request is kept.
 TEST(Admission, WaitsWhenAFullPrefillEndpointMayServeInTime) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
@@ -105,7 +105,7 @@
   EXPECT_EQ(driver.count<Send>(1), 2);
 }
 
-// The same, but the prefill alone would take longer than the objective.
+// The prefill endpoint is full, and the prefill alone would take longer than the TTFT objective.
 TEST(Admission, RejectsAtOnceWhenAFullPrefillEndpointWouldBeTooSlow) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
@@ -116,7 +116,7 @@
   EXPECT_NE(rejection(driver.deliver(request)), nullptr);
 }
 
-// The last decode endpoint leaves during a prefill: nobody can take the KV state.
+// The last decode endpoint leaves the list during a prefill, so no endpoint can decode the KV state.
 TEST(Admission, RejectsAtOnceWhenNoEndpointCanDecodeTheKvState) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
@@ -138,8 +138,8 @@
   EXPECT_EQ(driver.count<Send>(1), 3);
 }
 
-// The prefill ends right before the deadline: no decode endpoint can be in time, so there is no wait for a
-// full one.
+// The decode endpoint rejects the request right before its deadline. No endpoint could decode it in time, so
+// the request does not wait for a full one.
 TEST(Admission, RejectsAtOnceWhenTheKvStateComesTooLate) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
@@ -153,9 +153,9 @@
 }
 
 TEST(Admission, RejectsAtOnceAfterTheLastAttempt) {
-  Settings custom = settings();
-  custom.maxAttempts = 2;
-  PolicyDriver driver(custom);
+  Settings customSettings = settings();
+  customSettings.maxAttempts = 2;
+  PolicyDriver driver(customSettings);
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(11, kDecode)});
   driver.deliver(driver.newRequest(1));
   EXPECT_EQ(rejection(driver.endAttempt(1, Outcome::connectFailed)), nullptr);
--- a/tests/policy/decode_selection_test.cpp
+++ b/tests/policy/decode_selection_test.cpp
@@ -1,4 +1,5 @@
-// Where a request is decoded: room in the cell of its KV state, then elsewhere, then waiting.
+// Selection of the decode endpoint: one with room in the cell of the KV state, then one in another cell; a
+// request waits if no endpoint has room.
 #include <gtest/gtest.h>
 
 #include "policy/policy_driver.h"
@@ -11,7 +12,7 @@
           endpoint(13, kDecode, 1)};
 }
 
-void prefillOne(PolicyDriver& driver, std::uint64_t id, double tokens = 1000) {
+void executePrefill(PolicyDriver& driver, std::uint64_t id, double tokens = 1000) {
   auto request = driver.newRequest(id);
   request.promptTokens = tokens;
   driver.deliver(request);
@@ -22,74 +23,74 @@
 TEST(DecodeSelection, PrefersTheEmptierEndpointOfTheCell) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
-  prefillOne(driver, 1, 5000);
+  executePrefill(driver, 1, 5000);
   const auto first = driver.lastEndpoint(1);
   EXPECT_TRUE(first == 11 || first == 12);
-  prefillOne(driver, 2);
+  executePrefill(driver, 2);
   EXPECT_EQ(driver.lastEndpoint(2), first == 11 ? 12u : 11u);
 }
 
-TEST(DecodeSelection, FollowsReportsOfMemory) {
+TEST(DecodeSelection, FollowsReportedMemoryOccupancy) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
   for (std::uint64_t id = 1; id <= 2; ++id) {
-    prefillOne(driver, id);
-    AttemptEnded done{
+    executePrefill(driver, id);
+    AttemptEnded completion{
         .id = {id}, .attempt = 1, .endpoint = {driver.lastEndpoint(id)}, .outcome = Outcome::completed};
-    done.requestEnded = true;
-    done.report = LoadReport{.memoryShare = driver.lastEndpoint(id) == 11 ? 0.8 : 0.2};
-    driver.deliver(done);
+    completion.requestEnded = true;
+    completion.report = LoadReport{.memoryShare = driver.lastEndpoint(id) == 11 ? 0.8 : 0.2};
+    driver.deliver(completion);
   }
-  prefillOne(driver, 3);
+  executePrefill(driver, 3);
   EXPECT_EQ(driver.lastEndpoint(3), 12u);
 }
 
-TEST(DecodeSelection, LeavesTheCellWhenItIsFull) {
+TEST(DecodeSelection, SelectsAnotherCellWhenTheCellIsFull) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
   for (std::uint64_t id = 1; id <= 2; ++id) {
-    prefillOne(driver, id);
-    AttemptEnded done{
+    executePrefill(driver, id);
+    AttemptEnded completion{
         .id = {id}, .attempt = 1, .endpoint = {driver.lastEndpoint(id)}, .outcome = Outcome::completed};
-    done.requestEnded = true;
-    done.report = LoadReport{.memoryShare = 0.99};
-    driver.deliver(done);
+    completion.requestEnded = true;
+    completion.report = LoadReport{.memoryShare = 0.99};
+    driver.deliver(completion);
   }
-  prefillOne(driver, 3);
+  executePrefill(driver, 3);
   EXPECT_EQ(driver.lastEndpoint(3), 13u);
 }
 
 TEST(DecodeSelection, KeepsTheKvStateWithinTheReleaseTimeoutWhenThereIsNoRoom) {
-  Settings custom = settings();
-  PolicyDriver driver(custom);
+  Settings customSettings = settings();
+  PolicyDriver driver(customSettings);
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
-  prefillOne(driver, 1);
+  executePrefill(driver, 1);
   driver.deliver(driver.newRequest(2));
-  AttemptEnded done{.id = {1}, .attempt = 1, .endpoint = {11}, .outcome = Outcome::completed};
-  done.requestEnded = true;
-  done.report = LoadReport{.memoryShare = 1};
-  driver.deliver(done);
+  AttemptEnded completion{.id = {1}, .attempt = 1, .endpoint = {11}, .outcome = Outcome::completed};
+  completion.requestEnded = true;
+  completion.report = LoadReport{.memoryShare = 1};
+  driver.deliver(completion);
   driver.advanceTime(50 * kMs);
   driver.endAttempt(2, Outcome::prefillDone);
   EXPECT_EQ(driver.count<Send>(2), 1);
-  driver.advanceTime(custom.kvReleaseTimeout);
-  EXPECT_EQ(driver.count<Send>(2), 2);  // sent all the same when the timeout is near
+  driver.advanceTime(customSettings.kvReleaseTimeout);
+  EXPECT_EQ(driver.count<Send>(2), 2);  // sent without room, as the release timeout is near
 }
 
-TEST(DecodeSelection, AdmitsNothingNewWhenThereIsNoRoomAnywhere) {
+TEST(DecodeSelection, AdmitsNoNewRequestWhenNoEndpointHasRoom) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
-  prefillOne(driver, 1);
-  AttemptEnded done{.id = {1}, .attempt = 1, .endpoint = {11}, .outcome = Outcome::completed};
-  done.requestEnded = true;
-  done.report = LoadReport{.memoryShare = 0.97};
-  driver.deliver(done);
+  executePrefill(driver, 1);
+  AttemptEnded completion{.id = {1}, .attempt = 1, .endpoint = {11}, .outcome = Outcome::completed};
+  completion.requestEnded = true;
+  completion.report = LoadReport{.memoryShare = 0.97};
+  driver.deliver(completion);
   driver.deliver(driver.newRequest(2));
   EXPECT_EQ(driver.count<Send>(2), 0);
   EXPECT_EQ(driver.count<Reject>(2), 1);
 }
 
-TEST(DecodeSelection, PrefillsAgainWithoutBlamingTheDecodeEndpointWhenTheKvStateIsMissing) {
+TEST(DecodeSelection, PrefillsAgainWithoutPenalisingTheDecodeEndpointWhenTheKvStateIsMissing) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(11, kDecode)});
   driver.deliver(driver.newRequest(1));
@@ -99,43 +100,45 @@
   driver.endAttempt(1, Outcome::rejected, 0, true);
   EXPECT_EQ(driver.lastEndpoint(1), endpointOfFirst == 1 ? 2u : 1u);
   driver.endAttempt(1, Outcome::prefillDone);
-  EXPECT_EQ(driver.lastEndpoint(1), 11u);  // not blamed
+  EXPECT_EQ(driver.lastEndpoint(1), 11u);  // still selected
 }
 
 TEST(DecodeSelection, TriesAnotherEndpointWhenOneIsFull) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
-  prefillOne(driver, 1);
+  executePrefill(driver, 1);
   const auto first = driver.lastEndpoint(1);
   driver.endAttempt(1, Outcome::rejected);
   EXPECT_NE(driver.lastEndpoint(1), first);
   EXPECT_EQ(driver.count<Send>(1), 3);
 }
 
-// A hundred routers that know nothing of equal decode endpoints must not all choose the same.
-TEST(DecodeSelection, SpreadsRoutersThatKnowNothingOverEqualEndpoints) {
-  Settings custom = settings();
-  custom.routers = 100;
+// Prevents overload of one decode endpoint when a hundred routers without observations choose among equal
+// ones.
+TEST(DecodeSelection, SpreadsRoutersWithoutObservationsOverEqualEndpoints) {
+  Settings customSettings = settings();
+  customSettings.routers = 100;
   std::map<std::uint64_t, int> chosen;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    PolicyDriver driver(custom, seed);
+    PolicyDriver driver(customSettings, seed);
     driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode), endpoint(12, kDecode),
                          endpoint(13, kDecode), endpoint(14, kDecode)});
-    prefillOne(driver, 1);
+    executePrefill(driver, 1);
     ++chosen[driver.lastEndpoint(1)];
   }
   for (std::uint64_t id = 11; id <= 14; ++id) EXPECT_LE(chosen[id], 40) << id;
 }
 
-// One own stream at an endpoint is no sign of one at each of a hundred routers.
-TEST(DecodeSelection, DoesNotTakeOneOwnStreamForOneOfEachRouter) {
-  Settings custom = settings();
-  custom.routers = 100;
-  PolicyDriver driver(custom);
+// Prevents a router from leaving the cell because it takes its single stream at an endpoint for one from each
+// of a hundred routers.
+TEST(DecodeSelection, DoesNotExtrapolateOneOwnStreamToAllRouters) {
+  Settings customSettings = settings();
+  customSettings.routers = 100;
+  PolicyDriver driver(customSettings);
   driver.setEndpoints({endpoint(1, kPrefill, 0), endpoint(11, kDecode, 0), endpoint(12, kDecode, 1),
                        endpoint(13, kDecode, 1), endpoint(14, kDecode, 1), endpoint(15, kDecode, 1)});
   for (std::uint64_t id = 1; id <= 2; ++id) {
-    prefillOne(driver, id, 2000);
+    executePrefill(driver, id, 2000);
     EXPECT_EQ(driver.lastEndpoint(id), 11u);
     driver.advanceTime(20 * kMs);
     driver.deliver(StreamStarted{{id}, 1});
@@ -143,8 +146,9 @@
   }
 }
 
-// Prefills between answers slow them: where answers stream for long, fewer requests are executed whole.
-TEST(CombinedShare, IsSmallerWhenAnswersOfCombinedEndpointsStreamForLong) {
+// Prevents prefills from slowing the streams at combined endpoints: where answers stream longer, fewer
+// requests are executed whole.
+TEST(CombinedShare, IsSmallerWhenAnswersOfCombinedEndpointsStreamLonger) {
   const auto sentWhole = [](Micros streamTimeAtCombined) {
     PolicyDriver driver(settings());
     driver.setEndpoints(
@@ -162,11 +166,11 @@
     }
     return count;
   };
-  const int usual = sentWhole(500 * kMs);
-  const int slow = sentWhole(3 * kSec);
-  EXPECT_GT(usual, 30);  // half of the decode memory is there
-  EXPECT_GT(slow, 0);
-  EXPECT_LT(2 * slow, usual);
+  const int sentAtEqualSpeed = sentWhole(500 * kMs);
+  const int sentWhenSlow = sentWhole(3 * kSec);
+  EXPECT_GT(sentAtEqualSpeed, 30);  // the combined endpoint has half of the decode memory
+  EXPECT_GT(sentWhenSlow, 0);
+  EXPECT_LT(2 * sentWhenSlow, sentAtEqualSpeed);
 }
 
 }  // namespace
--- a/tests/policy/prefill_selection_test.cpp
+++ b/tests/policy/prefill_selection_test.cpp
@@ -1,4 +1,4 @@
-// Where a prompt is prefilled: cached prefixes, the cost model, the queue.
+// Selection of the prefill endpoint by cached prefixes, the cost model and the queue.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -13,25 +13,25 @@
           endpoint(11, kDecode, 0), endpoint(12, kDecode, 0), endpoint(13, kDecode, 1)};
 }
 
-TEST(PrefillSelection, SendsAnUnknownPrefixToTheSameEndpointWhateverTheSeed) {
+TEST(PrefillSelection, SendsAnUncachedPrefixToTheSameEndpointForEverySeed) {
   std::set<std::uint64_t> prefillEndpoints;
   for (std::uint64_t key = 1; key <= 20; ++key) {
-    PolicyDriver a(settings(), 1);
-    PolicyDriver b(settings(), 99);
-    for (PolicyDriver* driver : {&a, &b}) {
+    PolicyDriver firstRouter(settings(), 1);
+    PolicyDriver secondRouter(settings(), 99);
+    for (PolicyDriver* driver : {&firstRouter, &secondRouter}) {
       driver->setEndpoints(fleet());
       auto request = driver->newRequest(1);
       request.sharedPrefix = {key};
       request.sharedPrefixTokens = 800;
       driver->deliver(request);
     }
-    EXPECT_EQ(a.lastEndpoint(1), b.lastEndpoint(1));
-    prefillEndpoints.insert(a.lastEndpoint(1));
+    EXPECT_EQ(firstRouter.lastEndpoint(1), secondRouter.lastEndpoint(1));
+    prefillEndpoints.insert(firstRouter.lastEndpoint(1));
   }
   EXPECT_EQ(prefillEndpoints, (std::set<std::uint64_t>{1, 2, 3}));
 }
 
-TEST(PrefillSelection, ReturnsToWhereTheSessionIsCached) {
+TEST(PrefillSelection, SendsASessionToTheEndpointThatCachesIt) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
   auto first = driver.newRequest(1);
@@ -44,7 +44,7 @@
   EXPECT_EQ(driver.lastEndpoint(2), endpointOfFirst);
 }
 
-TEST(PrefillSelection, FindsASharedPrefixForOtherSessions) {
+TEST(PrefillSelection, ReusesASharedPrefixForOtherSessions) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
   auto first = driver.newRequest(1);
@@ -66,11 +66,11 @@
   auto first = driver.newRequest(1);
   first.promptTokens = 4000;
   const auto endpointOfFirst = driver.serve(first, 240 * kMs);
-  for (std::uint64_t id = 2; id <= 3; ++id) {  // two long prefills of the same session queue there
-    auto busy = driver.newRequest(id);
-    busy.session = first.session;
-    busy.promptTokens = 9000;
-    driver.deliver(busy);
+  for (std::uint64_t id = 2; id <= 3; ++id) {  // two long prefills of the session queue at its endpoint
+    auto longRequest = driver.newRequest(id);
+    longRequest.session = first.session;
+    longRequest.promptTokens = 9000;
+    driver.deliver(longRequest);
   }
   auto next = driver.newRequest(9);
   next.session = first.session;
@@ -79,7 +79,7 @@
   EXPECT_NE(driver.lastEndpoint(9), endpointOfFirst);
 }
 
-TEST(PrefillSelection, ForgetsACachedPrefixAfterItsLifetime) {
+TEST(PrefillSelection, DropsACachedPrefixAfterItsLifetime) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
   auto request = driver.newRequest(1);
@@ -88,24 +88,24 @@
   driver.deliver(request);
   const auto affinityEndpoint = driver.lastEndpoint(1);
   driver.endAttempt(
-      1, Outcome::connectFailed);  // prefilled elsewhere, so the index lists another endpoint than the hash
+      1, Outcome::connectFailed);  // the prefill moves, so the index lists another endpoint than the hash
   const auto other = driver.lastEndpoint(1);
   ASSERT_NE(affinityEndpoint, other);
   driver.advanceTime(240 * kMs);
   driver.endAttempt(1, Outcome::prefillDone);
   driver.endAttempt(1, Outcome::completed);
   driver.advanceTime(2 * kSec);
-  auto soon = driver.newRequest(2);
-  soon.session = {77};
-  driver.serve(soon);
+  auto withinLifetime = driver.newRequest(2);
+  withinLifetime.session = {77};
+  driver.serve(withinLifetime);
   driver.advanceTime(11 * kSec);
-  auto late = driver.newRequest(3);
-  late.session = {77};
-  driver.deliver(late);
+  auto afterLifetime = driver.newRequest(3);
+  afterLifetime.session = {77};
+  driver.deliver(afterLifetime);
   EXPECT_EQ(driver.lastEndpoint(3), affinityEndpoint);
 }
 
-TEST(PrefillSelection, ForgetsTheCacheOfAnEndpointThatRestarts) {
+TEST(PrefillSelection, InvalidatesTheCachedPrefixesOfAnEndpointThatRestarts) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
   auto request = driver.newRequest(1);
@@ -116,7 +116,8 @@
   for (EndpointEntry& entry : restarted)
     if (entry.id.value == endpointOfFirst) entry.startedAt = driver.now;
   driver.setEndpoints(restarted);
-  auto filler = driver.newRequest(2);  // uses up the slow-start budget, so that only a cache could attract
+  auto filler =
+      driver.newRequest(2);  // uses up the slow-start budget, so that only a cached prefix could attract
   filler.session = {77};
   driver.deliver(filler);
   auto next = driver.newRequest(3);
@@ -126,8 +127,8 @@
 }
 
 TEST(PrefillSelection, ServesARequestAfterRepeatedCacheMisses) {
-  Settings custom = settings();
-  PolicyDriver driver(custom);
+  Settings customSettings = settings();
+  PolicyDriver driver(customSettings);
   driver.setEndpoints(fleet());
   for (std::uint64_t id = 1; id <= 3; ++id) {
     auto request = driver.newRequest(id);
@@ -135,14 +136,14 @@
     request.sharedPrefix = {500};
     request.sharedPrefixTokens = 3000;
     request.promptTokens = 3200;
-    driver.serve(request, 200 * kMs, 0);  // finds nothing although the index lists the prefix
+    driver.serve(request, 200 * kMs, 0);  // nothing is cached although the index lists the prefix
   }
   auto next = driver.newRequest(9);
   next.sharedPrefix = {500};
   next.sharedPrefixTokens = 3000;
   next.promptTokens = 3200;
   driver.deliver(next);
-  EXPECT_NE(driver.lastEndpoint(9), 0u);  // still served, by the hash as for an unknown prefix
+  EXPECT_NE(driver.lastEndpoint(9), 0u);  // served by the hash, as for an uncached prefix
 }
 
 TEST(PrefillSelection, AvoidsAnEndpointThatReportsALongQueue) {
@@ -186,9 +187,9 @@
 }
 
 TEST(PrefillSelection, UsesDecodeEndpointsWhenAllowedAndNoPrefillEndpointIsLeft) {
-  Settings custom = settings();
-  custom.decodeEndpointsPrefill = true;
-  PolicyDriver driver(custom);
+  Settings customSettings = settings();
+  customSettings.decodeEndpointsPrefill = true;
+  PolicyDriver driver(customSettings);
   driver.setEndpoints({endpoint(11, kDecode)});
   driver.deliver(driver.newRequest(1));
   EXPECT_EQ(driver.lastEndpoint(1), 11u);
@@ -200,10 +201,10 @@
   driver.deliver(driver.newRequest(1));
   driver.advanceTime(50 * kMs);
   driver.deliver(
-      driver.newRequest(2));  // answered in between, so that the endpoint is busy, not unresponsive
+      driver.newRequest(2));  // completes in between, so that the endpoint is busy, not unresponsive
   driver.advanceTime(850 * kMs);
   driver.endAttempt(2, Outcome::prefillDone);
-  driver.deliver(driver.newRequest(3));  // the first prefill has waited for 900 ms by now
+  driver.deliver(driver.newRequest(3));  // the first prefill has waited for 900 ms
   EXPECT_EQ(driver.count<Send>(3), 0);
   EXPECT_EQ(driver.count<Reject>(3), 1);
 }
@@ -220,7 +221,7 @@
   EXPECT_EQ(driver.count<Reject>(2), 1);
 }
 
-TEST(PrefillSelection, PricesReportedTokensByTheModelsSlope) {
+TEST(PrefillSelection, EstimatesReportedTokensByTheCostModelsSlope) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
   for (std::uint64_t id = 100; id < 190; ++id) {  // nearly all cached: 30 ms for 100 new tokens
@@ -239,11 +240,11 @@
   done.report = LoadReport{.memoryShare = 0.3, .queuedKiloTokens = 4};
   driver.deliver(done);
   request.id = {51};
-  driver.deliver(request);  // 4,000 tokens at the mean prefill's time for each would take 0.9 s
+  driver.deliver(request);  // at the mean prefill's time per token, the 4,000 would take 0.9 s
   EXPECT_EQ(driver.lastEndpoint(51), 1u);
 }
 
-TEST(PrefillSelection, RejectsAtOnceWhatCannotBeInTime) {
+TEST(PrefillSelection, RejectsRequestsThatCannotBeInTime) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
   std::uint64_t id = 1;
@@ -256,27 +257,29 @@
   EXPECT_LT(id, 20u);
 }
 
-// A cell with one decode endpoint for many prefill endpoints would get more KV states than it can decode.
-TEST(PrefillSelection, SendsLessToCellsWithLittleDecodeMemory) {
+// Prevents a cell with one decode endpoint for many prefill endpoints from producing more KV states than it
+// can decode.
+TEST(PrefillSelection, SendsFewerRequestsToCellsWithLittleDecodeMemory) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill, 0), endpoint(2, kPrefill, 0), endpoint(3, kPrefill, 0),
                        endpoint(4, kPrefill, 1), endpoint(5, kPrefill, 1), endpoint(11, kDecode, 0),
                        endpoint(12, kDecode, 1), endpoint(13, kDecode, 1), endpoint(14, kDecode, 1)});
-  int skewed = 0;
+  int sentToCellWithLittleDecode = 0;
   for (std::uint64_t id = 1; id <= 100; ++id) {
-    skewed += driver.serve(driver.newRequest(id)) <= 3 ? 1 : 0;  // an unweighted hash: 60 of 100
+    sentToCellWithLittleDecode +=
+        driver.serve(driver.newRequest(id)) <= 3 ? 1 : 0;  // 60 of 100 with unweighted hashes
     driver.advanceTime(kSec);
   }
-  EXPECT_GT(skewed, 0);
-  EXPECT_LT(skewed, 45);
+  EXPECT_GT(sentToCellWithLittleDecode, 0);
+  EXPECT_LT(sentToCellWithLittleDecode, 45);
 }
 
-// With every prefill endpoint gone, prefills that went on after a cancel kept the decode endpoints busy for
-// good.
+// Prevents prefills that continue after a cancellation from keeping the decode endpoints busy permanently
+// when every prefill endpoint is gone.
 TEST(PrefillSelection, PrefillsAtDecodeEndpointsOnlyInTimeAndOnTheFirstAttempt) {
-  Settings custom = settings();
-  custom.decodeEndpointsPrefill = true;
-  PolicyDriver driver(custom);
+  Settings customSettings = settings();
+  customSettings.decodeEndpointsPrefill = true;
+  PolicyDriver driver(customSettings);
   driver.setEndpoints({endpoint(11, kDecode)});
   int sends = 0;
   for (std::uint64_t id = 1; id <= 40; ++id) {
@@ -289,31 +292,31 @@
   EXPECT_EQ(driver.count<Send>(1), 1);
 }
 
-// With fewer decode endpoints than cells, prefill endpoints of a cell without one must not be left idle. They
-// get less than others, as their KV states cross links, but a real share.
-TEST(PrefillSelection, SendsAShareToACellWithoutDecodeEndpoints) {
+// Prevents idle prefill endpoints in cells without decode endpoints, where there are fewer decode endpoints
+// than cells. They get fewer requests than others, as their KV states cross links, but a substantial share.
+TEST(PrefillSelection, SendsAShareOfRequestsToACellWithoutDecodeEndpoints) {
   PolicyDriver driver(settings());
   std::vector<EndpointEntry> fleet;
   for (std::uint64_t id = 1; id <= 4; ++id) fleet.push_back(endpoint(id, kPrefill, 0));
   for (std::uint64_t id = 5; id <= 8; ++id) fleet.push_back(endpoint(id, kPrefill, 1));
   fleet.push_back(endpoint(11, kDecode, 0));
   driver.setEndpoints(fleet);
-  int bare = 0;
+  int sentToCellWithoutDecode = 0;
   for (std::uint64_t id = 1; id <= 200; ++id) {
-    bare += driver.serve(driver.newRequest(id)) >= 5 ? 1 : 0;
+    sentToCellWithoutDecode += driver.serve(driver.newRequest(id)) >= 5 ? 1 : 0;
     driver.advanceTime(500 * kMs);
   }
-  EXPECT_GT(bare, 200 * 0.2);  // 0.6 of 2.0 is 60; a tenth was 13
-  EXPECT_LT(bare, 200 * 0.45);
+  EXPECT_GT(sentToCellWithoutDecode, 200 * 0.2);  // 200 * 0.6 / 2.0 = 60 expected; weight 0.1 gave 13
+  EXPECT_LT(sentToCellWithoutDecode, 200 * 0.45);
 }
 
-// The margin applies to the wait, not to the own prefill: a long prompt has a later objective, and an idle
-// endpoint serves it in time.
+// Prevents rejections of long prompts at an idle endpoint: the margin applies to the wait, not to the
+// request's own prefill, and a long prompt has a later objective.
 TEST(PrefillSelection, DoesNotRejectALongPromptForItsOwnPrefillAlone) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
   auto request = driver.newRequest(1);
-  request.promptTokens = 45'000;  // prefilled in 2.7 s of the 3.7 s to its objective
+  request.promptTokens = 45'000;  // its prefill takes 2.7 s of the 3.7 s until its objective
   driver.deliver(request);
   EXPECT_EQ(driver.lastEndpoint(1), 1u);
   auto second = driver.newRequest(2);  // waits for the first
