--- a/src/policy/prefill_cost_model.h
+++ b/src/policy/prefill_cost_model.h
@@ -10,9 +10,9 @@
 
 namespace garnethook::policy {
 
-/// The model is time(x, y) = d + c x (1 - y) + a x^2 (1 - y^2), with x the prompt length in thousands of
-/// tokens, y the cached share, and the coefficients in microseconds. It is fitted online by least squares
-/// with exponential forgetting. Coordinate descent keeps every coefficient non-negative.
+/// Models the prefill time as time(x, y) = d + c x (1 - y) + a x^2 (1 - y^2), with x the prompt length in
+/// thousands of tokens, y the cached share, and the coefficients in microseconds. The model is fitted online
+/// by least squares with exponential forgetting. Coordinate descent keeps every coefficient non-negative.
 class PrefillCostModel {
  public:
   /// Effective number of past samples that the fit takes into account.
