--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -4,7 +4,7 @@
 #include <cstdlib>
 #include <vector>
 
-#include "policy/busy_world.h"
+#include "policy/traffic_simulation.h"
 
 int main(int argc, char** argv) {
   using namespace garnethook::test;
@@ -13,12 +13,12 @@
   if (argc > 1) sizes = {static_cast<std::size_t>(std::atoi(argv[1]))};
   for (const std::size_t endpoints : sizes)
     for (const double rate : {100.0, 1000.0}) {
-      BusyOptions options;
+      SimulationOptions options;
       options.endpoints = endpoints;
       options.perSecond = rate;
       options.seconds = rate < 500 ? 30 : 14;  // longer than the policy remembers
       options.timed = true;
-      BusyWorld world(options);
+      TrafficSimulation world(options);
       world.play([](auto, const auto&, const auto&) {});
       std::printf("%9zu %10.0f %14.2f %9.1f%%\n", endpoints, rate,
                   world.seconds * 1e6 / static_cast<double>(world.requests),
--- a/tests/policy/endpoint_registry_test.cpp
+++ b/tests/policy/endpoint_registry_test.cpp
@@ -8,7 +8,7 @@
 #include <map>
 #include <set>
 
-#include "policy/busy_world.h"
+#include "policy/traffic_simulation.h"
 
 namespace garnethook::test {
 namespace {
@@ -125,12 +125,12 @@
 
 // 80 requests a second for 8 s, as one router of a platform may see.
 SizeResult playAt(std::size_t endpoints, double errors) {
-  BusyOptions options;
+  SimulationOptions options;
   options.endpoints = endpoints;
   options.perSecond = 80;
   options.seconds = 8;
   options.errors = errors;
-  BusyWorld world(options);
+  TrafficSimulation world(options);
   std::set<EndpointId> used;
   world.play([&](auto, const auto&, const auto& actions) {
     for (const Action& action : actions)
--- a/tests/policy/recorded_stream_test.cpp
+++ b/tests/policy/recorded_stream_test.cpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "policy/busy_world.h"
 #include "policy/policy_driver.h"
+#include "policy/traffic_simulation.h"
 
 namespace garnethook::test {
 namespace {
@@ -49,7 +49,7 @@
 
 TEST_P(RecordedStream, GivesTheSameActionsAsWhenItWasRecorded) {
   const RecordedCase recorded = GetParam();
-  BusyOptions options;
+  SimulationOptions options;
   options.endpoints = recorded.endpoints;
   options.combined = recorded.combined;
   options.perSecond = recorded.perSecond;
@@ -59,7 +59,7 @@
   options.seconds = 14;
   options.sharedPrefixes = recorded.seed % 2 ? 200 : 3;
   options.seed = recorded.seed;
-  BusyWorld world(options);
+  TrafficSimulation world(options);
   Digest digest;
   world.play([&](Micros, const Event&, const std::vector<Action>& actions) {
     for (const Action& action : actions) std::visit(digest, action);
--- a/tests/policy/busy_world.h
+++ b/tests/policy/traffic_simulation.h
@@ -13,7 +13,7 @@
 
 namespace garnethook::test {
 
-struct BusyOptions {
+struct SimulationOptions {
   std::size_t endpoints = 10;  // half of them prefill endpoints, in cells of ten
   std::size_t combined = 0;    // of them endpoints of the combined role
   double perSecond = 1000;
@@ -27,9 +27,9 @@
   bool timed = false;  // measure the time inside the policy
 };
 
-class BusyWorld {
+class TrafficSimulation {
  public:
-  explicit BusyWorld(const BusyOptions& options)
+  explicit TrafficSimulation(const SimulationOptions& options)
       : options_(options), random_(options.seed), policy_(settings(), options.seed) {}
 
   // Plays the whole run. `observe` gets each answer of the policy, in order.
@@ -209,7 +209,7 @@
   }
   double uniform() { return static_cast<double>(random_() >> 11) / 9007199254740992.0; }
 
-  BusyOptions options_;
+  SimulationOptions options_;
   std::mt19937_64 random_;
   RoutingPolicy policy_;
   Micros now_ = kStart;
