--- a/tests/example/main.cpp
+++ b/tests/example/main.cpp
@@ -1,4 +1,4 @@
-// A complete small embedding: settings, a list of endpoints, one request.
+// A minimal program that embeds the routing policy: settings, an endpoint list and one request.
 #include <iostream>
 
 #include "policy/routing_policy.h"
--- a/tests/policy/endpoint_registry_test.cpp
+++ b/tests/policy/endpoint_registry_test.cpp
@@ -1,4 +1,4 @@
-// The index of the endpoints, and what a request considers among thousands of them.
+// Tests the endpoint index, and the bounded set of endpoints that a router uses in a large fleet.
 #include "policy/endpoint_registry.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,8 @@
 using policy::Endpoint;
 using policy::EndpointRegistry;
 
-// Listed prefill endpoints with weights that differ; identifiers as far apart as real ones.
+// Returns a registry of listed prefill endpoints with different weights, and with identifiers spread over the
+// whole range, as in production.
 EndpointRegistry prefillEndpoints(std::size_t count, std::uint64_t router = 1) {
   EndpointRegistry registry({policy::mixBits(router)});
   for (std::size_t i = 0; i < count; ++i) {
@@ -34,16 +35,17 @@
   return registry;
 }
 
-// The lowest hashes by definition, from all endpoints in order.
+// Reference implementation: returns the endpoints with the lowest weighted rendezvous hashes, by hashing and
+// sorting all of them.
 std::vector<EndpointId> lowestHashes(const EndpointRegistry& registry, PrefixKey key, std::size_t count) {
-  std::vector<std::pair<double, EndpointId>> draws;
+  std::vector<std::pair<double, EndpointId>> hashes;
   for (const auto& [id, endpoint] : registry.all()) {
-    const double draw = static_cast<double>(policy::rendezvousHash(key, id) >> 11) + 0.5;
-    draws.emplace_back(-std::log(draw / 9007199254740992.0) / endpoint.hashWeight, id);
+    const double unitHash = static_cast<double>(policy::rendezvousHash(key, id) >> 11) + 0.5;
+    hashes.emplace_back(-std::log(unitHash / 9007199254740992.0) / endpoint.hashWeight, id);
   }
-  std::sort(draws.begin(), draws.end());
+  std::sort(hashes.begin(), hashes.end());
   std::vector<EndpointId> lowest;
-  for (std::size_t i = 0; i < count; ++i) lowest.push_back(draws[i].second);
+  for (std::size_t i = 0; i < count; ++i) lowest.push_back(hashes[i].second);
   return lowest;
 }
 
@@ -90,7 +92,7 @@
   EXPECT_EQ(kept, EndpointRegistry::kOwnSubsetSize - 1);
 }
 
-TEST(EndpointRegistry, CoversAllEndpointsEvenlyByTheSubsetsOfAllRouters) {
+TEST(EndpointRegistry, CoversAllEndpointsEvenlyWithTheSubsetsOfAllRouters) {
   constexpr std::size_t kEndpoints = 800;
   constexpr std::size_t kRouters = 300;
   std::map<EndpointId, std::size_t> uses;
@@ -118,36 +120,38 @@
   EXPECT_EQ(registry.listedCount(Role::prefill), 199U);
 }
 
-struct SizeResult {
-  double servedShare = 0;
+struct FleetResult {
+  double completedShare = 0;
   std::size_t endpointsUsed = 0;
 };
 
-// 80 requests a second for 8 s, as one router of a platform may see.
-SizeResult playAt(std::size_t endpoints, double errors) {
+// Simulates 8 s at 80 requests a second, a load that one router of a platform may have.
+FleetResult simulateFleet(std::size_t endpointCount, double failureShare) {
   SimulationOptions options;
-  options.endpoints = endpoints;
-  options.perSecond = 80;
-  options.seconds = 8;
-  options.errors = errors;
-  TrafficSimulation world(options);
-  std::set<EndpointId> used;
-  world.play([&](auto, const auto&, const auto& actions) {
+  options.endpoints = endpointCount;
+  options.requestsPerSecond = 80;
+  options.durationSeconds = 8;
+  options.failureShare = failureShare;
+  TrafficSimulation simulation(options);
+  std::set<EndpointId> usedEndpoints;
+  simulation.run([&](auto, const auto&, const auto& actions) {
     for (const Action& action : actions)
-      if (const auto* send = std::get_if<Send>(&action)) used.insert(send->endpoint);
+      if (const auto* send = std::get_if<Send>(&action)) usedEndpoints.insert(send->endpoint);
   });
-  return {static_cast<double>(world.served) / static_cast<double>(world.requests), used.size()};
+  return {static_cast<double>(simulation.completedRequests) / static_cast<double>(simulation.arrivedRequests),
+          usedEndpoints.size()};
 }
 
-// The endpoints that a router uses bound its connections; what it serves must not suffer by that.
-TEST(LargeFleet, IsServedThroughABoundedSetWithoutLoss) {
-  for (const double errors : {0.0, 0.05}) {
-    const SizeResult usual = playAt(200, errors);
-    const SizeResult large = playAt(3200, errors);
-    EXPECT_LE(large.endpointsUsed, usual.endpointsUsed * 5 / 2 + 40);
-    EXPECT_GE(large.servedShare, 0.97 * usual.servedShare);
-    std::cout << "served " << usual.servedShare << " and " << large.servedShare << ", endpoints used "
-              << usual.endpointsUsed << " and " << large.endpointsUsed << "\n";
+// A router uses a bounded set of endpoints, which limits its connections. This must not reduce the share of
+// completed requests.
+TEST(LargeFleet, CompletesAsManyRequestsThroughABoundedSetOfEndpoints) {
+  for (const double failureShare : {0.0, 0.05}) {
+    const FleetResult medium = simulateFleet(200, failureShare);
+    const FleetResult large = simulateFleet(3200, failureShare);
+    EXPECT_LE(large.endpointsUsed, medium.endpointsUsed * 5 / 2 + 40);
+    EXPECT_GE(large.completedShare, 0.97 * medium.completedShare);
+    std::cout << "completed share " << medium.completedShare << " and " << large.completedShare
+              << ", endpoints used " << medium.endpointsUsed << " and " << large.endpointsUsed << "\n";
   }
 }
 
--- a/tests/policy/policy_driver.h
+++ b/tests/policy/policy_driver.h
@@ -1,4 +1,4 @@
-// A small scripted world around one RoutingPolicy: a clock, its timers, and a log of its actions.
+// Test driver for one RoutingPolicy: simulates the clock and the timers, and records all actions.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 constexpr Micros kMs = 1000;
 constexpr Micros kSec = 1'000'000;
 
-// Indices of the classes and kinds of settings().
+// Indices into the classes and kinds of settings().
 enum ClassIndex : std::size_t { kIdempotent, kIdempotentWithKey, kNonIdempotent };
 enum KindIndex : std::size_t { kPrefill, kDecode, kCombined };
 
@@ -59,7 +59,7 @@
  public:
   explicit PolicyDriver(const Settings& settings, std::uint64_t seed = 1) : policy_(settings, seed) {}
 
-  // Delivers an event; returns the actions that answered it.
+  // Delivers an event and returns the resulting actions.
   std::vector<Action> deliver(const Event& event) {
     std::vector<Action> actions;
     policy_.handle(now, event, actions);
@@ -75,16 +75,16 @@
     return deliver(EndpointUpdate{kind, std::move(entries)});
   }
 
-  // Lets time pass, firing the timers that come due.
-  void advanceTime(Micros time) {
-    const Micros until = now + time;
-    while (!timers_.empty() && timers_.begin()->first <= until) {
-      const auto [at, id] = *timers_.begin();
+  // Advances the clock and fires the timers that expire.
+  void advanceTime(Micros duration) {
+    const Micros end = now + duration;
+    while (!timers_.empty() && timers_.begin()->first <= end) {
+      const auto [expiry, id] = *timers_.begin();
       timers_.erase(timers_.begin());
-      now = std::max(now, at);
+      now = std::max(now, expiry);
       deliver(TimerFired{id});
     }
-    now = until;
+    now = end;
   }
 
   RequestArrived newRequest(std::uint64_t id, ClassIndex requestClass = kIdempotent) const {
@@ -96,29 +96,29 @@
             .maxOutput = 200};
   }
 
-  // The latest send of a request, or nullptr.
+  // Returns the latest send of a request, or nullptr if there is none.
   const Send* lastSend(std::uint64_t id) const {
-    const auto at = std::find_if(log.rbegin(), log.rend(), [&](const auto& item) {
-      const auto* send = std::get_if<Send>(&item.second);
+    const auto found = std::find_if(log.rbegin(), log.rend(), [&](const auto& record) {
+      const auto* send = std::get_if<Send>(&record.second);
       return send != nullptr && send->id.value == id;
     });
-    return at == log.rend() ? nullptr : &std::get<Send>(at->second);
+    return found == log.rend() ? nullptr : &std::get<Send>(found->second);
   }
-  // Where the latest send of a request went; 0: there was none.
+  // Returns the endpoint of the latest send of a request, or 0 if there is none.
   std::uint64_t lastEndpoint(std::uint64_t id) const {
     return lastSend(id) == nullptr ? 0 : lastSend(id)->endpoint.value;
   }
 
-  // How many actions of a kind a request had.
-  template <class Kind>
+  // Returns the number of actions of a type that refer to a request.
+  template <class ActionType>
   int count(std::uint64_t id) const {
-    return static_cast<int>(std::count_if(log.begin(), log.end(), [&](const auto& item) {
-      const auto* action = std::get_if<Kind>(&item.second);
+    return static_cast<int>(std::count_if(log.begin(), log.end(), [&](const auto& record) {
+      const auto* action = std::get_if<ActionType>(&record.second);
       return action != nullptr && action->id.value == id;
     }));
   }
 
-  // Ends the latest attempt of a request.
+  // Ends the latest attempt of a request with an outcome and returns the resulting actions.
   std::vector<Action> endAttempt(std::uint64_t id, Outcome outcome, double cachedTokens = 0,
                                  bool kvStateMissing = false) {
     AttemptEnded event{
@@ -129,8 +129,8 @@
     return deliver(event);
   }
 
-  // A whole ordinary request, prefilled in `prefillTime` and answered after 100 ms. Returns its prefill
-  // endpoint.
+  // Runs a request to completion: its prefill takes `prefillTime`, and its decode completes 100 ms later.
+  // Returns the prefill endpoint.
   std::uint64_t serve(const RequestArrived& request, Micros prefillTime = 60 * kMs, double cachedTokens = 0) {
     const std::uint64_t id = request.id.value;
     deliver(request);
--- a/tests/policy/recorded_stream_test.cpp
+++ b/tests/policy/recorded_stream_test.cpp
@@ -1,5 +1,6 @@
-// The policy must make the same decisions as before wherever only its code or speed has changed. A change of
-// decisions on purpose changes the digests, and says so in its commit.
+// Detects unintended changes of the policy's decisions, such as by refactoring or optimisation: digests of
+// the actions in simulated traffic must equal the recorded ones. A commit that changes decisions
+// intentionally updates the digests and says so in its message.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -12,35 +13,38 @@
 namespace garnethook::test {
 namespace {
 
-class Digest {
+// FNV-1a hash of a sequence of actions.
+class ActionDigest {
  public:
-  void operator()(const Send& a) { put(1, a.id.value, a.endpoint.value, a.timeout); }
-  void operator()(const Cancel& a) { put(2, a.id.value, a.attempt); }
-  void operator()(const Reject& a) { put(3, a.id.value, a.retryAfter); }
-  void operator()(const Fail& a) { put(4, a.id.value); }
-  void operator()(const Release& a) { put(5, a.id.value); }
-  void operator()(const SetTimer& a) { put(6, a.id.value, a.delay); }
-  void operator()(const Probe& a) { put(7, a.endpoint.value); }
-  void operator()(const Subscribe&) { put(8); }
-  // Counts the line, not its words, which are for people: LogText tests them.
-  void operator()(const Log&) { put(9); }
+  void operator()(const Send& typedAction) {
+    add(1, typedAction.id.value, typedAction.endpoint.value, typedAction.timeout);
+  }
+  void operator()(const Cancel& typedAction) { add(2, typedAction.id.value, typedAction.attempt); }
+  void operator()(const Reject& typedAction) { add(3, typedAction.id.value, typedAction.retryAfter); }
+  void operator()(const Fail& typedAction) { add(4, typedAction.id.value); }
+  void operator()(const Release& typedAction) { add(5, typedAction.id.value); }
+  void operator()(const SetTimer& typedAction) { add(6, typedAction.id.value, typedAction.delay); }
+  void operator()(const Probe& typedAction) { add(7, typedAction.endpoint.value); }
+  void operator()(const Subscribe&) { add(8); }
+  // Covers the presence of a log line but not its text, which LogText tests.
+  void operator()(const Log&) { add(9); }
   std::uint64_t value = 1469598103934665603ULL;
 
  private:
   template <class... Numbers>
-  void put(Numbers... numbers) {
-    (number(static_cast<std::uint64_t>(numbers)), ...);
+  void add(Numbers... numbers) {
+    (addNumber(static_cast<std::uint64_t>(numbers)), ...);
   }
-  void number(std::uint64_t n) {
-    for (int i = 0; i < 8; ++i) byte(static_cast<std::uint8_t>(n >> (8 * i)));
+  void addNumber(std::uint64_t number) {
+    for (int i = 0; i < 8; ++i) addByte(static_cast<std::uint8_t>(number >> (8 * i)));
   }
-  void byte(std::uint8_t o) { value = (value ^ o) * 1099511628211ULL; }
+  void addByte(std::uint8_t byte) { value = (value ^ byte) * 1099511628211ULL; }
 };
 
 struct RecordedCase {
-  std::size_t endpoints, combined;
-  double perSecond, errors;
-  bool reports, restarts;
+  std::size_t endpoints, combinedEndpoints;
+  double requestsPerSecond, failureShare;
+  bool loadReports, restartEndpoints;
   std::uint64_t seed;
   std::uint64_t expected;
 };
@@ -51,20 +55,20 @@
   const RecordedCase recorded = GetParam();
   SimulationOptions options;
   options.endpoints = recorded.endpoints;
-  options.combined = recorded.combined;
-  options.perSecond = recorded.perSecond;
-  options.errors = recorded.errors;
-  options.reports = recorded.reports;
-  options.restarts = recorded.restarts;
-  options.seconds = 14;
-  options.sharedPrefixes = recorded.seed % 2 ? 200 : 3;
+  options.combinedEndpoints = recorded.combinedEndpoints;
+  options.requestsPerSecond = recorded.requestsPerSecond;
+  options.failureShare = recorded.failureShare;
+  options.loadReports = recorded.loadReports;
+  options.restartEndpoints = recorded.restartEndpoints;
+  options.durationSeconds = 14;
+  options.sharedPrefixCount = recorded.seed % 2 ? 200 : 3;
   options.seed = recorded.seed;
-  TrafficSimulation world(options);
-  Digest digest;
-  world.play([&](Micros, const Event&, const std::vector<Action>& actions) {
+  TrafficSimulation simulation(options);
+  ActionDigest digest;
+  simulation.run([&](Micros, const Event&, const std::vector<Action>& actions) {
     for (const Action& action : actions) std::visit(digest, action);
   });
-  EXPECT_GT(world.served, world.requests / 2);
+  EXPECT_GT(simulation.completedRequests, simulation.arrivedRequests / 2);
   EXPECT_EQ(digest.value, recorded.expected) << std::hex << digest.value;
 }
 
@@ -75,7 +79,7 @@
                                          RecordedCase{40, 0, 200, 0.05, false, false, 4, 0x1f76d856542a0b15},
                                          RecordedCase{100, 20, 150, 0.2, true, true, 5, 0xa53c262f884ec0ed}));
 
-// What on-call reads when an endpoint is ejected and when it is reinstated.
+// The log lines of an ejection and of a reinstatement, which operators read.
 TEST(LogText, NamesTheEndpointTheChangeAndTheReason) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(2, kDecode)});
--- a/tests/policy/traffic_simulation.h
+++ b/tests/policy/traffic_simulation.h
@@ -1,5 +1,5 @@
-// A busy simulated world around one RoutingPolicy, for the recorded stream and for the benchmark: open-loop
-// requests, endpoints that answer after drawn times, now and then a failure. Seeded; the same on every run.
+// Simulates traffic on one RoutingPolicy, for tests and for the decision benchmark: open-loop arrivals,
+// endpoints with random response times, and optional failures and restarts. Equal seeds give equal runs.
 #pragma once
 
 #include <chrono>
@@ -14,17 +14,17 @@
 namespace garnethook::test {
 
 struct SimulationOptions {
-  std::size_t endpoints = 10;  // half of them prefill endpoints, in cells of ten
-  std::size_t combined = 0;    // of them endpoints of the combined role
-  double perSecond = 1000;
-  double seconds = 20;
-  double sessionsNew = 0.5;  // share of requests that begin a session
-  double errors = 0;         // share of attempts that end badly
-  std::size_t sharedPrefixes = 200;
-  bool reports = true;
-  bool restarts = false;  // an endpoint restarts each second
+  std::size_t endpoints = 10;         // alternately prefill and decode, in cells of ten
+  std::size_t combinedEndpoints = 0;  // number of them that have the combined role
+  double requestsPerSecond = 1000;
+  double durationSeconds = 20;
+  double newSessionShare = 0.5;  // share of requests that start a session
+  double failureShare = 0;       // share of attempts that fail
+  std::size_t sharedPrefixCount = 200;
+  bool loadReports = true;        // endpoints report their load with each attempt
+  bool restartEndpoints = false;  // one endpoint restarts each second
   std::uint64_t seed = 1;
-  bool timed = false;  // measure the time inside the policy
+  bool measuresPolicyTime = false;  // measure the time spent in the policy
 };
 
 class TrafficSimulation {
@@ -32,29 +32,31 @@
   explicit TrafficSimulation(const SimulationOptions& options)
       : options_(options), random_(options.seed), policy_(settings(), options.seed) {}
 
-  // Plays the whole run. `observe` gets each answer of the policy, in order.
+  // Runs the whole simulation. Calls `observe` with the time, the event and the resulting actions of each
+  // event, in order.
   template <class Observer>
-  void play(Observer observe) {
-    std::vector<EndpointEntry> list;
-    for (std::size_t i = 0; i < options_.endpoints; ++i) list.push_back(entry(i, 0));
-    handle(EndpointUpdate{EndpointUpdate::Kind::snapshot, list}, observe);
-    Micros arrival = 0;
-    Micros restart = kStart + 1'000'000;
-    const Micros end = kStart + static_cast<Micros>(options_.seconds * 1e6);
-    now_ = kStart;
-    arrival = now_;
+  void run(Observer observe) {
+    std::vector<EndpointEntry> entries;
+    for (std::size_t i = 0; i < options_.endpoints; ++i) entries.push_back(makeEntry(i, 0));
+    handle(EndpointUpdate{EndpointUpdate::Kind::snapshot, entries}, observe);
+    Micros nextArrival = 0;
+    Micros nextRestart = kStartTime + 1'000'000;
+    const Micros end = kStartTime + static_cast<Micros>(options_.durationSeconds * 1e6);
+    now_ = kStartTime;
+    nextArrival = now_;
     while (now_ < end) {
-      const Micros next = events_.empty() ? arrival : std::min(arrival, events_.begin()->first.first);
-      now_ = next;
-      if (options_.restarts && now_ >= restart) {
-        restart += 1'000'000;
-        handle(EndpointUpdate{EndpointUpdate::Kind::delta, {entry(random_() % options_.endpoints, now_)}},
+      const Micros nextTime =
+          events_.empty() ? nextArrival : std::min(nextArrival, events_.begin()->first.first);
+      now_ = nextTime;
+      if (options_.restartEndpoints && now_ >= nextRestart) {
+        nextRestart += 1'000'000;
+        handle(EndpointUpdate{EndpointUpdate::Kind::delta, {makeEntry(random_() % options_.endpoints, now_)}},
                observe);
       }
-      if (next == arrival) {
-        arrival += static_cast<Micros>(1e6 / options_.perSecond * (0.5 + uniform()));
+      if (nextTime == nextArrival) {
+        nextArrival += static_cast<Micros>(1e6 / options_.requestsPerSecond * (0.5 + uniform()));
         handle(newRequest(), observe);
-        ++requests;
+        ++arrivedRequests;
       } else {
         const Event event = events_.begin()->second;
         events_.erase(events_.begin());
@@ -63,18 +65,18 @@
     }
   }
 
-  std::uint64_t requests = 0;
-  std::uint64_t served = 0;
-  double seconds = 0;  // inside the policy, where timed
+  std::uint64_t arrivedRequests = 0;
+  std::uint64_t completedRequests = 0;
+  double policySeconds = 0;  // time spent in the policy, if measured
 
  private:
-  static constexpr Micros kStart = 1'000'000'000;
+  static constexpr Micros kStartTime = 1'000'000'000;
   struct ActiveRequest {
     int attempts = 0;
     double tokens = 0;
     bool hasKvState = false;
-    int current = -1;
-    bool started = false;
+    int currentAttempt = -1;  // -1: none in flight
+    bool hasStarted = false;
   };
 
   Settings settings() const {
@@ -101,49 +103,54 @@
     custom.overloadWindow = 2'000'000;
     return custom;
   }
-  EndpointEntry entry(std::size_t i, Micros startedAt) const {
-    const std::size_t kind = i < options_.combined ? 2 : i % 2;
-    return {.id = {1000 + i}, .zone = i / 10 % 3, .kind = kind, .cell = i / 10, .startedAt = startedAt};
+  EndpointEntry makeEntry(std::size_t index, Micros startedAt) const {
+    const std::size_t kind = index < options_.combinedEndpoints ? 2 : index % 2;
+    return {.id = {1000 + index},
+            .zone = index / 10 % 3,
+            .kind = kind,
+            .cell = index / 10,
+            .startedAt = startedAt};
   }
   RequestArrived newRequest() {
     RequestArrived request;
-    request.id = {nextId_++};
+    request.id = {nextRequestId_++};
     request.requestClass = uniform() < 0.9 ? 0 : 1;
     request.remaining = 5'000'000;
-    if (uniform() < options_.sessionsNew || sessions_ == 0) ++sessions_;
-    const auto back = static_cast<std::uint64_t>(uniform() * 20);
-    request.session = {1'000'000 + (sessions_ > back ? sessions_ - back : sessions_)};
+    if (uniform() < options_.newSessionShare || sessionCount_ == 0) ++sessionCount_;
+    const auto sessionAge = static_cast<std::uint64_t>(uniform() * 20);
+    request.session = {1'000'000 + (sessionCount_ > sessionAge ? sessionCount_ - sessionAge : sessionCount_)};
     request.promptTokens = 100 + 2000 * uniform();
     if (uniform() < 0.7) {
-      request.sharedPrefix = {1 + static_cast<std::uint64_t>(uniform() * uniform() *
-                                                             static_cast<double>(options_.sharedPrefixes))};
+      request.sharedPrefix = {1 +
+                              static_cast<std::uint64_t>(uniform() * uniform() *
+                                                         static_cast<double>(options_.sharedPrefixCount))};
       request.sharedPrefixTokens = request.promptTokens * 0.7;
     }
     request.maxOutput = 100;
-    requests_[request.id.value] = {.tokens = request.promptTokens};
+    activeRequests_[request.id.value] = {.tokens = request.promptTokens};
     return request;
   }
 
   template <class Observer>
   void deliver(const Event& event, Observer observe) {
     if (const auto* ended = std::get_if<AttemptEnded>(&event)) {
-      const auto at = requests_.find(ended->id.value);
-      if (at == requests_.end() || at->second.current != ended->attempt) return;
-      at->second.current = -1;
-      at->second.hasKvState = ended->outcome == Outcome::prefillDone;
+      const auto found = activeRequests_.find(ended->id.value);
+      if (found == activeRequests_.end() || found->second.currentAttempt != ended->attempt) return;
+      found->second.currentAttempt = -1;
+      found->second.hasKvState = ended->outcome == Outcome::prefillDone;
       AttemptEnded copy = *ended;
       copy.requestEnded = ended->outcome == Outcome::completed ||
-                          (at->second.started && ended->outcome == Outcome::connectionReset);
-      if (options_.reports)
+                          (found->second.hasStarted && ended->outcome == Outcome::connectionReset);
+      if (options_.loadReports)
         copy.report = LoadReport{.memoryShare = 0.3 + 0.3 * uniform(), .queuedKiloTokens = uniform() * 2};
-      served += ended->outcome == Outcome::completed ? 1 : 0;
-      if (copy.requestEnded) requests_.erase(at);
+      completedRequests += ended->outcome == Outcome::completed ? 1 : 0;
+      if (copy.requestEnded) activeRequests_.erase(found);
       return handle(copy, observe);
     }
     if (const auto* started = std::get_if<StreamStarted>(&event)) {
-      const auto at = requests_.find(started->id.value);
-      if (at == requests_.end() || at->second.current != started->attempt) return;
-      at->second.started = true;
+      const auto found = activeRequests_.find(started->id.value);
+      if (found == activeRequests_.end() || found->second.currentAttempt != started->attempt) return;
+      found->second.hasStarted = true;
     }
     handle(event, observe);
   }
@@ -151,73 +158,79 @@
   template <class Observer>
   void handle(const Event& event, Observer observe) {
     std::vector<Action> actions;
-    if (options_.timed) {
+    if (options_.measuresPolicyTime) {
       const auto before = std::chrono::steady_clock::now();
       policy_.handle(now_, event, actions);
-      seconds += std::chrono::duration<double>(std::chrono::steady_clock::now() - before).count();
+      policySeconds += std::chrono::duration<double>(std::chrono::steady_clock::now() - before).count();
     } else {
       policy_.handle(now_, event, actions);
     }
     observe(now_, event, actions);
-    for (const Action& action : actions) std::visit([this](const auto& kind) { act(kind); }, action);
+    for (const Action& action : actions)
+      std::visit([this](const auto& typedAction) { carryOut(typedAction); }, action);
+  }
+  void schedule(Micros delay, const Event& event) {
+    events_.emplace(std::pair(now_ + delay, nextEventOrder_++), event);
   }
-  void later(Micros delay, const Event& event) { events_.emplace(std::pair(now_ + delay, order_++), event); }
 
-  void act(const Send& action) {
-    const auto at = requests_.find(action.id.value);
-    if (at == requests_.end()) return;
-    ActiveRequest& request = at->second;
-    request.current = request.attempts++;
-    const std::uint64_t i = action.endpoint.value - 1000;
-    const bool isPrefill = i >= options_.combined && i % 2 == 0;
+  void carryOut(const Send& action) {
+    const auto found = activeRequests_.find(action.id.value);
+    if (found == activeRequests_.end()) return;
+    ActiveRequest& request = found->second;
+    request.currentAttempt = request.attempts++;
+    const std::uint64_t index = action.endpoint.value - 1000;
+    const bool isPrefill = index >= options_.combinedEndpoints && index % 2 == 0;
     AttemptEnded end{.id = action.id,
-                     .attempt = request.current,
+                     .attempt = request.currentAttempt,
                      .endpoint = action.endpoint,
                      .outcome = Outcome::completed};
     const bool isCombined = !isPrefill && !request.hasKvState;
     const auto prefillTime = static_cast<Micros>(5'000 + request.tokens * 20 * (0.2 + uniform()));
-    if (uniform() < options_.errors) {
-      constexpr Outcome kBad[] = {Outcome::error, Outcome::connectionReset, Outcome::rejected,
-                                  Outcome::connectFailed, Outcome::timedOut};
-      end.outcome = kBad[random_() % 5];
-      later(1'000 + static_cast<Micros>(uniform() * 300'000), end);
+    if (uniform() < options_.failureShare) {
+      constexpr Outcome kFailures[] = {Outcome::error, Outcome::connectionReset, Outcome::rejected,
+                                       Outcome::connectFailed, Outcome::timedOut};
+      end.outcome = kFailures[random_() % 5];
+      schedule(1'000 + static_cast<Micros>(uniform() * 300'000), end);
     } else if (isPrefill) {
       end.outcome = Outcome::prefillDone;
       end.cachedTokens = request.tokens * 0.7 * uniform();
-      later(prefillTime, end);
+      schedule(prefillTime, end);
     } else {
-      const Micros first = 5'000 + static_cast<Micros>(uniform() * 20'000) + (isCombined ? prefillTime : 0);
-      later(first, StreamStarted{action.id, request.current});
-      later(first + 200'000, end);
+      const Micros firstTokenDelay =
+          5'000 + static_cast<Micros>(uniform() * 20'000) + (isCombined ? prefillTime : 0);
+      schedule(firstTokenDelay, StreamStarted{action.id, request.currentAttempt});
+      schedule(firstTokenDelay + 200'000, end);
     }
   }
-  void act(const Cancel& action) {
-    const auto at = requests_.find(action.id.value);
-    if (at == requests_.end() || at->second.current != action.attempt) return;
-    later(1'000, AttemptEnded{.id = action.id, .attempt = action.attempt, .outcome = Outcome::cancelled});
+  void carryOut(const Cancel& action) {
+    const auto found = activeRequests_.find(action.id.value);
+    if (found == activeRequests_.end() || found->second.currentAttempt != action.attempt) return;
+    schedule(1'000, AttemptEnded{.id = action.id, .attempt = action.attempt, .outcome = Outcome::cancelled});
+  }
+  void carryOut(const Reject& action) { removeIfIdle(action.id); }
+  void carryOut(const Fail& action) { removeIfIdle(action.id); }
+  void carryOut(const Release&) {}
+  void carryOut(const SetTimer& action) { schedule(action.delay, TimerFired{action.id}); }
+  void carryOut(const Probe& action) {
+    schedule(1'000, ProbeEnded{action.endpoint, uniform() < 0.8, std::nullopt});
   }
-  void act(const Reject& action) { drop(action.id); }
-  void act(const Fail& action) { drop(action.id); }
-  void act(const Release&) {}
-  void act(const SetTimer& action) { later(action.delay, TimerFired{action.id}); }
-  void act(const Probe& action) { later(1'000, ProbeEnded{action.endpoint, uniform() < 0.8, std::nullopt}); }
-  void act(const Subscribe&) {}
-  void act(const Log&) {}
-  void drop(RequestId id) {
-    const auto at = requests_.find(id.value);
-    if (at != requests_.end() && at->second.current < 0) requests_.erase(at);
+  void carryOut(const Subscribe&) {}
+  void carryOut(const Log&) {}
+  void removeIfIdle(RequestId id) {
+    const auto found = activeRequests_.find(id.value);
+    if (found != activeRequests_.end() && found->second.currentAttempt < 0) activeRequests_.erase(found);
   }
   double uniform() { return static_cast<double>(random_() >> 11) / 9007199254740992.0; }
 
   SimulationOptions options_;
   std::mt19937_64 random_;
   RoutingPolicy policy_;
-  Micros now_ = kStart;
+  Micros now_ = kStartTime;
   std::map<std::pair<Micros, std::uint64_t>, Event> events_;
-  std::map<std::uint64_t, ActiveRequest> requests_;
-  std::uint64_t order_ = 0;
-  std::uint64_t nextId_ = 1;
-  std::uint64_t sessions_ = 0;
+  std::map<std::uint64_t, ActiveRequest> activeRequests_;
+  std::uint64_t nextEventOrder_ = 0;
+  std::uint64_t nextRequestId_ = 1;
+  std::uint64_t sessionCount_ = 0;
 };
 
 }  // namespace garnethook::test
