--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -18,7 +18,7 @@
       options.endpoints = endpointCount;
       options.requestsPerSecond = rate;
       options.durationSeconds = rate < 500 ? 30 : 14;  // longer than the policy keeps its records
-      options.measuresPolicyTime = true;
+      options.measurePolicyTime = true;
       TrafficSimulation simulation(options);
       simulation.run([](auto, const auto&, const auto&) {});
       std::printf("%9zu %10.0f %14.2f %9.1f%%\n", endpointCount, rate,
--- a/tests/policy/policy_driver.h
+++ b/tests/policy/policy_driver.h
@@ -77,14 +77,14 @@
 
   // Advances the clock and fires the timers that expire.
   void advanceTime(Micros duration) {
-    const Micros end = now + duration;
-    while (!timers_.empty() && timers_.begin()->first <= end) {
+    const Micros endTime = now + duration;
+    while (!timers_.empty() && timers_.begin()->first <= endTime) {
       const auto [expiry, id] = *timers_.begin();
       timers_.erase(timers_.begin());
       now = std::max(now, expiry);
       deliver(TimerFired{id});
     }
-    now = end;
+    now = endTime;
   }
 
   RequestArrived newRequest(std::uint64_t id, ClassIndex requestClass = kIdempotent) const {
--- a/tests/policy/traffic_simulation.h
+++ b/tests/policy/traffic_simulation.h
@@ -24,7 +24,7 @@
   bool loadReports = true;        // endpoints report their load with each attempt
   bool restartEndpoints = false;  // one endpoint restarts each second
   std::uint64_t seed = 1;
-  bool measuresPolicyTime = false;  // measure the time spent in the policy
+  bool measurePolicyTime = false;  // measure the time spent in the policy
 };
 
 class TrafficSimulation {
@@ -37,7 +37,7 @@
   template <class Observer>
   void run(Observer observe) {
     std::vector<EndpointEntry> entries;
-    for (std::size_t i = 0; i < options_.endpoints; ++i) entries.push_back(makeEntry(i, 0));
+    for (std::size_t i = 0; i < options_.endpoints; ++i) entries.push_back(entry(i, 0));
     handle(EndpointUpdate{EndpointUpdate::Kind::snapshot, entries}, observe);
     Micros nextArrival = 0;
     Micros nextRestart = kStartTime + 1'000'000;
@@ -50,7 +50,7 @@
       now_ = nextTime;
       if (options_.restartEndpoints && now_ >= nextRestart) {
         nextRestart += 1'000'000;
-        handle(EndpointUpdate{EndpointUpdate::Kind::delta, {makeEntry(random_() % options_.endpoints, now_)}},
+        handle(EndpointUpdate{EndpointUpdate::Kind::delta, {entry(random_() % options_.endpoints, now_)}},
                observe);
       }
       if (nextTime == nextArrival) {
@@ -103,7 +103,7 @@
     custom.overloadWindow = 2'000'000;
     return custom;
   }
-  EndpointEntry makeEntry(std::size_t index, Micros startedAt) const {
+  EndpointEntry entry(std::size_t index, Micros startedAt) const {
     const std::size_t kind = index < options_.combinedEndpoints ? 2 : index % 2;
     return {.id = {1000 + index},
             .zone = index / 10 % 3,
@@ -127,30 +127,30 @@
       request.sharedPrefixTokens = request.promptTokens * 0.7;
     }
     request.maxOutput = 100;
-    activeRequests_[request.id.value] = {.tokens = request.promptTokens};
+    requests_[request.id.value] = {.tokens = request.promptTokens};
     return request;
   }
 
   template <class Observer>
   void deliver(const Event& event, Observer observe) {
     if (const auto* ended = std::get_if<AttemptEnded>(&event)) {
-      const auto found = activeRequests_.find(ended->id.value);
-      if (found == activeRequests_.end() || found->second.currentAttempt != ended->attempt) return;
-      found->second.currentAttempt = -1;
-      found->second.hasKvState = ended->outcome == Outcome::prefillDone;
+      const auto at = requests_.find(ended->id.value);
+      if (at == requests_.end() || at->second.currentAttempt != ended->attempt) return;
+      at->second.currentAttempt = -1;
+      at->second.hasKvState = ended->outcome == Outcome::prefillDone;
       AttemptEnded copy = *ended;
       copy.requestEnded = ended->outcome == Outcome::completed ||
-                          (found->second.hasStarted && ended->outcome == Outcome::connectionReset);
+                          (at->second.hasStarted && ended->outcome == Outcome::connectionReset);
       if (options_.loadReports)
         copy.report = LoadReport{.memoryShare = 0.3 + 0.3 * uniform(), .queuedKiloTokens = uniform() * 2};
       completedRequests += ended->outcome == Outcome::completed ? 1 : 0;
-      if (copy.requestEnded) activeRequests_.erase(found);
+      if (copy.requestEnded) requests_.erase(at);
       return handle(copy, observe);
     }
     if (const auto* started = std::get_if<StreamStarted>(&event)) {
-      const auto found = activeRequests_.find(started->id.value);
-      if (found == activeRequests_.end() || found->second.currentAttempt != started->attempt) return;
-      found->second.hasStarted = true;
+      const auto at = requests_.find(started->id.value);
+      if (at == requests_.end() || at->second.currentAttempt != started->attempt) return;
+      at->second.hasStarted = true;
     }
     handle(event, observe);
   }
@@ -158,7 +158,7 @@
   template <class Observer>
   void handle(const Event& event, Observer observe) {
     std::vector<Action> actions;
-    if (options_.measuresPolicyTime) {
+    if (options_.measurePolicyTime) {
       const auto before = std::chrono::steady_clock::now();
       policy_.handle(now_, event, actions);
       policySeconds += std::chrono::duration<double>(std::chrono::steady_clock::now() - before).count();
@@ -174,9 +174,9 @@
   }
 
   void carryOut(const Send& action) {
-    const auto found = activeRequests_.find(action.id.value);
-    if (found == activeRequests_.end()) return;
-    ActiveRequest& request = found->second;
+    const auto at = requests_.find(action.id.value);
+    if (at == requests_.end()) return;
+    ActiveRequest& request = at->second;
     request.currentAttempt = request.attempts++;
     const std::uint64_t index = action.endpoint.value - 1000;
     const bool isPrefill = index >= options_.combinedEndpoints && index % 2 == 0;
@@ -203,8 +203,8 @@
     }
   }
   void carryOut(const Cancel& action) {
-    const auto found = activeRequests_.find(action.id.value);
-    if (found == activeRequests_.end() || found->second.currentAttempt != action.attempt) return;
+    const auto at = requests_.find(action.id.value);
+    if (at == requests_.end() || at->second.currentAttempt != action.attempt) return;
     schedule(1'000, AttemptEnded{.id = action.id, .attempt = action.attempt, .outcome = Outcome::cancelled});
   }
   void carryOut(const Reject& action) { removeIfIdle(action.id); }
@@ -217,8 +217,8 @@
   void carryOut(const Subscribe&) {}
   void carryOut(const Log&) {}
   void removeIfIdle(RequestId id) {
-    const auto found = activeRequests_.find(id.value);
-    if (found != activeRequests_.end() && found->second.currentAttempt < 0) activeRequests_.erase(found);
+    const auto at = requests_.find(id.value);
+    if (at != requests_.end() && at->second.currentAttempt < 0) requests_.erase(at);
   }
   double uniform() { return static_cast<double>(random_() >> 11) / 9007199254740992.0; }
 
@@ -227,7 +227,7 @@
   RoutingPolicy policy_;
   Micros now_ = kStartTime;
   std::map<std::pair<Micros, std::uint64_t>, Event> events_;
-  std::map<std::uint64_t, ActiveRequest> activeRequests_;
+  std::map<std::uint64_t, ActiveRequest> requests_;
   std::uint64_t nextEventOrder_ = 0;
   std::uint64_t nextRequestId_ = 1;
   std::uint64_t sessionCount_ = 0;
