--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -1,4 +1,5 @@
-// Failing endpoints, zone outages and restarts: how they are detected and how endpoints are reinstated.
+// Tests the detection of failing and unresponsive endpoints and of zone outages, retries around them,
+// ejection and reinstatement, and the effect of endpoint updates on these records.
 #include <gtest/gtest.h>
 
 #include "policy/policy_driver.h"
@@ -22,7 +23,7 @@
   EXPECT_NE(driver.lastEndpoint(1), unresponsive);
 }
 
-TEST(UnresponsiveEndpoint, IsNotAssumedWhileOthersAreAnswered) {
+TEST(UnresponsiveEndpoint, IsNotDetectedWhileOtherRequestsAreAnswered) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
   driver.deliver(driver.newRequest(1));
@@ -32,15 +33,17 @@
     driver.advanceTime(200 * kMs);
     driver.deliver(driver.newRequest(10 + i));
     driver.advanceTime(50 * kMs);
-    if (driver.count<Send>(10 + i) > 0) driver.endAttempt(10 + i, Outcome::prefillDone);  // signs of activity
+    if (driver.count<Send>(10 + i) > 0)
+      driver.endAttempt(10 + i, Outcome::prefillDone);  // shows that the endpoint responds
   }
   EXPECT_EQ(driver.count<Cancel>(2), 0);
 }
 
-// The decode endpoints of a hot cell are busy together: a request that one of them kept waiting should not be
-// tried at each of them in turn.
+// Decode endpoints of a cell are overloaded together. Prevents a request that timed out at one of them from
+// being retried at each of the others in turn.
 struct SlowDecodeEndpoint : testing::TestWithParam<Outcome> {
-  // The decode endpoint that a request goes to after the first one of its cell failed with that outcome.
+  // Returns the decode endpoint of a request's second decode attempt, after its first one in the cell of its
+  // prefill endpoint ended with `outcome`.
   static std::uint64_t nextEndpoint(const std::vector<EndpointEntry>& endpoints, Outcome outcome) {
     PolicyDriver driver(settings());
     driver.setEndpoints(endpoints);
@@ -56,28 +59,29 @@
   }
 };
 
-TEST_P(SlowDecodeEndpoint, LosesItsRequestToAnotherCellWhenThereIsOne) {
-  const std::vector<EndpointEntry> two{endpoint(1, kPrefill, 1), endpoint(11, kDecode, 1),
-                                       endpoint(12, kDecode, 1), endpoint(21, kDecode, 2)};
-  EXPECT_EQ(nextEndpoint(two, GetParam()), 21u);
-  const std::vector<EndpointEntry> one{two.begin(), two.begin() + 3};
-  const auto next = nextEndpoint(one, GetParam());
+TEST_P(SlowDecodeEndpoint, CausesARetryInAnotherCellIfThereIsOne) {
+  const std::vector<EndpointEntry> twoCells{endpoint(1, kPrefill, 1), endpoint(11, kDecode, 1),
+                                            endpoint(12, kDecode, 1), endpoint(21, kDecode, 2)};
+  EXPECT_EQ(nextEndpoint(twoCells, GetParam()), 21u);
+  const std::vector<EndpointEntry> oneCell{twoCells.begin(), twoCells.begin() + 3};
+  const auto next = nextEndpoint(oneCell, GetParam());
   EXPECT_TRUE(next == 11 || next == 12);
 }
 INSTANTIATE_TEST_SUITE_P(NoResponse, SlowDecodeEndpoint,
                          testing::Values(Outcome::timedOut, Outcome::cancelled));
 
-// A full decode endpoint says nothing of its neighbours: the request stays in the cell.
-TEST(FullDecodeEndpoint, KeepsItsRequestInTheCell) {
+// A rejection by a full decode endpoint is no evidence about the rest of its cell, so the retry stays in the
+// cell.
+TEST(FullDecodeEndpoint, CausesARetryInTheSameCell) {
   const auto next = SlowDecodeEndpoint::nextEndpoint({endpoint(1, kPrefill, 1), endpoint(11, kDecode, 1),
                                                       endpoint(12, kDecode, 1), endpoint(21, kDecode, 2)},
                                                      Outcome::rejected);
   EXPECT_TRUE(next == 11 || next == 12);
 }
 
-// Clients cancel before an endpoint could have answered: it is neither slow nor failing for that, and the
-// next request is not rejected.
-TEST(Cancellation, ByClientsSaysNothingOfTheEndpoint) {
+// Requests that clients cancel before the endpoint could have answered do not mark it as slow or failing, so
+// the next request is not rejected.
+TEST(Cancellation, ByClientsDoesNotCountAgainstTheEndpoint) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
   const auto longRequest = [&](std::uint64_t id) {
@@ -99,9 +103,9 @@
   EXPECT_EQ(driver.count<Reject>(40), 0);
 }
 
-// One prefill gets no answer while prefills sent there later do: its connection is lost. It counts for no
-// queue, and is retried once its own timeout is over.
-TEST(StalledAttempt, IsCancelledAndSaysNothingOfTheEndpoint) {
+// A prefill without an answer, while prefills sent later to the same endpoint complete, indicates a lost
+// connection. It does not count as a queue at the endpoint, and is retried after its own timeout.
+TEST(StalledAttempt, IsCancelledAndDoesNotCountAgainstTheEndpoint) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
   for (std::uint64_t id = 2; id < 10; ++id) driver.serve(driver.newRequest(id));
@@ -116,8 +120,9 @@
   EXPECT_EQ(driver.count<Send>(1), 2);
 }
 
-// A prefill that takes longer because it is larger is overtaken by smaller ones all the time.
-TEST(StalledAttempt, IsNotALargePrefillThatSmallOnesOvertake) {
+// Smaller prefills regularly complete before a larger one that was sent earlier; the larger one is not
+// stalled.
+TEST(StalledAttempt, IsNotDetectedForALargePrefillThatSmallOnesOvertake) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
   for (std::uint64_t id = 2; id < 10; ++id) driver.serve(driver.newRequest(id));
@@ -128,7 +133,8 @@
   EXPECT_EQ(driver.count<Cancel>(1), 0);
 }
 
-// The same at a decode endpoint: the wait is no time to first token, so nothing is rejected for it.
+// The wait of a stalled decode attempt is not recorded as time to first token, so no requests are rejected
+// because of it.
 TEST(StalledAttempt, OfDecodePhaseCausesNoRejections) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(11, kDecode)});
@@ -147,22 +153,22 @@
   EXPECT_EQ(driver.count<Reject>(90), 0);
 }
 
-// Reused connections that break without a sign are no failure of their endpoint: it is not ejected, and the
-// prefill is sent there once more.
+// A reused connection that breaks without any response is not a failure of its endpoint: the endpoint is not
+// ejected, and the prefill is retried there.
 TEST(ReusedConnection, DoesNotEjectWhenItBreaksUnderAPrefill) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
   driver.serve(driver.newRequest(1));
   for (std::uint64_t id = 2; id < 30; ++id) {
     auto request = driver.newRequest(id);
-    request.session = {1001};  // what the first endpoint has cached
+    request.session = {1001};  // cached at the endpoint of the first request
     driver.deliver(request);
-    const auto endpointOfFirst = driver.lastEndpoint(id);
+    const auto firstEndpoint = driver.lastEndpoint(id);
     AttemptEnded broken{
-        .id = {id}, .attempt = 0, .endpoint = {endpointOfFirst}, .outcome = Outcome::connectionReset};
+        .id = {id}, .attempt = 0, .endpoint = {firstEndpoint}, .outcome = Outcome::connectionReset};
     broken.reusedConnection = true;
     driver.deliver(broken);
-    ASSERT_EQ(driver.lastEndpoint(id), endpointOfFirst);
+    ASSERT_EQ(driver.lastEndpoint(id), firstEndpoint);
     driver.advanceTime(20 * kMs);
     driver.endAttempt(id, Outcome::prefillDone, 900);
     driver.endAttempt(id, Outcome::completed);
@@ -184,7 +190,7 @@
   for (const auto& [at, action] : driver.log) EXPECT_FALSE(std::holds_alternative<Log>(action));
 }
 
-// A non-idempotent request on such a connection was possibly executed, so it is not retried.
+// A non-idempotent request was possibly executed when its reused connection breaks, so it is not retried.
 TEST(ReusedConnection, FailsANonIdempotentDecodeWhenItBreaks) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
@@ -199,18 +205,19 @@
   EXPECT_EQ(driver.count<Fail>(1), 1);
 }
 
-// An endpoint that rejects slowly costs more time than a queue; one that rejects at once does not.
+// A slow rejection delays a request more than a queue would, so an endpoint that rejects slowly is avoided;
+// one that rejects at once is not.
 TEST(Rejection, MakesAnEndpointAvoidedWhenItIsSlow) {
   const auto sendsWhenRejectedAfter = [](Micros delay) {
     PolicyDriver driver(settings());
     driver.setEndpoints({endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(11, kDecode)});
-    int there = 0;
+    int sendsToRejecting = 0;
     for (std::uint64_t id = 1; id <= 200; ++id) {
       auto request = driver.newRequest(id);
       request.sharedPrefix = {id};
       driver.deliver(request);
       if (driver.lastEndpoint(id) == 1) {
-        there += id > 100;
+        sendsToRejecting += id > 100;
         driver.advanceTime(delay);
         driver.endAttempt(id, Outcome::rejected);
       }
@@ -219,40 +226,40 @@
       driver.endAttempt(id, Outcome::completed);
       driver.advanceTime(60 * kMs);
     }
-    return there;
+    return sendsToRejecting;
   };
-  const int quick = sendsWhenRejectedAfter(kMs);
-  EXPECT_GT(quick, 25);
-  const int slow = sendsWhenRejectedAfter(400 * kMs);
-  EXPECT_LT(slow, quick / 4);
+  const int sendsWhenFast = sendsWhenRejectedAfter(kMs);
+  EXPECT_GT(sendsWhenFast, 25);
+  const int sendsWhenSlow = sendsWhenRejectedAfter(400 * kMs);
+  EXPECT_LT(sendsWhenSlow, sendsWhenFast / 4);
 }
 
-// A cached prompt does not outweigh slow rejections.
+// The benefit of a cached prompt does not outweigh slow rejections.
 TEST(Rejection, MakesAnEndpointAvoidedWhenThePromptIsCachedThere) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(11, kDecode)});
-  std::vector<std::uint64_t> there;  // sessions that endpoint 1 caches
+  std::vector<std::uint64_t> cachedSessions;  // sessions that endpoint 1 has cached
   for (std::uint64_t id = 1; id <= 40; ++id)
-    if (driver.serve(driver.newRequest(id)) == 1) there.push_back(id);
-  ASSERT_GE(there.size(), 10u);
-  there.erase(there.begin(), there.end() - 10);
-  int again = 0;
-  for (const auto session : there) {
+    if (driver.serve(driver.newRequest(id)) == 1) cachedSessions.push_back(id);
+  ASSERT_GE(cachedSessions.size(), 10u);
+  cachedSessions.erase(cachedSessions.begin(), cachedSessions.end() - 10);
+  int sendsToRejecting = 0;
+  for (const auto session : cachedSessions) {
     const std::uint64_t id = 100 + session;
     auto request = driver.newRequest(id);
     request.session = {session + 1000};
     driver.deliver(request);
     if (driver.lastEndpoint(id) == 1) {
-      ++again;
+      ++sendsToRejecting;
       driver.advanceTime(300 * kMs);
       driver.endAttempt(id, Outcome::rejected);
     }
     driver.advanceTime(10 * kMs);
     driver.endAttempt(id, Outcome::prefillDone);
     driver.endAttempt(id, Outcome::completed);
-    driver.advanceTime(200 * kMs);  // its back-off is over
+    driver.advanceTime(200 * kMs);  // its backoff expires
   }
-  EXPECT_LE(again, 5);
+  EXPECT_LE(sendsToRejecting, 5);
 }
 
 TEST(OutlierDetection, EjectsAtOnceWhenConnectionsFail) {
@@ -314,7 +321,7 @@
   EXPECT_EQ(trials, 1);
 }
 
-TEST(ZoneOutage, KeepsRequestsFromTheWholeZone) {
+TEST(ZoneOutage, DivertsRequestsFromTheWholeZone) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill, 0, 0), endpoint(2, kPrefill, 0, 1), endpoint(3, kPrefill, 0, 1),
                        endpoint(4, kPrefill, 0, 1), endpoint(11, kDecode, 0, 0)});
@@ -328,7 +335,7 @@
   for (const auto last = id + 20; id < last; ++id) {
     driver.deliver(driver.newRequest(id));
     EXPECT_EQ(driver.lastEndpoint(id),
-              1u);  // not even the third endpoint of the zone, of which nothing is known
+              1u);  // the third endpoint of the zone is avoided too, without a failure of its own
     driver.endAttempt(id, Outcome::prefillDone);
     driver.endAttempt(id, Outcome::completed);
   }
@@ -346,8 +353,8 @@
   EXPECT_EQ(driver.count<Send>(9), 1);
 }
 
-// An endpoint that is missing from a snapshot is forgotten, or the records would grow without bound.
-TEST(EndpointUpdate, ForgetsEndpointsThatLeaveTheList) {
+// Prevents unbounded growth of the records: those of an endpoint that is missing from a snapshot are removed.
+TEST(EndpointUpdate, RemovesTheRecordsOfEndpointsThatLeaveTheList) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
   driver.deliver(driver.newRequest(1));
@@ -359,13 +366,13 @@
   driver.advanceTime(300 * kMs);
   driver.setEndpoints({endpoint(failing, kPrefill), endpoint(11, kDecode)});
   driver.deliver(driver.newRequest(2));
-  driver.deliver(driver.newRequest(3));  // an ejected endpoint would get one trial at most, after a delay
+  driver.deliver(driver.newRequest(3));  // an ejected endpoint would get at most one trial, after a delay
   EXPECT_EQ(driver.lastEndpoint(3), failing);
   EXPECT_EQ(driver.count<Send>(2) + driver.count<Send>(3), 2);
   const auto actions = driver.endAttempt(2, Outcome::prefillDone);
   EXPECT_TRUE(std::none_of(actions.begin(), actions.end(), [](const auto& action) {
     return std::holds_alternative<Log>(action);
-  })) << "it was still ejected";
+  })) << "the endpoint was still ejected";
 }
 
 TEST(EndpointUpdate, ServesFromAStaleCopy) {
--- a/tests/policy/request_rules_test.cpp
+++ b/tests/policy/request_rules_test.cpp
@@ -1,4 +1,6 @@
-// The five rules that every request is served by, and events that come late or refer to nothing.
+// Tests the five rules that apply to every request: one final response by the deadline, retries according to
+// idempotency, the attempt limit, endpoint states and slow-start budgets, and release of KV state. Also tests
+// late and stray events and the validation of settings.
 #include <gtest/gtest.h>
 
 #include "policy/policy_driver.h"
@@ -9,29 +11,29 @@
 std::vector<EndpointEntry> fleet() {
   return {endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(11, kDecode), endpoint(12, kDecode)};
 }
-int finalAnswers(const PolicyDriver& driver, std::uint64_t id) {
+int finalResponses(const PolicyDriver& driver, std::uint64_t id) {
   return driver.count<Reject>(id) + driver.count<Fail>(id);
 }
 
-void prefillOne(PolicyDriver& driver, std::uint64_t id, ClassIndex kind) {
-  driver.deliver(driver.newRequest(id, kind));
+void completePrefill(PolicyDriver& driver, std::uint64_t id, ClassIndex classIndex) {
+  driver.deliver(driver.newRequest(id, classIndex));
   driver.advanceTime(50 * kMs);
   driver.endAttempt(id, Outcome::prefillDone);
 }
 
 class IncompleteFleet : public testing::TestWithParam<std::vector<EndpointEntry>> {};
-TEST_P(IncompleteFleet, AnswersEachRequestOnceInTime) {
+TEST_P(IncompleteFleet, GivesEachRequestOneFinalResponseInTime) {
   PolicyDriver driver(settings());
   driver.setEndpoints(GetParam());
-  for (const auto kind : {kIdempotent, kIdempotentWithKey, kNonIdempotent})
-    driver.deliver(driver.newRequest(10 + kind, kind));
+  for (const auto classIndex : {kIdempotent, kIdempotentWithKey, kNonIdempotent})
+    driver.deliver(driver.newRequest(10 + classIndex, classIndex));
   driver.advanceTime(100 * kMs);
   for (std::uint64_t id = 10; id <= 12; ++id)
     if (driver.count<Send>(id) == 1 && driver.lastEndpoint(id) == 1)
       driver.endAttempt(id, Outcome::prefillDone);
   driver.advanceTime(5 * kSec);
   for (std::uint64_t id = 10; id <= 12; ++id) {
-    EXPECT_EQ(finalAnswers(driver, id), 1);
+    EXPECT_EQ(finalResponses(driver, id), 1);
     EXPECT_GE(driver.count<Release>(id), 1);
   }
 }
@@ -45,36 +47,36 @@
                                          std::vector{draining(endpoint(1, kPrefill)),
                                                      draining(endpoint(11, kDecode))}));
 
-TEST(FinalAnswer, ComesAtTheDeadlineWhenAnAttemptIsInFlight) {
-  for (const auto kind : {kIdempotent, kIdempotentWithKey, kNonIdempotent}) {
+TEST(FinalResponse, IsGivenAtTheDeadlineWhenAnAttemptIsInFlight) {
+  for (const auto classIndex : {kIdempotent, kIdempotentWithKey, kNonIdempotent}) {
     Settings custom = settings();
     custom.canCancel = false;
     PolicyDriver driver(custom);
     driver.setEndpoints(fleet());
-    prefillOne(driver, 1, kind);
+    completePrefill(driver, 1, classIndex);
     ASSERT_EQ(driver.count<Send>(1), 2);
     driver.advanceTime(5 * kSec);
-    EXPECT_EQ(finalAnswers(driver, 1), 1);
-    EXPECT_EQ(driver.count<Fail>(1), kind == kIdempotent ? 0 : 1);
-    const int released = driver.count<Release>(1);
-    driver.endAttempt(1, Outcome::timedOut);  // may leave a KV state behind
-    EXPECT_GT(driver.count<Release>(1), released);
+    EXPECT_EQ(finalResponses(driver, 1), 1);
+    EXPECT_EQ(driver.count<Fail>(1), classIndex == kIdempotent ? 0 : 1);
+    const int releasesBefore = driver.count<Release>(1);
+    driver.endAttempt(1, Outcome::timedOut);  // the endpoint may still hold KV state
+    EXPECT_GT(driver.count<Release>(1), releasesBefore);
     EXPECT_EQ(driver.count<Send>(1), 2);
   }
 }
 
-TEST(FinalAnswer, IsNotGivenWhenTheStreamHasStarted) {
+TEST(FinalResponse, IsNotGivenWhenTheStreamHasStarted) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
-  prefillOne(driver, 1, kIdempotent);
+  completePrefill(driver, 1, kIdempotent);
   driver.deliver(StreamStarted{{1}, 1});
   driver.advanceTime(20 * kSec);
-  EXPECT_EQ(finalAnswers(driver, 1), 0);
+  EXPECT_EQ(finalResponses(driver, 1), 0);
   driver.endAttempt(1, Outcome::completed);
-  EXPECT_EQ(finalAnswers(driver, 1), 0);
+  EXPECT_EQ(finalResponses(driver, 1), 0);
 }
 
-TEST(FinalAnswer, IsAFailureAtOnceWhenTheClassIsUnknown) {
+TEST(FinalResponse, IsAnImmediateFailureWhenTheClassIsUnknown) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
   auto request = driver.newRequest(1);
@@ -88,7 +90,7 @@
 TEST_P(PossiblyExecuted, FailsANonIdempotentRequestWithoutRetryOrRejection) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
-  prefillOne(driver, 1, kNonIdempotent);
+  completePrefill(driver, 1, kNonIdempotent);
   ASSERT_GE(driver.lastEndpoint(1), 11u);
   driver.endAttempt(1, GetParam());
   EXPECT_EQ(driver.count<Send>(1), 2);
@@ -103,7 +105,7 @@
 TEST_P(NotExecuted, RetriesANonIdempotentRequestElsewhere) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
-  prefillOne(driver, 1, kNonIdempotent);
+  completePrefill(driver, 1, kNonIdempotent);
   const auto first = driver.lastEndpoint(1);
   driver.endAttempt(1, GetParam());
   EXPECT_EQ(driver.count<Send>(1), 3);
@@ -113,10 +115,10 @@
 
 class FailedPrefill : public testing::TestWithParam<Outcome> {};
 TEST_P(FailedPrefill, IsRetriedInEveryClass) {
-  for (const auto kind : {kIdempotent, kIdempotentWithKey, kNonIdempotent}) {
+  for (const auto classIndex : {kIdempotent, kIdempotentWithKey, kNonIdempotent}) {
     PolicyDriver driver(settings());
     driver.setEndpoints(fleet());
-    driver.deliver(driver.newRequest(1, kind));
+    driver.deliver(driver.newRequest(1, classIndex));
     const auto first = driver.lastEndpoint(1);
     driver.endAttempt(1, GetParam());
     EXPECT_EQ(driver.count<Send>(1), 2);
@@ -131,111 +133,116 @@
   PolicyDriver driver(settings());
   driver.setEndpoints(
       {endpoint(1, kPrefill, 0, 0), endpoint(11, kDecode, 0, 0), endpoint(12, kDecode, 0, 1)});
-  prefillOne(driver, 1, kIdempotentWithKey);
+  completePrefill(driver, 1, kIdempotentWithKey);
   const auto first = driver.lastEndpoint(1);
   driver.endAttempt(1, Outcome::connectionReset);
-  driver.advanceTime(5 * kSec);  // to its deadline, as a retry is in flight at the first endpoint
+  driver.advanceTime(5 * kSec);  // until the deadline, with a retry in flight at the first endpoint
   for (const auto& [at, action] : driver.log)
     if (const auto* send = std::get_if<Send>(&action); send && send->endpoint.value >= 11) {
       EXPECT_EQ(send->endpoint.value, first);  // the other endpoint is in another zone
     }
   EXPECT_EQ(driver.count<Reject>(1), 0);
-  EXPECT_EQ(finalAnswers(driver, 1), 1);
+  EXPECT_EQ(finalResponses(driver, 1), 1);
 }
 
-// A prefill is an attempt too: other endpoints would not deduplicate what follows it.
+// A repeated prefill is limited to the deduplication scope as well, since the decode that follows it would
+// not be deduplicated elsewhere.
 TEST(IdempotencyKey, KeepsRepeatedPrefillsInTheDeduplicationScope) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     PolicyDriver driver(settings(), seed);
     driver.setEndpoints({endpoint(1, kPrefill, 0, 0), endpoint(2, kPrefill, 1, 1),
                          endpoint(11, kDecode, 0, 0), endpoint(12, kDecode, 1, 1)});
-    prefillOne(driver, 1, kIdempotentWithKey);
-    const bool firstZone = driver.lastEndpoint(1) == 11;
-    ASSERT_TRUE(firstZone || driver.lastEndpoint(1) == 12);
-    const auto before = driver.log.size();
+    completePrefill(driver, 1, kIdempotentWithKey);
+    const bool isFirstZone = driver.lastEndpoint(1) == 11;
+    ASSERT_TRUE(isFirstZone || driver.lastEndpoint(1) == 12);
+    const auto logSizeBefore = driver.log.size();
     driver.endAttempt(1, Outcome::connectionReset);
     driver.endAttempt(1, Outcome::rejected, 0,
-                      true);  // the KV state is gone: the prompt has to be prefilled again
+                      true);  // the KV state is missing: the prompt must be prefilled again
     driver.advanceTime(5 * kSec);
-    for (auto at = before; at < driver.log.size(); ++at)
-      if (const auto* send = std::get_if<Send>(&driver.log[at].second)) {
-        EXPECT_EQ(send->endpoint.value == 1 || send->endpoint.value == 11, firstZone);
+    for (auto index = logSizeBefore; index < driver.log.size(); ++index)
+      if (const auto* send = std::get_if<Send>(&driver.log[index].second)) {
+        EXPECT_EQ(send->endpoint.value == 1 || send->endpoint.value == 11, isFirstZone);
       }
-    EXPECT_GE(driver.count<Send>(1), 4);  // it was prefilled again
+    EXPECT_GE(driver.count<Send>(1), 4);  // includes a second prefill
     EXPECT_EQ(driver.count<Reject>(1), 0);
-    EXPECT_EQ(finalAnswers(driver, 1), 1);
+    EXPECT_EQ(finalResponses(driver, 1), 1);
   }
 }
 
-// Endpoints have forgotten the first attempt by then, and would execute the retry as a new request.
+// After the window, endpoints no longer recognise the first attempt and would execute the retry as a new
+// request.
 TEST(IdempotencyKey, AllowsNoRetryAfterTheDeduplicationWindow) {
-  for (const bool late : {false, true}) {
+  for (const bool isLate : {false, true}) {
     PolicyDriver driver(settings());
     driver.setEndpoints(
         {endpoint(1, kPrefill, 0, 0), endpoint(11, kDecode, 0, 0), endpoint(12, kDecode, 0, 0)});
-    prefillOne(driver, 1, kIdempotentWithKey);
-    const int sends = driver.count<Send>(1);
+    completePrefill(driver, 1, kIdempotentWithKey);
+    const int sendsBefore = driver.count<Send>(1);
     driver.advanceTime(settings().classes[kIdempotentWithKey].deduplicationWindow +
-                       (late ? 10 * kMs : -10 * kMs));
+                       (isLate ? 10 * kMs : -10 * kMs));
     driver.endAttempt(1, Outcome::connectionReset);
-    EXPECT_EQ(driver.count<Send>(1), late ? sends : sends + 1);
+    EXPECT_EQ(driver.count<Send>(1), isLate ? sendsBefore : sendsBefore + 1);
     driver.advanceTime(5 * kSec);
     EXPECT_EQ(driver.count<Reject>(1), 0);
-    EXPECT_EQ(finalAnswers(driver, 1), 1);
+    EXPECT_EQ(finalResponses(driver, 1), 1);
   }
 }
 
-TEST(Attempts, AreNeverMoreThanAllowed) {
+TEST(Attempts, DoNotExceedTheLimit) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
   driver.deliver(driver.newRequest(1));
-  for (int i = 0; i < 10 && finalAnswers(driver, 1) == 0; ++i) driver.endAttempt(1, Outcome::error);
+  for (int i = 0; i < 10 && finalResponses(driver, 1) == 0; ++i) driver.endAttempt(1, Outcome::error);
   EXPECT_EQ(driver.count<Send>(1), settings().maxAttempts);
-  EXPECT_EQ(finalAnswers(driver, 1), 1);
+  EXPECT_EQ(finalResponses(driver, 1), 1);
 }
 
-TEST(EndpointUpdate, StopsSendsAtOnceWhenAnEndpointDrains) {
+TEST(EndpointUpdate, StopsSendsImmediatelyWhenAnEndpointDrains) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
   driver.setEndpoints({draining(endpoint(1, kPrefill)), draining(endpoint(11, kDecode))},
                       EndpointUpdate::Kind::delta);
   for (std::uint64_t id = 1; id <= 20; ++id) {
-    prefillOne(driver, id, kIdempotent);
+    completePrefill(driver, id, kIdempotent);
     EXPECT_EQ(driver.lastEndpoint(id), 12u);
     driver.endAttempt(id, Outcome::completed);
   }
-  driver.setEndpoints({endpoint(2, kPrefill), endpoint(12, kDecode)});  // a snapshot: the others are gone
-  prefillOne(driver, 30, kIdempotent);
+  driver.setEndpoints(
+      {endpoint(2, kPrefill), endpoint(12, kDecode)});  // a snapshot without the others removes them
+  completePrefill(driver, 30, kIdempotent);
   EXPECT_EQ(driver.lastEndpoint(30), 12u);
 }
 
-TEST(SlowStart, KeepsAFreshEndpointWithinItsBudget) {
+TEST(SlowStart, KeepsAWarmingUpEndpointWithinItsBudget) {
   Settings custom = settings();
   PolicyDriver driver(custom);
   driver.setEndpoints(fleet());
   for (std::uint64_t id = 1; id <= 60; ++id) {
-    prefillOne(driver, id, kIdempotent);
+    completePrefill(driver, id, kIdempotent);
     driver.endAttempt(id, Outcome::completed);
     driver.advanceTime(50 * kMs);
   }
-  auto fresh = endpoint(3, kPrefill);
-  fresh.startedAt = driver.now;
-  driver.setEndpoints({fresh}, EndpointUpdate::Kind::delta);
-  int sendsToFresh = 0;
-  for (std::uint64_t id = 100; id <= 119; ++id) {  // a window of 2 s
-    prefillOne(driver, id, kIdempotent);
+  auto warmingUp = endpoint(3, kPrefill);
+  warmingUp.startedAt = driver.now;
+  driver.setEndpoints({warmingUp}, EndpointUpdate::Kind::delta);
+  int sendsToWarmingUp = 0;
+  for (std::uint64_t id = 100; id <= 119; ++id) {  // one overload window of 2 s
+    completePrefill(driver, id, kIdempotent);
     for (const auto& [at, action] : driver.log)
       if (const auto* send = std::get_if<Send>(&action);
           send && send->id.value == id && send->endpoint.value == 3)
-        ++sendsToFresh;
+        ++sendsToWarmingUp;
     driver.endAttempt(id, Outcome::completed);
     driver.advanceTime(50 * kMs);
   }
-  // Two warm endpoints completed 10 a second: 10 in a window each, of which 0.3 x 2.5 may come at once.
-  EXPECT_LE(sendsToFresh, 7);
+  // Two warm endpoints together complete 10 requests a second, which is 10 each in a window of 2 s. The
+  // budget is 0.3 x 2.5 of that.
+  EXPECT_LE(sendsToWarmingUp, 7);
 }
 
-// Each of a hundred routers finds an empty fresh endpoint; together they must stay within its budget.
+// Prevents overload by routers that each find a warming-up endpoint idle: a hundred routers together must
+// stay within its budget.
 TEST(SlowStart, KeepsAHundredRoutersTogetherWithinTheBudget) {
   Settings custom = settings();
   custom.routers = 100;
@@ -244,15 +251,15 @@
     PolicyDriver driver(custom, seed);
     driver.setEndpoints(fleet());
     for (std::uint64_t id = 1; id <= 6; ++id) {
-      prefillOne(driver, id, kIdempotent);
+      completePrefill(driver, id, kIdempotent);
       driver.endAttempt(id, Outcome::completed);
       driver.advanceTime(kSec);
     }
-    auto fresh = endpoint(3, kPrefill);
-    fresh.startedAt = driver.now;
-    driver.setEndpoints({fresh}, EndpointUpdate::Kind::delta);
-    for (std::uint64_t id = 100; id <= 101; ++id) {  // a window of 2 s
-      prefillOne(driver, id, kIdempotent);
+    auto warmingUp = endpoint(3, kPrefill);
+    warmingUp.startedAt = driver.now;
+    driver.setEndpoints({warmingUp}, EndpointUpdate::Kind::delta);
+    for (std::uint64_t id = 100; id <= 101; ++id) {  // one overload window of 2 s
+      completePrefill(driver, id, kIdempotent);
       for (const auto& [at, action] : driver.log)
         if (const auto* send = std::get_if<Send>(&action); send && send->id.value == id)
           sends += send->endpoint.value == 3 ? 1 : 0;
@@ -260,22 +267,22 @@
       driver.advanceTime(kSec);
     }
   }
-  // Warm endpoints complete about 100 in a window; 0.3 x 2.5 of that may come.
+  // Each warm endpoint completes about 100 requests in a window; the budget is 0.3 x 2.5 of that.
   EXPECT_LE(sends, 75);
 }
 
-TEST(KvState, IsReleasedAtEveryEndOfARequest) {
+TEST(KvState, IsReleasedHoweverARequestEnds) {
   PolicyDriver driver(settings());
   driver.setEndpoints(fleet());
-  prefillOne(driver, 1, kNonIdempotent);
+  completePrefill(driver, 1, kNonIdempotent);
   driver.endAttempt(1, Outcome::connectionReset);
   EXPECT_GE(driver.count<Release>(1), 1);
   driver.deliver(driver.newRequest(2));
   driver.deliver(RequestCancelled{{2}});
-  const int before = driver.count<Release>(2);
-  driver.endAttempt(2, Outcome::prefillDone);  // the KV state came after the client had cancelled
-  EXPECT_GT(driver.count<Release>(2), before);
-  EXPECT_EQ(finalAnswers(driver, 2), 0);
+  const int releasesBefore = driver.count<Release>(2);
+  driver.endAttempt(2, Outcome::prefillDone);  // the prefill completes after the client has cancelled
+  EXPECT_GT(driver.count<Release>(2), releasesBefore);
+  EXPECT_EQ(finalResponses(driver, 2), 0);
 }
 
 TEST(StrayEvent, CausesNoAction) {
@@ -291,7 +298,7 @@
   EXPECT_TRUE(driver.deliver(TimerFired{{1 * 4 + 1}}).empty());
 }
 
-TEST(Settings, AreRejectedByNameWhenTheyCannotBeUsed) {
+TEST(Settings, AreRejectedWithTheirNameWhenInvalid) {
   const auto errorOf = [](auto change) -> std::string {
     Settings custom = settings();
     change(custom);
