--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -243,14 +243,14 @@
     if (driver.serve(driver.newRequest(id)) == 1) cachedSessions.push_back(id);
   ASSERT_GE(cachedSessions.size(), 10u);
   cachedSessions.erase(cachedSessions.begin(), cachedSessions.end() - 10);
-  int sendsToRejecting = 0;
+  int sendsToCached = 0;
   for (const auto session : cachedSessions) {
     const std::uint64_t id = 100 + session;
     auto request = driver.newRequest(id);
     request.session = {session + 1000};
     driver.deliver(request);
     if (driver.lastEndpoint(id) == 1) {
-      ++sendsToRejecting;
+      ++sendsToCached;
       driver.advanceTime(300 * kMs);
       driver.endAttempt(id, Outcome::rejected);
     }
@@ -259,7 +259,7 @@
     driver.endAttempt(id, Outcome::completed);
     driver.advanceTime(200 * kMs);  // its backoff expires
   }
-  EXPECT_LE(sendsToRejecting, 5);
+  EXPECT_LE(sendsToCached, 5);
 }
 
 TEST(OutlierDetection, EjectsAtOnceWhenConnectionsFail) {
--- a/tests/policy/prompt_counts_test.cpp
+++ b/tests/policy/prompt_counts_test.cpp
@@ -1,4 +1,5 @@
-// Requests whose tokens endpoints count differently: each endpoint is priced by its own count.
+// Tests prompts whose token count differs by endpoint tokeniser: the prefill time at each endpoint is
+// estimated from the count of its own tokeniser.
 #include <gtest/gtest.h>
 
 #include "policy/policy_driver.h"
@@ -12,8 +13,8 @@
   return entry;
 }
 
-// Lets the policy learn that a prefill takes 60 us a token.
-void learnCost(PolicyDriver& driver) {
+// Serves requests from which the policy estimates that a prefill takes 60 us per token.
+void learnPrefillCost(PolicyDriver& driver) {
   for (std::uint64_t id = 100; id < 140; ++id) {
     auto request = driver.newRequest(id);
     request.promptTokens = 500 + 200 * static_cast<double>(id % 40);
@@ -22,11 +23,11 @@
   }
 }
 
-// Which of two idle prefill endpoints gets a prompt.
+// Returns which of two idle prefill endpoints a prompt is sent to.
 std::uint64_t chosenEndpoint(const std::vector<PromptCount>& counts, double factor1, double factor2) {
   PolicyDriver driver(settings());
   driver.setEndpoints({endpoint(1, kPrefill, 0), endpoint(2, kPrefill, 0), endpoint(11, kDecode, 0)});
-  learnCost(driver);
+  learnPrefillCost(driver);
   driver.setEndpoints({withTokeniser(endpoint(1, kPrefill, 0), 7, factor1),
                        withTokeniser(endpoint(2, kPrefill, 0), 8, factor2), endpoint(11, kDecode, 0)});
   auto request = driver.newRequest(1);
@@ -36,26 +37,26 @@
   return driver.lastEndpoint(1);
 }
 
-TEST(PromptCounts, PriceAnEndpointByItsOwnCount) {
+TEST(PromptCounts, DetermineTheCostAtAnEndpointByItsOwnCount) {
   EXPECT_EQ(chosenEndpoint({{7, 40'000, 0}, {8, 3000, 0}}, 1, 1), 2U);
   EXPECT_EQ(chosenEndpoint({{7, 3000, 0}, {8, 40'000, 0}}, 1, 1), 1U);
 }
 
-TEST(PromptCounts, PriceAnEndpointByItsFactorWhenItHasNoCount) {
+TEST(PromptCounts, DetermineTheCostAtAnEndpointByItsFactorWithoutACount) {
   EXPECT_EQ(chosenEndpoint({}, 10, 1), 2U);
   EXPECT_EQ(chosenEndpoint({}, 1, 10), 1U);
-  EXPECT_EQ(chosenEndpoint({{7, 4000, 0}}, 1, 10), 1U);  // one of the two only
+  EXPECT_EQ(chosenEndpoint({{7, 4000, 0}}, 1, 10), 1U);  // a count for one of the two only
   EXPECT_EQ(chosenEndpoint({{8, 4000, 0}}, 10, 1), 2U);
 }
 
-// Between two attempts the other endpoints change their tokenisers, and the request gets new counts.
+// Between two attempts, the other endpoints change their tokenisers and the request receives new counts.
 TEST(PromptCounts, ApplyToARetryWhenTheyChange) {
   for (const bool swapped : {false, true}) {
     PolicyDriver driver(settings());
     const std::vector<EndpointEntry> before{endpoint(1, kPrefill, 0), endpoint(2, kPrefill, 0),
                                             endpoint(3, kPrefill, 0), endpoint(11, kDecode, 0)};
     driver.setEndpoints(before);
-    learnCost(driver);
+    learnPrefillCost(driver);
     auto request = driver.newRequest(1);
     request.promptTokens = 4000;
     request.counts = {{7, 4000, 0}};
@@ -78,7 +79,7 @@
   }
   PolicyDriver driver(settings());
   driver.deliver(PromptCounted{{99}, {{8, 9000, 0}}});
-  EXPECT_EQ(driver.lastEndpoint(99), 0U) << "of a request that is not known";
+  EXPECT_EQ(driver.lastEndpoint(99), 0U) << "counts of an unknown request caused a send";
 }
 
 }  // namespace
--- a/tests/policy/random_events_test.cpp
+++ b/tests/policy/random_events_test.cpp
@@ -1,4 +1,5 @@
-// Seeded random events under an independent checker of the rules; and that equal events give equal actions.
+// Delivers seeded random events to the policy and checks its actions with an independent implementation of
+// the rules. Also tests that equal events give equal actions.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -12,13 +13,13 @@
 namespace garnethook::test {
 namespace {
 
-// Checks what is sent against the rules, knowing only events and actions.
+// Checks the actions against the rules from the events and actions alone.
 class RuleChecker {
  public:
   struct RequestState {
-    void drop() {
+    void clearKvState() {
       hasKvState = false;
-      heldSince.reset();
+      kvStateHeldSince.reset();
     }
     RequestArrived request;
     Micros deadline = 0;
@@ -29,52 +30,53 @@
     bool started = false;
     bool ended = false;
     bool possiblyExecuted = false;
-    bool hasKvState = false;  // prefilled, and neither streamed nor released
-    std::optional<Micros> heldSince;
+    bool hasKvState = false;  // prefilled, and neither used by a started stream nor released
+    std::optional<Micros> kvStateHeldSince;
   };
 
-  void addBreach(const std::string& what) { breaches.insert(what); }
+  void addViolation(const std::string& description) { violations.insert(description); }
 
-  void action(Micros now, const Action& action, const std::map<std::uint64_t, Role>& running) {
-    if (const auto* send = std::get_if<Send>(&action)) return sent(*send, running);
+  void checkAction(Micros now, const Action& action, const std::map<std::uint64_t, Role>& running) {
+    if (const auto* send = std::get_if<Send>(&action)) return checkSend(*send, running);
     if (const auto* reject = std::get_if<Reject>(&action)) return final(now, reject->id.value, true);
     if (const auto* fail = std::get_if<Fail>(&action)) return final(now, fail->id.value, false);
-    if (const auto* release = std::get_if<Release>(&action)) requests[release->id.value].drop();
+    if (const auto* release = std::get_if<Release>(&action)) requests[release->id.value].clearKvState();
   }
 
-  void time(Micros now) {
+  void checkDeadlines(Micros now) {
     for (auto& [id, state] : requests) {
-      if (!state.ended && !state.started && now > state.deadline + 8 * kMs) addBreach("late answer");
-      if (state.heldSince && !state.inFlight && now > *state.heldSince + 500 * kMs)
-        addBreach("KV state held too long");
+      if (!state.ended && !state.started && now > state.deadline + 8 * kMs)
+        addViolation("late final response");
+      if (state.kvStateHeldSince && !state.inFlight && now > *state.kvStateHeldSince + 500 * kMs)
+        addViolation("KV state held too long");
     }
   }
 
   std::map<std::uint64_t, RequestState> requests;
-  std::set<std::string> breaches;
+  std::set<std::string> violations;
 
  private:
-  void sent(const Send& send, const std::map<std::uint64_t, Role>& running) {
+  void checkSend(const Send& send, const std::map<std::uint64_t, Role>& running) {
     RequestState& state = requests[send.id.value];
-    if (state.ended) addBreach("sent after the end");
-    if (state.inFlight) addBreach("two attempts in flight");
+    if (state.ended) addViolation("sent after the request ended");
+    if (state.inFlight) addViolation("two attempts in flight");
     if (state.possiblyExecuted && state.idempotency == Idempotency::nonIdempotent)
-      addBreach("non-idempotent request retried");
-    if (!running.contains(send.endpoint.value)) addBreach("sent to a drained endpoint");
-    if (++state.sends > settings().maxAttempts) addBreach("too many attempts");
+      addViolation("non-idempotent request retried");
+    if (!running.contains(send.endpoint.value)) addViolation("sent to an endpoint that is not running");
+    if (++state.sends > settings().maxAttempts) addViolation("too many attempts");
     state.inFlight = true;
     const auto role = running.find(send.endpoint.value);
     state.isPrefill = role != running.end() && role->second == Role::prefill;
-    if (!state.isPrefill) state.heldSince.reset();
+    if (!state.isPrefill) state.kvStateHeldSince.reset();
   }
 
   void final(Micros now, std::uint64_t id, bool rejected) {
     RequestState& state = requests[id];
-    if (state.ended) addBreach("two answers");
+    if (state.ended) addViolation("two final responses");
     if (rejected && state.idempotency == Idempotency::nonIdempotent &&
         (state.possiblyExecuted || state.inFlight))
-      addBreach("non-idempotent request rejected");
-    if (now > state.deadline + 8 * kMs) addBreach("late answer");
+      addViolation("non-idempotent request rejected");
+    if (now > state.deadline + 8 * kMs) addViolation("late final response");
     state.ended = true;
   }
 };
@@ -96,33 +98,33 @@
   const PolicyDriver& driver() const { return driver_; }
 
  private:
-  std::uint64_t below(std::uint64_t n) { return random_() % n; }
+  std::uint64_t randomBelow(std::uint64_t limit) { return random_() % limit; }
 
   void step() {
-    const auto dice = below(100);
-    if (dice < 30) return arrive();
-    if (dice < 75) return endAttempt();
-    if (dice < 80) return startStream();
-    if (dice < 82) return cancelRequest();
-    if (dice < 85) return changeEndpoint();
-    advanceTime(static_cast<Micros>(below(40)) * kMs);
+    const auto randomChoice = randomBelow(100);
+    if (randomChoice < 30) return deliverArrival();
+    if (randomChoice < 75) return endAttempt();
+    if (randomChoice < 80) return startStream();
+    if (randomChoice < 82) return cancelRequest();
+    if (randomChoice < 85) return changeEndpoint();
+    advanceTime(static_cast<Micros>(randomBelow(40)) * kMs);
   }
 
-  void checkFrom(std::size_t from) {
-    for (auto at = from; at < driver_.log.size(); ++at)
-      checker.action(driver_.log[at].first, driver_.log[at].second, running_);
+  void checkActionsFrom(std::size_t firstIndex) {
+    for (auto index = firstIndex; index < driver_.log.size(); ++index)
+      checker.checkAction(driver_.log[index].first, driver_.log[index].second, running_);
   }
   void deliver(const Event& event) {
-    const auto from = driver_.log.size();
+    const auto logSizeBefore = driver_.log.size();
     driver_.deliver(event);
-    checkFrom(from);
+    checkActionsFrom(logSizeBefore);
   }
-  void advanceTime(Micros time) {
-    for (Micros left = time; left > 0; left -= 2 * kMs) {
-      const auto from = driver_.log.size();
+  void advanceTime(Micros duration) {
+    for (Micros timeLeft = duration; timeLeft > 0; timeLeft -= 2 * kMs) {
+      const auto logSizeBefore = driver_.log.size();
       driver_.advanceTime(2 * kMs);
-      checkFrom(from);
-      checker.time(driver_.now);
+      checkActionsFrom(logSizeBefore);
+      checker.checkDeadlines(driver_.now);
     }
   }
 
@@ -134,39 +136,39 @@
     deliver(EndpointUpdate{EndpointUpdate::Kind::snapshot, entries_});
   }
   void changeEndpoint() {
-    auto& entry = entries_[below(entries_.size())];
-    entry.state = static_cast<EndpointState>(below(3));
+    auto& entry = entries_[randomBelow(entries_.size())];
+    entry.state = static_cast<EndpointState>(randomBelow(3));
     if (entry.state == EndpointState::running) entry.startedAt = driver_.now;
     sendSnapshot();
   }
 
-  void arrive() {
-    auto request = driver_.newRequest(++last_, static_cast<ClassIndex>(below(3)));
-    request.session = {below(20)};
-    request.sharedPrefix = {below(6)};
-    request.promptTokens = static_cast<double>(below(9000));
-    request.sharedPrefixTokens = static_cast<double>(below(4000));
-    request.remaining = static_cast<Micros>(below(4000)) * kMs;
-    checker.requests[last_] = {.request = request,
-                               .deadline = driver_.now + request.remaining,
-                               .idempotency = settings().classes[*request.requestClass].idempotency};
+  void deliverArrival() {
+    auto request = driver_.newRequest(++lastRequestId_, static_cast<ClassIndex>(randomBelow(3)));
+    request.session = {randomBelow(20)};
+    request.sharedPrefix = {randomBelow(6)};
+    request.promptTokens = static_cast<double>(randomBelow(9000));
+    request.sharedPrefixTokens = static_cast<double>(randomBelow(4000));
+    request.remaining = static_cast<Micros>(randomBelow(4000)) * kMs;
+    checker.requests[lastRequestId_] = {.request = request,
+                                        .deadline = driver_.now + request.remaining,
+                                        .idempotency = settings().classes[*request.requestClass].idempotency};
     deliver(request);
   }
 
-  std::optional<std::uint64_t> drawInFlight() {
+  std::optional<std::uint64_t> randomInFlightRequest() {
     std::vector<std::uint64_t> inFlight;
     for (const auto& [id, state] : checker.requests)
       if (state.inFlight) inFlight.push_back(id);
     if (inFlight.empty()) return std::nullopt;
-    return inFlight[below(inFlight.size())];
+    return inFlight[randomBelow(inFlight.size())];
   }
 
   void endAttempt() {
-    const auto id = drawInFlight();
+    const auto id = randomInFlightRequest();
     if (!id) return;
     auto& state = checker.requests[*id];
-    auto outcome = static_cast<Outcome>(below(9));
-    if (below(2) == 0) outcome = state.isPrefill ? Outcome::prefillDone : Outcome::completed;
+    auto outcome = static_cast<Outcome>(randomBelow(9));
+    if (randomBelow(2) == 0) outcome = state.isPrefill ? Outcome::prefillDone : Outcome::completed;
     if (state.isPrefill && outcome == Outcome::completed) outcome = Outcome::prefillDone;
     if (!state.isPrefill && outcome == Outcome::prefillDone) outcome = Outcome::completed;
     const bool notExecuted = outcome == Outcome::rejected || outcome == Outcome::connectFailed ||
@@ -175,30 +177,30 @@
     state.inFlight = false;
     if (outcome == Outcome::completed || state.started) state.ended = true;
     if (outcome == Outcome::prefillDone) state.hasKvState = true;
-    if (outcome == Outcome::completed) state.drop();
-    if (state.hasKvState) state.heldSince = driver_.now;
+    if (outcome == Outcome::completed) state.clearKvState();
+    if (state.hasKvState) state.kvStateHeldSince = driver_.now;
     AttemptEnded event{.id = {*id},
                        .attempt = state.sends - 1,
                        .endpoint = {driver_.lastEndpoint(*id)},
                        .outcome = outcome,
                        .requestEnded = state.ended};
-    event.cachedTokens = static_cast<double>(below(2000));
-    if (below(3) == 0)
-      event.report = LoadReport{.memoryShare = 0.01 * static_cast<double>(below(130)),
-                                .queuedKiloTokens = static_cast<double>(below(30))};
+    event.cachedTokens = static_cast<double>(randomBelow(2000));
+    if (randomBelow(3) == 0)
+      event.report = LoadReport{.memoryShare = 0.01 * static_cast<double>(randomBelow(130)),
+                                .queuedKiloTokens = static_cast<double>(randomBelow(30))};
     deliver(event);
   }
 
   void startStream() {
-    const auto id = drawInFlight();
+    const auto id = randomInFlightRequest();
     if (!id || checker.requests[*id].isPrefill || checker.requests[*id].ended) return;
     checker.requests[*id].started = true;
-    checker.requests[*id].drop();
+    checker.requests[*id].clearKvState();
     deliver(StreamStarted{{*id}, checker.requests[*id].sends - 1});
   }
 
   void cancelRequest() {
-    const auto id = drawInFlight();
+    const auto id = randomInFlightRequest();
     if (!id || checker.requests[*id].started || checker.requests[*id].ended) return;
     checker.requests[*id].ended = true;
     deliver(RequestCancelled{{*id}});
@@ -208,14 +210,14 @@
   PolicyDriver driver_;
   std::vector<EndpointEntry> entries_;
   std::map<std::uint64_t, Role> running_;
-  std::uint64_t last_ = 0;
+  std::uint64_t lastRequestId_ = 0;
 };
 
-TEST(RandomEvents, KeepTheRules) {
+TEST(RandomEvents, CauseNoRuleViolations) {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
     RandomScenario scenario(seed);
     scenario.run(1800);
-    EXPECT_EQ(scenario.checker.breaches, std::set<std::string>{}) << "seed " << seed;
+    EXPECT_EQ(scenario.checker.violations, std::set<std::string>{}) << "seed " << seed;
     EXPECT_GT(scenario.driver().log.size(), 2000u);
   }
 }
@@ -237,48 +239,49 @@
   }
 }
 
-// The checker must see each breach.
-TEST(RuleChecker, CatchesEachBreach) {
+// Verifies that the checker itself detects violations of the rules.
+TEST(RuleChecker, DetectsViolations) {
   const std::map<std::uint64_t, Role> running{{1, Role::prefill}, {11, Role::decode}};
-  const auto after = [&](auto script) {
+  const auto violationsAfter = [&](auto violate) {
     RuleChecker checker;
     auto& state = checker.requests[1];
     state.deadline = 1000 * kMs;
     state.idempotency = Idempotency::nonIdempotent;
-    script(checker, state);
-    return checker.breaches;
+    violate(checker, state);
+    return checker.violations;
   };
-  using Set = std::set<std::string>;
-  EXPECT_EQ(after([&](RuleChecker& tested, auto&) { tested.time(1010 * kMs); }), Set{"late answer"});
-  EXPECT_EQ(after([&](RuleChecker& tested, auto&) {
-              tested.action(0, Fail{{1}}, running);
-              tested.action(0, Fail{{1}}, running);
+  using Violations = std::set<std::string>;
+  EXPECT_EQ(violationsAfter([&](RuleChecker& ruleChecker, auto&) { ruleChecker.checkDeadlines(1010 * kMs); }),
+            Violations{"late final response"});
+  EXPECT_EQ(violationsAfter([&](RuleChecker& ruleChecker, auto&) {
+              ruleChecker.checkAction(0, Fail{{1}}, running);
+              ruleChecker.checkAction(0, Fail{{1}}, running);
             }),
-            Set{"two answers"});
-  EXPECT_EQ(after([&](RuleChecker& tested, auto& state) {
+            Violations{"two final responses"});
+  EXPECT_EQ(violationsAfter([&](RuleChecker& ruleChecker, auto& state) {
               state.possiblyExecuted = true;
-              tested.action(0, Send{{1}, {11}}, running);
+              ruleChecker.checkAction(0, Send{{1}, {11}}, running);
             }),
-            Set{"non-idempotent request retried"});
-  EXPECT_EQ(after([&](RuleChecker& tested, auto& state) {
+            Violations{"non-idempotent request retried"});
+  EXPECT_EQ(violationsAfter([&](RuleChecker& ruleChecker, auto& state) {
               state.possiblyExecuted = true;
-              tested.action(0, Reject{{1}}, running);
+              ruleChecker.checkAction(0, Reject{{1}}, running);
             }),
-            Set{"non-idempotent request rejected"});
-  EXPECT_EQ(after([&](RuleChecker& tested, auto&) {
-              tested.action(0, Send{{1}, {5}}, running);
+            Violations{"non-idempotent request rejected"});
+  EXPECT_EQ(violationsAfter([&](RuleChecker& ruleChecker, auto&) {
+              ruleChecker.checkAction(0, Send{{1}, {5}}, running);
             }),
-            Set{"sent to a drained endpoint"});
-  EXPECT_EQ(after([&](RuleChecker& tested, auto& state) {
-              state.heldSince = 0;
-              tested.time(600 * kMs);
+            Violations{"sent to an endpoint that is not running"});
+  EXPECT_EQ(violationsAfter([&](RuleChecker& ruleChecker, auto& state) {
+              state.kvStateHeldSince = 0;
+              ruleChecker.checkDeadlines(600 * kMs);
             }),
-            Set{"KV state held too long"});
-  EXPECT_EQ(after([&](RuleChecker& tested, auto&) {
-              tested.action(0, Send{{1}, {1}}, running);
-              tested.action(0, Send{{1}, {1}}, running);
+            Violations{"KV state held too long"});
+  EXPECT_EQ(violationsAfter([&](RuleChecker& ruleChecker, auto&) {
+              ruleChecker.checkAction(0, Send{{1}, {1}}, running);
+              ruleChecker.checkAction(0, Send{{1}, {1}}, running);
             }),
-            Set{"two attempts in flight"});
+            Violations{"two attempts in flight"});
 }
 
 }  // namespace
--- a/tests/policy/request_rules_test.cpp
+++ b/tests/policy/request_rules_test.cpp
@@ -58,9 +58,9 @@
     driver.advanceTime(5 * kSec);
     EXPECT_EQ(finalResponses(driver, 1), 1);
     EXPECT_EQ(driver.count<Fail>(1), classIndex == kIdempotent ? 0 : 1);
-    const int releasesBefore = driver.count<Release>(1);
+    const int releasesAtDeadline = driver.count<Release>(1);
     driver.endAttempt(1, Outcome::timedOut);  // the endpoint may still hold KV state
-    EXPECT_GT(driver.count<Release>(1), releasesBefore);
+    EXPECT_GT(driver.count<Release>(1), releasesAtDeadline);
     EXPECT_EQ(driver.count<Send>(1), 2);
   }
 }
--- a/tests/policy/sparse_traffic_test.cpp
+++ b/tests/policy/sparse_traffic_test.cpp
@@ -1,4 +1,5 @@
-// A router that sees little of the traffic: endpoints that it has not used lately are neither idle nor empty.
+// Tests a router that receives a small part of the traffic. It must not take endpoints that it has not used
+// recently for idle, or their caches for empty, since other routers use them.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -23,19 +24,20 @@
   return request;
 }
 
-// The prefill of a request ends with a report of the queue there; then it is answered.
-void completeWithReport(PolicyDriver& driver, std::uint64_t id, double queuedKiloTokens, double found = 0) {
+// Completes the prefill of a request with a load report of its endpoint, and then its decode.
+void completeWithReport(PolicyDriver& driver, std::uint64_t id, double queuedKiloTokens,
+                        double cachedTokensFound = 0) {
   AttemptEnded done{
       .id = {id}, .attempt = 0, .endpoint = {driver.lastEndpoint(id)}, .outcome = Outcome::prefillDone};
-  done.cachedTokens = found;
+  done.cachedTokens = cachedTokensFound;
   done.report = LoadReport{.memoryShare = 0.3, .queuedKiloTokens = queuedKiloTokens};
   driver.deliver(done);
   driver.deliver(StreamStarted{{id}, 1});
   driver.endAttempt(id, Outcome::completed);
 }
 
-// Each prefix is new to this router, but cached at its affinity endpoint: the other routers sent it there.
-TEST(SparseTraffic, ExpectsAtAffinityEndpointsWhatSuchPrefillsFound) {
+// Each prefix is new to this router, but cached at its affinity endpoint, where the other routers sent it.
+TEST(SparseTraffic, ExpectsCachedTokensWhenPrefillsAtAffinityEndpointsFoundThem) {
   PolicyDriver driver(settingsOfManyRouters());
   driver.setEndpoints(
       {endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(3, kPrefill), endpoint(11, kDecode)});
@@ -44,13 +46,13 @@
     driver.advanceTime(400 * kMs);
   }
   const auto request =
-      requestWithPrefix(driver, 100, 900, 11'000);  // uncached at 60 us a token it would be late
+      requestWithPrefix(driver, 100, 900, 11'000);  // late without cached tokens, at 60 us per token
   driver.deliver(request);
   EXPECT_EQ(driver.count<Reject>(100), 0);
   EXPECT_EQ(driver.count<Send>(100), 1);
 }
 
-TEST(SparseTraffic, ExpectsNothingCachedWhenSuchPrefillsFoundNothing) {
+TEST(SparseTraffic, ExpectsNoCachedTokensWhenPrefillsAtAffinityEndpointsFoundNone) {
   PolicyDriver driver(settingsOfManyRouters());
   driver.setEndpoints(
       {endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(3, kPrefill), endpoint(11, kDecode)});
@@ -62,9 +64,9 @@
   EXPECT_EQ(driver.count<Reject>(100), 1);
 }
 
-// Endpoints report long queues, and yet each prefill there completes at once: the queued prompts are cached
-// or computed side by side.
-TEST(SparseTraffic, RejectsNothingForReportedQueuesThatPrefillsDoNotWaitFor) {
+// Endpoints report long queues but complete each prefill quickly, because the queued prompts are cached or
+// computed in parallel. No request is rejected.
+TEST(SparseTraffic, RejectsNothingForReportedQueuesThatCauseNoWait) {
   PolicyDriver driver(settingsOfManyRouters());
   driver.setEndpoints(
       {endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(3, kPrefill), endpoint(11, kDecode)});
@@ -80,8 +82,8 @@
   EXPECT_EQ(rejected, 0);
 }
 
-// Where prefills do wait as long as reported, requests are rejected.
-TEST(SparseTraffic, BelievesReportedQueuesThatPrefillsWaitedFor) {
+// Requests are rejected where prefills wait as long as the reported queues imply.
+TEST(SparseTraffic, RejectsForReportedQueuesThatCauseWaits) {
   PolicyDriver driver(settingsOfManyRouters());
   driver.setEndpoints(
       {endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(3, kPrefill), endpoint(11, kDecode)});
@@ -98,32 +100,34 @@
   EXPECT_EQ(driver.count<Reject>(101), 1);
 }
 
-// One endpoint was idle when it was used last; what was used since is jammed.
-TEST(SparseTraffic, TakesAnEndpointNotUsedLatelyForTheMeanNotForIdle) {
+// One endpoint was idle at its latest use, long ago, and an endpoint used since is overloaded. The former is
+// assumed to have the mean load, not to be idle.
+TEST(SparseTraffic, AssumesMeanLoadAtAnEndpointNotUsedRecently) {
   PolicyDriver driver(settingsOfManyRouters());
   driver.setEndpoints({endpoint(1, kPrefill), endpoint(2, kPrefill), endpoint(11, kDecode)});
-  const auto use = [&](RequestArrived request, double queued) {
+  const auto sendAndComplete = [&](RequestArrived request, double reportedKiloTokens) {
     driver.deliver(request);
-    const auto endpointOfFirst = driver.lastEndpoint(request.id.value);
+    const auto prefillEndpoint = driver.lastEndpoint(request.id.value);
     driver.advanceTime(20 * kMs);
-    completeWithReport(driver, request.id.value, queued);
-    return endpointOfFirst;
+    completeWithReport(driver, request.id.value, reportedKiloTokens);
+    return prefillEndpoint;
   };
-  const auto idle = use(driver.newRequest(1), 0);
+  const auto idleEndpoint = sendAndComplete(driver.newRequest(1), 0);
   std::uint64_t id = 2;
-  while (id < 40 && use(driver.newRequest(id), 0) == idle) ++id;
+  while (id < 40 && sendAndComplete(driver.newRequest(id), 0) == idleEndpoint) ++id;
   ASSERT_LT(id, 40u);
   driver.advanceTime(8 * kSec);
-  auto again = driver.newRequest(100);  // the session of the latest, so the same endpoint
-  again.session = {id + 1000};
-  ASSERT_NE(use(again, 60), idle);
+  auto followUp = driver.newRequest(100);  // same session as the latest request, so same endpoint
+  followUp.session = {id + 1000};
+  ASSERT_NE(sendAndComplete(followUp, 60), idleEndpoint);
   driver.advanceTime(300 * kMs);
   driver.deliver(driver.newRequest(101));
   EXPECT_EQ(driver.count<Reject>(101), 1);
 }
 
-// First tokens of combined attempts bring no report; their wait beyond their own time still shows a queue.
-TEST(SparseTraffic, HoldsRequestsBackWhenAnswersOfCombinedEndpointsAreLate) {
+// First tokens of combined attempts carry no load report, but a wait beyond their own prefill time indicates
+// a queue.
+TEST(SparseTraffic, SendsNothingWhenFirstTokensOfCombinedEndpointsAreLate) {
   PolicyDriver driver(settingsOfManyRouters());
   driver.setEndpoints(
       {endpoint(21, kCombined), endpoint(22, kCombined), endpoint(23, kCombined), endpoint(24, kCombined)});
@@ -141,8 +145,8 @@
   EXPECT_EQ(driver.count<Send>(50), 0);
 }
 
-// One old report of a full decode endpoint must not stand for the whole fleet: the router would reject all
-// that it gets for good.
+// Prevents permanent rejection: an old report of one full decode endpoint, taken for the load of the whole
+// fleet, would make the router reject every request from then on.
 TEST(SparseTraffic, AdmitsAgainWhenTheReportOfOneFullDecodeEndpointIsOld) {
   PolicyDriver driver(settingsOfManyRouters());
   driver.setEndpoints(
@@ -165,8 +169,8 @@
   EXPECT_EQ(driver.count<Send>(2), 1);
 }
 
-// A prefix that makes up most of the prefill load has several affinity endpoints: a queue at one of them is
-// avoided although it is shorter than an uncached prefill would be.
+// A prefix that causes most of the prefill load has several affinity endpoints. A request therefore avoids a
+// queue at one of them, although the wait would be shorter than an uncached prefill elsewhere.
 TEST(SparseTraffic, GivesAHotPrefixSeveralAffinityEndpoints) {
   PolicyDriver driver(settingsOfManyRouters());
   std::vector<EndpointEntry> fleet{endpoint(11, kDecode)};
