--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -334,8 +334,8 @@
   }
   for (const auto last = id + 20; id < last; ++id) {
     driver.deliver(driver.newRequest(id));
-    EXPECT_EQ(driver.lastEndpoint(id),
-              1u);  // the third endpoint of the zone is avoided too, without a failure of its own
+    // The third endpoint of the zone is avoided too, although it has not failed.
+    EXPECT_EQ(driver.lastEndpoint(id), 1u);
     driver.endAttempt(id, Outcome::prefillDone);
     driver.endAttempt(id, Outcome::completed);
   }
--- a/tests/policy/random_events_test.cpp
+++ b/tests/policy/random_events_test.cpp
@@ -111,8 +111,8 @@
   }
 
   void checkActionsFrom(std::size_t firstIndex) {
-    for (auto index = firstIndex; index < driver_.log.size(); ++index)
-      checker.checkAction(driver_.log[index].first, driver_.log[index].second, running_);
+    for (auto logIndex = firstIndex; logIndex < driver_.log.size(); ++logIndex)
+      checker.checkAction(driver_.log[logIndex].first, driver_.log[logIndex].second, running_);
   }
   void deliver(const Event& event) {
     const auto logSizeBefore = driver_.log.size();
--- a/tests/policy/request_rules_test.cpp
+++ b/tests/policy/request_rules_test.cpp
@@ -157,8 +157,8 @@
     ASSERT_TRUE(isFirstZone || driver.lastEndpoint(1) == 12);
     const auto logSizeBefore = driver.log.size();
     driver.endAttempt(1, Outcome::connectionReset);
-    driver.endAttempt(1, Outcome::rejected, 0,
-                      true);  // the KV state is missing: the prompt must be prefilled again
+    // The KV state is missing, so the prompt must be prefilled again.
+    driver.endAttempt(1, Outcome::rejected, 0, true);
     driver.advanceTime(5 * kSec);
     for (auto index = logSizeBefore; index < driver.log.size(); ++index)
       if (const auto* send = std::get_if<Send>(&driver.log[index].second)) {
@@ -208,8 +208,8 @@
     EXPECT_EQ(driver.lastEndpoint(id), 12u);
     driver.endAttempt(id, Outcome::completed);
   }
-  driver.setEndpoints(
-      {endpoint(2, kPrefill), endpoint(12, kDecode)});  // a snapshot without the others removes them
+  // A snapshot without the other endpoints removes them.
+  driver.setEndpoints({endpoint(2, kPrefill), endpoint(12, kDecode)});
   completePrefill(driver, 30, kIdempotent);
   EXPECT_EQ(driver.lastEndpoint(30), 12u);
 }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -113,16 +113,16 @@
     for (std::size_t& i = processedActions_[router]; i < driver.log.size(); ++i) {
       const auto& [at, action] = driver.log[i];
       if (const auto* send = std::get_if<Send>(&action)) {
-        const std::uint64_t endpointNumber = send->endpoint.value;
+        const std::uint64_t target = send->endpoint.value;
         Micros endsAt = at + 100 * kMs;
-        if (endpointNumber <= kPrefillEndpoints) {
-          sendTimes_[endpointNumber].push_back(at);
-          const double speed = hasRestarted_ && endpointNumber <= kRestartedEndpoints ? warmUpSpeed_ : 1;
+        if (target <= kPrefillEndpoints) {
+          sendTimes_[target].push_back(at);
+          const double speed = hasRestarted_ && target <= kRestartedEndpoints ? warmUpSpeed_ : 1;
           const auto prefillTime =
               static_cast<Micros>(0.6 * kPrefillEndpoints / options_.requestsPerSecond * 1e6 / speed);
-          endsAt = busyUntil_[endpointNumber] = std::max(busyUntil_[endpointNumber], at) + prefillTime;
+          endsAt = busyUntil_[target] = std::max(busyUntil_[target], at) + prefillTime;
         }
-        inFlight_[send->id.value] = {endpointNumber, endsAt};
+        inFlight_[send->id.value] = {target, endsAt};
         attemptEnds_.emplace(endsAt, std::pair(router, send->id.value));
       } else if (const auto* cancel = std::get_if<Cancel>(&action);
                  cancel && inFlight_.erase(cancel->id.value)) {
--- a/tests/policy/sparse_traffic_test.cpp
+++ b/tests/policy/sparse_traffic_test.cpp
@@ -45,8 +45,8 @@
     driver.serve(requestWithPrefix(driver, id, 500 + id, 3000), 40 * kMs, 3000);
     driver.advanceTime(400 * kMs);
   }
-  const auto request =
-      requestWithPrefix(driver, 100, 900, 11'000);  // late without cached tokens, at 60 us per token
+  // Without cached tokens, this request would be late at 60 us per token.
+  const auto request = requestWithPrefix(driver, 100, 900, 11'000);
   driver.deliver(request);
   EXPECT_EQ(driver.count<Reject>(100), 0);
   EXPECT_EQ(driver.count<Send>(100), 1);
