--- a/src/engine/connection_pool.cpp
+++ b/src/engine/connection_pool.cpp
@@ -44,9 +44,9 @@
   return found == endpoints_.end() ? Responsiveness::unknown : found->second.responsiveness;
 }
 
-Micros ConnectionPool::lastHeardAt(EndpointId endpoint) const {
+Micros ConnectionPool::lastReceivedAt(EndpointId endpoint) const {
   const auto found = endpoints_.find(endpoint.value);
-  return found == endpoints_.end() ? 0 : found->second.lastHeardAt;
+  return found == endpoints_.end() ? 0 : found->second.lastReceivedAt;
 }
 
 void ConnectionPool::update(const membership::EndpointMap& endpoints) {
@@ -218,7 +218,7 @@
   Endpoint* const endpoint = findEndpoint(connection.endpoint());
   if (endpoint == nullptr) return;
   endpoint->responsiveness = isResponsive ? Responsiveness::responsive : Responsiveness::unresponsive;
-  if (isResponsive) endpoint->lastHeardAt = loop_.now();
+  if (isResponsive) endpoint->lastReceivedAt = loop_.now();
 }
 
 void ConnectionPool::onFinished(Connection& connection, bool isReusable) {
--- a/src/engine/connection_pool.h
+++ b/src/engine/connection_pool.h
@@ -51,7 +51,7 @@
   /// The latest news of the endpoint.
   Responsiveness responsiveness(EndpointId endpoint) const;
   /// When the endpoint's latest response began, in microseconds on the monotonic clock; 0: there was none.
-  Micros lastHeardAt(EndpointId endpoint) const;
+  Micros lastReceivedAt(EndpointId endpoint) const;
   /// Whether no connection may be used for another attempt at the endpoint.
   bool isFull(EndpointId endpoint) const;
   /// Whether as many releases, probes and the like are under way as may be.
@@ -101,7 +101,7 @@
     std::vector<std::unique_ptr<Connection>> idle;  // the latest last
     std::size_t busyCount = 0;
     Responsiveness responsiveness = Responsiveness::unknown;
-    Micros lastHeardAt = 0;
+    Micros lastReceivedAt = 0;
   };
   struct AttemptHash {
     std::size_t operator()(const routing::AttemptId& id) const {
--- a/src/engine/pooled_engine_client.h
+++ b/src/engine/pooled_engine_client.h
@@ -25,8 +25,8 @@
   }
 
   /// When anything came from the endpoint last.
-  std::optional<Micros> lastHeardAt(EndpointId endpoint) const override {
-    return pool_.lastHeardAt(endpoint);
+  std::optional<Micros> lastReceivedAt(EndpointId endpoint) const override {
+    return pool_.lastReceivedAt(endpoint);
   }
 
   /// The connections.
--- a/src/platform/process/router_logger.cpp
+++ b/src/platform/process/router_logger.cpp
@@ -158,7 +158,7 @@
 
 void RouterLogger::onPolicyLog(const std::string& text) {
   const auto nameOf = [this](EndpointId id) { return endpointName(id); };
-  log_.info("policy", {{"text", routing::withNames(text, nameOf)}});
+  log_.info("policy", {{"text", routing::withEndpointNames(text, nameOf)}});
 }
 
 }  // namespace garnethook::platform
--- a/src/platform/process/router_options.cpp
+++ b/src/platform/process/router_options.cpp
@@ -27,7 +27,7 @@
   options.streamGuard.enforcesDeadline = false;
   const Micros releaseTimeout = deployment.settings.kvReleaseTimeout;
   options.kvReservations.kvReleaseTimeout = releaseTimeout > 0 ? releaseTimeout : kDefaultKvReleaseTimeout;
-  options.kvReservations.releaseSparesAwaited = true;
+  options.kvReservations.releaseSkipsAwaitedState = true;
   return options;
 }
 
--- a/src/routing/active_request.h
+++ b/src/routing/active_request.h
@@ -51,7 +51,7 @@
   timing::TimerKey streamTimer;                     ///< Next check of the stream.
 
   /// Whether the client has its completion, or has gone.
-  bool isAnswered() const { return client == nullptr; }
+  bool isFinished() const { return client == nullptr; }
   /// Whether the answer has begun.
   bool hasAnswerBegun() const { return nextTokenIndex > 0; }
   /// Whether this attempt is in flight.
--- a/src/routing/attempt_runner.cpp
+++ b/src/routing/attempt_runner.cpp
@@ -85,7 +85,8 @@
     case DeliveryState::connected:
       if (context_.engines.canCheckLiveness()) context_.engines.checkLiveness(id, active->attempt->endpoint);
       return;
-    case DeliveryState::written: return parts_.reservations.releaseBeside(id.request, *active->attempt);
+    case DeliveryState::written:
+      return parts_.reservations.releaseDuringAttempt(id.request, *active->attempt);
     case DeliveryState::undelivered: break;
   }
   if (active->attempt->phase == Phase::prefill) parts_.reservations.release(id.request);
@@ -96,7 +97,7 @@
   ActiveRequest* active = parts_.requests.findUnstarted(id);
   if (active == nullptr || context_.engines.deliveryState(id) == DeliveryState::confirmed) return;
   active->attempt->isConfirmedAlive = alive;
-  if (!alive) parts_.reservations.releaseBeside(id.request, *active->attempt);
+  if (!alive) parts_.reservations.releaseDuringAttempt(id.request, *active->attempt);
 }
 
 // Whether the attempt has reached its endpoint for certain, as far as the time of reservations is concerned.
@@ -173,7 +174,7 @@
   if (result.promptTokens > 0) {
     active.usage.promptTokens = result.promptTokens;
     if (attempt.phase != Phase::decode)
-      context_.observer.onPromptRead(attempt.endpoint, active.request, result.promptTokens);
+      context_.observer.onPromptTokensReported(attempt.endpoint, active.request, result.promptTokens);
   }
   if (result.cachedTokens > 0) active.usage.cachedTokens = static_cast<std::uint32_t>(result.cachedTokens);
 }
@@ -198,7 +199,7 @@
     active.kvEndpoint.reset();
   }
   active.usage.outputTokens = std::max(result.outputTokens, active.nextTokenIndex);
-  if (active.isAnswered()) return;
+  if (active.isFinished()) return;
   parts_.completer.complete(
       active,
       {.disposition = Disposition::completed, .finishReason = result.finishReason, .usage = active.usage});
@@ -212,7 +213,7 @@
   if (!result.badRequest && !attempt.hasStarted) return;  // the policy decides about a retry
   event.requestEnded = true;
   if (result.badRequest) event.outcome = kNeutralOutcome;
-  if (active.isAnswered()) return;
+  if (active.isFinished()) return;
   parts_.completer.complete(
       active, result.badRequest ? badRequestCompletion(result.text) : streamBrokenCompletion(result.text));
 }
--- a/src/routing/engine_client.h
+++ b/src/routing/engine_client.h
@@ -110,7 +110,7 @@
   virtual bool canRelease() const { return true; }
   /// When anything came from the endpoint last, on the monotonic clock; 0: nothing yet. None where that is
   /// not known.
-  virtual std::optional<Micros> lastHeardAt(EndpointId /*endpoint*/) const { return std::nullopt; }
+  virtual std::optional<Micros> lastReceivedAt(EndpointId /*endpoint*/) const { return std::nullopt; }
   /// Asks an endpoint for its health and load.
   virtual void probe(EndpointId endpoint) = 0;
   /// Whether checkLiveness() is possible.
--- a/src/routing/kv_reservation_releaser.cpp
+++ b/src/routing/kv_reservation_releaser.cpp
@@ -37,16 +37,16 @@
   callReleases(tracker_.release(request, context_.timers.now()));
 }
 
-void KvReservationReleaser::releaseBeside(RequestId request, InFlightAttempt& attempt) {
+void KvReservationReleaser::releaseDuringAttempt(RequestId request, InFlightAttempt& attempt) {
   attempt.mayNotHaveArrived = true;
   const Micros now = context_.timers.now();
-  callReleases(attempt.phase == Phase::prefill ? tracker_.releaseOthers(request, attempt.endpoint, now)
-                                               : tracker_.releaseUnconfirmed(request, now));
+  callReleases(attempt.phase == Phase::prefill ? tracker_.releaseDuringPrefill(request, attempt.endpoint, now)
+                                               : tracker_.releaseDuringDecode(request, now));
 }
 
 void KvReservationReleaser::onReleaseEnded(const ReleaseCall& call, bool ok) {
   context_.observer.onReleaseEnded(call, ok);
-  tracker_.onReleaseEnded(call, ok, context_.timers.now(), context_.engines.lastHeardAt(call.endpoint));
+  tracker_.onReleaseEnded(call, ok, context_.timers.now(), context_.engines.lastReceivedAt(call.endpoint));
   forgetTraceId(call.request);
   startTimer();
 }
@@ -71,7 +71,7 @@
 // unless the attempt in flight may never have arrived.
 bool KvReservationReleaser::mayRepeat(RequestId request) const {
   const ActiveRequest* active = requests_.find(request);
-  if (active == nullptr || active->isAnswered()) return true;
+  if (active == nullptr || active->isFinished()) return true;
   if (!active->attempt) return !active->kvEndpoint;
   return active->attempt->hasStarted || active->attempt->mayNotHaveArrived;
 }
--- a/src/routing/kv_reservation_releaser.h
+++ b/src/routing/kv_reservation_releaser.h
@@ -33,7 +33,7 @@
   /// Releases what may be released beside an attempt in flight that may never have arrived: what earlier
   /// prefills left, beside a prefill; the state itself beside a decode, where a release spares what an
   /// endpoint waits for.
-  void releaseBeside(RequestId request, InFlightAttempt& attempt);
+  void releaseDuringAttempt(RequestId request, InFlightAttempt& attempt);
   /// A release call ended; a failed one is retried later.
   void onReleaseEnded(const ReleaseCall& call, bool ok);
   /// These endpoints were restarted: what they reserved is gone.
--- a/src/routing/kv_reservation_tracker.cpp
+++ b/src/routing/kv_reservation_tracker.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 void KvReservationTracker::AbandonedWork::add(const AbandonedAttempt& attempt) {
-  const Micros work = std::max(attempt.usefulFor, kMinAbandonedWork) + kAbandonedWorkMargin;
+  const Micros work = std::max(attempt.remainingTimeout, kMinAbandonedWork) + kAbandonedWorkMargin;
   add(AbandonedWork{attempt.at, work, attempt.at + std::min(work, kMaxAbandonedWork)});
 }
 
@@ -157,22 +157,22 @@
   return calls;
 }
 
-std::vector<ReleaseCall> KvReservationTracker::releaseOthers(RequestId request, EndpointId endpoint,
-                                                             Micros now) {
+std::vector<ReleaseCall> KvReservationTracker::releaseDuringPrefill(RequestId request, EndpointId endpoint,
+                                                                    Micros now) {
   const Key key{request, endpoint};
   auto own = reservations_.extract(key);
   auto calls = release(request, now);
   if (!own) return calls;
   own.mapped().since = now;
-  if (own.mapped().hasEarlierPrefill && options_.releaseSparesAwaited)
+  if (own.mapped().hasEarlierPrefill && options_.releaseSkipsAwaitedState)
     calls.push_back({endpoint, request, ++lastCallNumber_});
   reservations_.insert(std::move(own));
   return calls;
 }
 
-std::vector<ReleaseCall> KvReservationTracker::releaseUnconfirmed(RequestId request, Micros now) {
+std::vector<ReleaseCall> KvReservationTracker::releaseDuringDecode(RequestId request, Micros now) {
   std::vector<ReleaseCall> calls;
-  if (!options_.releaseSparesAwaited) return calls;
+  if (!options_.releaseSkipsAwaitedState) return calls;
   for (auto item = firstOf(reservations_, request);
        item != reservations_.end() && item->first.first == request; ++item)
     if (!releases_.contains(item->first)) calls.push_back(startRelease(item->first, item->second, now));
--- a/src/routing/kv_reservation_tracker.h
+++ b/src/routing/kv_reservation_tracker.h
@@ -37,12 +37,12 @@
     /// can be reached again is asked within that time.
     Micros releaseRetryDelay = 100'000;
     /// A release call leaves alone what a decode attempt at an endpoint waits for.
-    bool releaseSparesAwaited = false;
+    bool releaseSkipsAwaitedState = false;
   };
   /// An attempt that was given up: when, and how long the engine was told that its result is of use.
   struct AbandonedAttempt {
-    Micros at = 0;         ///< When it was given up.
-    Micros usefulFor = 0;  ///< What was left then of the time that the engine was told.
+    Micros at = 0;                ///< When it was given up.
+    Micros remainingTimeout = 0;  ///< What was left then of the time that the engine was told.
   };
   /// Engines are taken to go on with abandoned work for this long at least: some finish what has begun.
   static constexpr Micros kMinAbandonedWork = 1'000'000;
@@ -89,10 +89,10 @@
   /// The release is due while a prefill at `endpoint` is in flight that may never have arrived. Returns the
   /// calls to be made now. At that endpoint one is made only where releases spare what is awaited, and it is
   /// not retried.
-  std::vector<ReleaseCall> releaseOthers(RequestId request, EndpointId endpoint, Micros now);
+  std::vector<ReleaseCall> releaseDuringPrefill(RequestId request, EndpointId endpoint, Micros now);
   /// The release is due while a decode attempt is in flight that may never have arrived. Returns the calls to
   /// be made now, where releases spare what is awaited; the reservations they spare stay tracked.
-  std::vector<ReleaseCall> releaseUnconfirmed(RequestId request, Micros now);
+  std::vector<ReleaseCall> releaseDuringDecode(RequestId request, Micros now);
   /// A release call ended; only the latest one of a reservation counts. A failed one is due again after the
   /// delay, up to the limit of attempts, and a confirmed one where it may have come too early.
   /// @param call the call
--- a/src/routing/observer.h
+++ b/src/routing/observer.h
@@ -21,12 +21,12 @@
   /// An attempt ended, by its engine or by the router.
   virtual void onAttemptEnded(AttemptId, EndpointId, const AttemptResult&) {}
   /// An engine read the prompt and reported how many tokens it has.
-  virtual void onPromptRead(EndpointId, const Request&, double /*tokens*/) {}
+  virtual void onPromptTokensReported(EndpointId, const Request&, double /*tokens*/) {}
   /// A client is about to receive its completion; `duration`: since its arrival, in microseconds.
   virtual void onCompletion(RequestId, const Request&, const Completion&, Micros /*duration*/) {}
   /// A client has gone, or wants no more.
   virtual void onCancelled(RequestId) {}
-  /// A log text of the routing policy; see withNames().
+  /// A log text of the routing policy; see withEndpointNames().
   virtual void onPolicyLog(const std::string&) {}
   /// An action of the policy threw when it was executed.
   virtual void onActionFailed(const std::string& /*error*/) {}
--- a/src/routing/policy_log.cpp
+++ b/src/routing/policy_log.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-std::string withNames(std::string_view text, const std::function<std::string(EndpointId)>& nameOf) {
+std::string withEndpointNames(std::string_view text, const std::function<std::string(EndpointId)>& nameOf) {
   std::string named;
   for (std::size_t begin = 0; begin < text.size();) {
     const auto end = std::min(text.find(' ', begin), text.size());
--- a/src/routing/policy_log.h
+++ b/src/routing/policy_log.h
@@ -10,6 +10,6 @@
 namespace garnethook::routing {
 
 /// `text` with the names of endpoints in place of their ids.
-std::string withNames(std::string_view text, const std::function<std::string(EndpointId)>& nameOf);
+std::string withEndpointNames(std::string_view text, const std::function<std::string(EndpointId)>& nameOf);
 
 }  // namespace garnethook::routing
--- a/src/routing/request_table.cpp
+++ b/src/routing/request_table.cpp
@@ -48,14 +48,15 @@
 std::vector<RequestId> RequestTable::pendingIds() const {
   std::vector<RequestId> ids;
   for (const auto& [id, active] : requests_)
-    if (!active.isAnswered()) ids.push_back({id});
+    if (!active.isFinished()) ids.push_back({id});
   std::sort(ids.begin(), ids.end());
   return ids;
 }
 
-void RequestTable::forEachUnanswered(const std::function<void(RequestId, const Request&)>& callback) const {
+void RequestTable::forEachAwaitingResponse(
+    const std::function<void(RequestId, const Request&)>& callback) const {
   for (const auto& [id, active] : requests_)
-    if (!active.isAnswered() && !active.hasAnswerBegun()) callback({id}, active.request);
+    if (!active.isFinished() && !active.hasAnswerBegun()) callback({id}, active.request);
 }
 
 }  // namespace garnethook::routing
--- a/src/routing/request_table.h
+++ b/src/routing/request_table.h
@@ -44,7 +44,7 @@
   /// Pending requests in the order of their arrival.
   std::vector<RequestId> pendingIds() const;
   /// Calls back for each pending request whose answer has not begun.
-  void forEachUnanswered(const std::function<void(RequestId, const Request&)>& callback) const;
+  void forEachAwaitingResponse(const std::function<void(RequestId, const Request&)>& callback) const;
 
  private:
   std::unordered_map<std::uint64_t, ActiveRequest> requests_;
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -49,7 +49,7 @@
 
 ActiveRequest* Router::findPending(RequestId id) {
   ActiveRequest* active = requests_.find(id);
-  return active != nullptr && !active->isAnswered() ? active : nullptr;
+  return active != nullptr && !active->isFinished() ? active : nullptr;
 }
 
 bool Router::isPastDeadline(const ActiveRequest& active) const { return timers_.now() >= active.usableUntil; }
@@ -207,7 +207,7 @@
   for (std::size_t i = 0; i < requests_.finished().size(); ++i) {
     const RequestId id = requests_.finished()[i];
     ActiveRequest* active = requests_.find(id);
-    if (active == nullptr || !active->isAnswered()) continue;
+    if (active == nullptr || !active->isFinished()) continue;
     if (active->attempt) {
       attempts_.end(*active, active->attempt->hasStarted ? kNeutralOutcome : Outcome::cancelled, true);
       active = requests_.find(id);
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -56,8 +56,8 @@
   /// Replaces the token counts of a pending request; others are left alone.
   void updateTokenCounts(RequestId id, std::vector<PromptCount> counts);
   /// Calls back for each pending request whose answer has not begun.
-  void forEachUnanswered(const std::function<void(RequestId, const Request&)>& callback) const {
-    requests_.forEachUnanswered(callback);
+  void forEachAwaitingResponse(const std::function<void(RequestId, const Request&)>& callback) const {
+    requests_.forEachAwaitingResponse(callback);
   }
   /// The list of endpoints changed.
   void onEndpointUpdate(const EndpointUpdate& update);
--- a/src/routing/rule_enforcer.cpp
+++ b/src/routing/rule_enforcer.cpp
@@ -9,7 +9,7 @@
                         .firstExecutedAt = active.firstExecutedAt,
                         .target = endpoints_.locationOf(endpoint).value_or(EndpointLocation()),
                         .phase = endpoints_.phaseAt(endpoint, active.kvEndpoint.has_value()),
-                        .isAnswered = active.isAnswered(),
+                        .isFinished = active.isFinished(),
                         .hasAttemptInFlight = active.attempt.has_value(),
                         .now = context_.timers.now()});
   if (violation) report(*violation, active);
--- a/src/routing/rule_guard.cpp
+++ b/src/routing/rule_guard.cpp
@@ -31,7 +31,7 @@
 }
 
 std::optional<Violation> RuleGuard::check(const AttemptContext& context) {
-  if (context.isAnswered) return Violation::attemptAfterCompletion;
+  if (context.isFinished) return Violation::attemptAfterCompletion;
   if (context.hasAttemptInFlight) return Violation::concurrentAttempt;
   const RequestClass& requestClass = context.requestClass;
   // A prefill has no effect, so only attempts that generate an answer may repeat work.
--- a/src/routing/rule_guard.h
+++ b/src/routing/rule_guard.h
@@ -36,7 +36,7 @@
   std::optional<EndpointLocation> firstExecutedAt;  ///< Where it first may have been executed.
   EndpointLocation target;                          ///< Where the attempt would go.
   Phase phase = Phase::combined;                    ///< What the attempt would do.
-  bool isAnswered = false;                          ///< The client has its completion, or has gone.
+  bool isFinished = false;                          ///< The client has its completion, or has gone.
   bool hasAttemptInFlight = false;                  ///< Another attempt is in flight.
   Micros now = 0;                                   ///< Monotonic time.
 };
--- a/src/routing/stream_guard.h
+++ b/src/routing/stream_guard.h
@@ -41,8 +41,8 @@
 
   /// Whether a stream that ends at the deadline had stalled by its own rhythm, so that its engine is to
   /// blame; one that still generated is merely long. `tokens` came between `firstTokenAt` and `lastTokenAt`.
-  bool hasStalledByItsRhythm(Micros now, Micros firstTokenAt, Micros lastTokenAt,
-                             std::uint32_t tokens) const {
+  bool hasStalledByTokenInterval(Micros now, Micros firstTokenAt, Micros lastTokenAt,
+                                 std::uint32_t tokens) const {
     const Micros interval = tokens > 1 ? (lastTokenAt - firstTokenAt) / (tokens - 1) : 0;
     return now - lastTokenAt > std::max(kStalledIntervals * interval, options_.stallTimeout / kStalledPart);
   }
--- a/src/routing/token_relay.cpp
+++ b/src/routing/token_relay.cpp
@@ -29,7 +29,7 @@
 // The request, where this attempt is in flight and a client waits for its answer.
 ActiveRequest* TokenRelay::findReceiving(AttemptId id) {
   ActiveRequest* active = parts_.requests.findInFlight(id);
-  return active != nullptr && !active->isAnswered() ? active : nullptr;
+  return active != nullptr && !active->isFinished() ? active : nullptr;
 }
 
 // Null where the request ended while the policy was told, or by its deadline.
@@ -47,7 +47,7 @@
   if (findReceiving(id) == nullptr) return nullptr;
   checkStream(id.request);
   ActiveRequest* remaining = parts_.requests.find(id.request);
-  return remaining != nullptr && !remaining->isAnswered() ? remaining : nullptr;
+  return remaining != nullptr && !remaining->isFinished() ? remaining : nullptr;
 }
 
 void TokenRelay::checkStream(RequestId id) {
@@ -64,7 +64,7 @@
       return endStream(*active, streamStalledCompletion(), Outcome::connectionReset);
     case StreamGuard::Verdict::deadlineReached: {
       const bool hasStalled =
-          guard_.hasStalledByItsRhythm(now, attempt.firstTokenAt, attempt.lastTokenAt, attempt.tokens);
+          guard_.hasStalledByTokenInterval(now, attempt.firstTokenAt, attempt.lastTokenAt, attempt.tokens);
       return endStream(*active, streamDeadlineCompletion(),
                        hasStalled ? Outcome::connectionReset : kNeutralOutcome);
     }
--- a/src/server/router_server.cpp
+++ b/src/server/router_server.cpp
@@ -161,7 +161,8 @@
 }
 
 void RouterServer::onPolicyLog(const std::string& said) {
-  log_.info("policy", {{"text", routing::withNames(said, [this](EndpointId id) { return nameOf(id); })}});
+  log_.info("policy",
+            {{"text", routing::withEndpointNames(said, [this](EndpointId id) { return nameOf(id); })}});
 }
 
 void RouterServer::onDecision(Micros now, const Event& event, const std::vector<Action>& actions) {
--- a/src/server/router_server.h
+++ b/src/server/router_server.h
@@ -45,8 +45,8 @@
   void onAttempt(const routing::AttemptSpec& order) override;
   void onAttemptEnded(routing::AttemptId id, EndpointId server,
                       const routing::AttemptResult& result) override;
-  void onPromptRead(EndpointId server, const routing::Request& request, double tokens) override {
-    counts_.onPromptRead(server, request, tokens);
+  void onPromptTokensReported(EndpointId server, const routing::Request& request, double tokens) override {
+    counts_.onPromptTokensReported(server, request, tokens);
   }
   void onCompletion(RequestId id, const routing::Request& request, const routing::Completion& ending,
                     Micros took) override;
--- a/src/server/token_counts.cpp
+++ b/src/server/token_counts.cpp
@@ -175,7 +175,7 @@
   inUse_ = std::move(now);
   if (!grew || router_ == nullptr) return;
   std::vector<std::pair<RequestId, routing::Request>> waiting;
-  router_->forEachUnanswered([&](RequestId id, const routing::Request& request) {
+  router_->forEachAwaitingResponse([&](RequestId id, const routing::Request& request) {
     if (request.prompt) waiting.emplace_back(id, request);
   });
   for (auto& [id, request] : waiting)
@@ -196,7 +196,7 @@
   }
 }
 
-void TokenCounts::onPromptRead(EndpointId server, const routing::Request& request, double tokens) {
+void TokenCounts::onPromptTokensReported(EndpointId server, const routing::Request& request, double tokens) {
   if (!counter_ || !request.prompt) return;
   const std::uint64_t number = book_.basis(server).number;
   std::optional<double> exact;
--- a/src/server/token_counts.h
+++ b/src/server/token_counts.h
@@ -47,7 +47,7 @@
   void onList(const membership::EndpointMap& engines);
   // Puts each server's tokeniser and factor into the list for the module.
   void fill(EndpointUpdate& list) const;
-  void onPromptRead(EndpointId server, const routing::Request& request, double tokens);
+  void onPromptTokensReported(EndpointId server, const routing::Request& request, double tokens);
   // Loads files again, in the background; each is taken whole or not at all.
   void reload(const std::vector<TokeniserFile>& files);
 
--- a/tests/routing/kv_reservation_releaser_test.cpp
+++ b/tests/routing/kv_reservation_releaser_test.cpp
@@ -43,7 +43,7 @@
   }
   std::size_t calls() const { return engines_.releaseCalls.size(); }
 
-  Options options_{.kvReservations = {.kvReleaseTimeout = kTimeout, .releaseSparesAwaited = true}};
+  Options options_{.kvReservations = {.kvReleaseTimeout = kTimeout, .releaseSkipsAwaitedState = true}};
   ManualTimers timers_;
   ManualEngines engines_;
   Observer observer_;
@@ -90,7 +90,7 @@
 TEST_F(KvReservationReleaserTest, RepeatsReleasesBesideAnAttemptThatMayNotHaveArrived) {
   pass(kTimeout);
   start(Phase::prefill);
-  releaser_.releaseBeside(active_->id, *active_->attempt);
+  releaser_.releaseDuringAttempt(active_->id, *active_->attempt);
   const std::size_t before = calls();
   pass(kTimeout);
   EXPECT_GT(calls(), before);
--- a/tests/routing/kv_reservation_tracker_test.cpp
+++ b/tests/routing/kv_reservation_tracker_test.cpp
@@ -83,16 +83,16 @@
 TEST(KvReservationTracker, ReleasesUnconfirmedStateAndKeepsTrackingItWhenReleasesSpareWhatIsAwaited) {
   KvReservationTracker plainTracker({});
   plainTracker.onPrefillSent({1}, {7}, 0);
-  EXPECT_TRUE(plainTracker.releaseUnconfirmed({1}, 500).empty());
+  EXPECT_TRUE(plainTracker.releaseDuringDecode({1}, 500).empty());
   EXPECT_EQ(plainTracker.reservationCount(), 1u);
 
   KvReservationTracker tracker(
-      {.maxReleaseAttempts = 3, .releaseRetryDelay = 100, .releaseSparesAwaited = true});
+      {.maxReleaseAttempts = 3, .releaseRetryDelay = 100, .releaseSkipsAwaitedState = true});
   tracker.onPrefillSent({1}, {7}, 0);
   tracker.onPrefillSent({2}, {7}, 0);
-  const auto calls = tracker.releaseUnconfirmed({1}, 500);
+  const auto calls = tracker.releaseDuringDecode({1}, 500);
   ASSERT_EQ(calls.size(), 1u);
-  EXPECT_TRUE(tracker.releaseUnconfirmed({1}, 510).empty());  // a call is in flight
+  EXPECT_TRUE(tracker.releaseDuringDecode({1}, 510).empty());  // a call is in flight
   EXPECT_EQ(tracker.reservationCount(), 2u);
   tracker.onReleaseEnded(calls[0], false, 600);
   const auto retries = tracker.dueRetries(700);
@@ -100,7 +100,7 @@
   tracker.onReleaseEnded(retries[0], true, 710);
   EXPECT_EQ(tracker.release({1}, 720).size(), 1u);  // again at the end
 
-  tracker.releaseUnconfirmed({2}, 800);
+  tracker.releaseDuringDecode({2}, 800);
   tracker.onTransferred({2}, {7}, 900);
   EXPECT_FALSE(tracker.isTracking({2}));
 }
@@ -108,10 +108,10 @@
 // A prefill may be on a dead connection: what earlier ones left is released, and the prefill goes on.
 TEST(KvReservationTracker, ReleasesWhatEarlierPrefillsLeftWhileAnotherIsInFlight) {
   for (const bool releaseSpares : {false, true}) {
-    KvReservationTracker tracker({.releaseRetryDelay = 100, .releaseSparesAwaited = releaseSpares});
+    KvReservationTracker tracker({.releaseRetryDelay = 100, .releaseSkipsAwaitedState = releaseSpares});
     tracker.onPrefillSent({1}, {7}, 0);
     tracker.onPrefillSent({1}, {8}, 400);
-    auto calls = tracker.releaseOthers({1}, {8}, 500);
+    auto calls = tracker.releaseDuringPrefill({1}, {8}, 500);
     ASSERT_EQ(calls.size(), 1u);
     EXPECT_EQ(calls[0].endpoint, EndpointId{7});
     EXPECT_EQ(tracker.reservationCount(), 1u);
@@ -121,7 +121,7 @@
 
     tracker.onPrefillSent({1}, {8},
                           800);  // again at the same endpoint: a later release could hit the new state
-    calls = tracker.releaseOthers({1}, {8}, 1000);
+    calls = tracker.releaseDuringPrefill({1}, {8}, 1000);
     ASSERT_EQ(calls.size(), releaseSpares ? 1u : 0u);
     if (releaseSpares) tracker.onReleaseEnded(calls[0], false, 1100);
     EXPECT_TRUE(tracker.dueRetries(1'000'000).empty());
@@ -177,7 +177,7 @@
 
 TEST_F(RepeatedReleaseTest, GoesOnWhileAnAbandonedPrefillMayLeaveState) {
   tracker.onPrefillSent({1}, {7}, now);
-  tracker.onPrefillAbandoned({1}, {7}, {.at = now, .usefulFor = 2'000'000});
+  tracker.onPrefillAbandoned({1}, {7}, {.at = now, .remainingTimeout = 2'000'000});
   const Micros abandonedAt = now;
   const auto times = callTimes(tracker.release({1}, now));
   expectNoPauseBeyond(times, 300'000);  // state that appears in between is released within the timeout
@@ -190,7 +190,7 @@
 
 TEST_F(RepeatedReleaseTest, OutlastsWorkThatWasNearlyOutOfTime) {
   tracker.onPrefillSent({1}, {7}, now);
-  tracker.onPrefillAbandoned({1}, {7}, {.at = now, .usefulFor = 0});
+  tracker.onPrefillAbandoned({1}, {7}, {.at = now, .remainingTimeout = 0});
   const Micros abandonedAt = now;
   EXPECT_GE(callTimes(tracker.release({1}, now)).back(),
             abandonedAt + KvReservationTracker::kMinAbandonedWork);
@@ -199,7 +199,7 @@
 // Bytes that a partition has held back arrive when it is over, and the engine begins then.
 TEST_F(RepeatedReleaseTest, GoesOnLongerWhereTheEndpointHasBeenSilentSince) {
   tracker.onPrefillSent({1}, {7}, now);
-  tracker.onPrefillAbandoned({1}, {7}, {.at = now, .usefulFor = 1'000'000});
+  tracker.onPrefillAbandoned({1}, {7}, {.at = now, .remainingTimeout = 1'000'000});
   const Micros abandonedAt = now;
   const auto times = callTimes(tracker.release({1}, now), abandonedAt - 1);
   EXPECT_GE(times.back(), abandonedAt + KvReservationTracker::kMaxAbandonedWork);
@@ -210,7 +210,7 @@
 // first spares the state.
 TEST_F(RepeatedReleaseTest, GoesOnWhileAnAbandonedDecodeMayWaitForTheState) {
   tracker.onPrefillSent({1}, {7}, now);
-  tracker.onDecodeAbandoned({1}, {.at = now, .usefulFor = 0});
+  tracker.onDecodeAbandoned({1}, {.at = now, .remainingTimeout = 0});
   const Micros abandonedAt = now;
   const auto times = callTimes(tracker.release({1}, now));
   EXPECT_GE(times.size(), 4u);
@@ -225,7 +225,7 @@
 // It would take the state that the request waits for by now.
 TEST_F(RepeatedReleaseTest, WaitsWhileItsRequestWaitsForANewState) {
   tracker.onPrefillSent({1}, {7}, now);
-  tracker.onPrefillAbandoned({1}, {7}, {.at = now, .usefulFor = 0});
+  tracker.onPrefillAbandoned({1}, {7}, {.at = now, .remainingTimeout = 0});
   const auto calls = tracker.release({1}, now);
   tracker.onReleaseEnded(calls[0], true, now);
   EXPECT_TRUE(tracker.dueRetries(now + 5'000'000, [](RequestId) { return false; }).empty());
@@ -234,9 +234,9 @@
 
 // A late answer to a call that spared the state must not count for the call that is to release it.
 TEST(KvReservationTracker, IgnoresAnswersToEarlierCallsOfTheSameRelease) {
-  KvReservationTracker tracker({.releaseSparesAwaited = true});
+  KvReservationTracker tracker({.releaseSkipsAwaitedState = true});
   tracker.onPrefillSent({1}, {7}, 0);
-  const auto sparing = tracker.releaseUnconfirmed({1}, 500'000);
+  const auto sparing = tracker.releaseDuringDecode({1}, 500'000);
   const auto last = tracker.release({1}, 600'000);
   ASSERT_EQ(sparing.size(), 1u);
   ASSERT_EQ(last.size(), 1u);
@@ -260,7 +260,7 @@
 TEST(KvReservationTracker, KeepsTrackingAnAbandonedPrefillThroughATransfer) {
   KvReservationTracker tracker({});
   tracker.onPrefillSent({1}, {7}, 0);
-  tracker.onPrefillAbandoned({1}, {7}, {.at = 100, .usefulFor = 0});
+  tracker.onPrefillAbandoned({1}, {7}, {.at = 100, .remainingTimeout = 0});
   tracker.onPrefillSent({1}, {7}, 200);
   tracker.onTransferred({1}, {7}, 300);
   EXPECT_EQ(tracker.release({1}, 400).size(), 1u);
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -351,7 +351,7 @@
   }
   static Options sparingOptions() {
     Options sparing = options();
-    sparing.kvReservations.releaseSparesAwaited = true;
+    sparing.kvReservations.releaseSkipsAwaitedState = true;
     return sparing;
   }
   RecordingClient client;
@@ -547,10 +547,10 @@
 
 TEST(PolicyLog, ReplacesEndpointIdsByNames) {
   const auto nameOf = [](EndpointId id) { return "endpoint-" + std::to_string(id.value % 10); };
-  EXPECT_EQ(withNames("server 12345678901 ejected for 1000 ms", nameOf),
+  EXPECT_EQ(withEndpointNames("server 12345678901 ejected for 1000 ms", nameOf),
             "server endpoint-1 ejected for 1000 ms");
-  EXPECT_EQ(withNames("123456789 1234567890x", nameOf), "123456789 1234567890x");
-  EXPECT_EQ(withNames("", nameOf), "");
+  EXPECT_EQ(withEndpointNames("123456789 1234567890x", nameOf), "123456789 1234567890x");
+  EXPECT_EQ(withEndpointNames("", nameOf), "");
 }
 
 }  // namespace
--- a/tests/routing/rule_guard_test.cpp
+++ b/tests/routing/rule_guard_test.cpp
@@ -19,7 +19,7 @@
                              .firstExecutedAt = firstExecutedAt,
                              .target = target,
                              .phase = phase,
-                             .isAnswered = isAnswered,
+                             .isFinished = isFinished,
                              .hasAttemptInFlight = hasAttemptInFlight,
                              .now = now});
   }
@@ -32,7 +32,7 @@
   ExecutionHistory history;
   std::optional<EndpointLocation> firstExecutedAt;
   EndpointLocation target{0, 1};
-  bool isAnswered = false;
+  bool isFinished = false;
   bool hasAttemptInFlight = false;
   Micros now = 5'000'000;
 };
@@ -42,7 +42,7 @@
   hasAttemptInFlight = true;
   EXPECT_EQ(check(), Violation::concurrentAttempt);
   EXPECT_EQ(check(Phase::prefill), Violation::concurrentAttempt);
-  isAnswered = true;
+  isFinished = true;
   EXPECT_EQ(check(), Violation::attemptAfterCompletion);
 }
 
