--- a/src/routing/active_request.h
+++ b/src/routing/active_request.h
@@ -16,44 +16,44 @@
 
 /// The attempt of a request that is in flight. Times on the monotonic clock.
 struct InFlightAttempt {
-  int number = 0;                     ///< Among the attempts of the request, from 0.
-  EndpointId endpoint;                ///< Where it was sent.
-  Phase phase = Phase::combined;      ///< What it does.
+  int number = 0;                     ///< Number among the attempts of the request, from 0.
+  EndpointId endpoint;                ///< The endpoint that it was sent to.
+  Phase phase = Phase::combined;      ///< The phase that it runs.
   Micros sentAt = 0;                  ///< When it was sent.
-  Micros usefulUntil = 0;             ///< Until when the engine was told that its result is of use.
-  bool mayNotHaveArrived = false;     ///< What it does not wait for is released beside it.
-  bool hasStarted = false;            ///< The answer has begun.
-  bool isConfirmedAlive = false;      ///< Its engine answered on another connection since.
-  Micros firstTokenAt = 0;            ///< When the answer began.
-  Micros lastTokenAt = 0;             ///< When its latest piece came.
-  std::uint32_t tokens = 0;           ///< Tokens so far.
-  timing::TimerKey timeoutTimer;      ///< Ends it where the answer does not begin.
+  Micros engineDeadline = 0;          ///< End of the timeout that was sent to the engine.
+  bool isDeliveryUncertain = false;   ///< It may not have reached its endpoint; see releaseDuringAttempt().
+  bool hasStarted = false;            ///< Its response has started.
+  bool isConfirmedAlive = false;      ///< Its engine has since responded on another connection.
+  Micros firstTokenAt = 0;            ///< When its first token arrived.
+  Micros lastTokenAt = 0;             ///< When its latest tokens arrived.
+  std::uint32_t tokens = 0;           ///< Tokens received so far.
+  timing::TimerKey timeoutTimer;      ///< Ends it if its response does not start in time.
   timing::TimerKey reservationTimer;  ///< Fires when the request's KV reservations are due for release.
 };
 
-/// A request that is not answered, or whose attempt is still in flight.
+/// A request that is pending, or whose attempt is still in flight.
 struct ActiveRequest {
   RequestId id;                                     ///< Number of the request in this router.
-  Request request;                                  ///< What the client requests.
-  Client* client = nullptr;                         ///< None once it has its completion, or has gone.
-  Micros arrivedAt = 0;                             ///< On the monotonic clock.
-  Micros usableUntil = 0;                           ///< When a completion has to be sent, at the latest.
-  std::string traceId;                              ///< The name by which engines know it.
-  int attemptCount = 0;                             ///< Attempts so far, those that were not made included.
-  std::optional<InFlightAttempt> attempt;           ///< The one in flight.
-  ExecutionHistory history;                         ///< Whether it may have been executed.
-  std::optional<EndpointLocation> firstExecutedAt;  ///< Where it first may have been executed.
-  std::string kvTransferParams;                     ///< Of the completed prefill, for a decode attempt.
-  std::optional<EndpointId> kvEndpoint;             ///< Where the completed prefill left its KV cache state.
-  std::string lastError;                            ///< Of an engine, for the completion's text.
-  std::uint32_t nextTokenIndex = 0;                 ///< Tokens passed to the client so far.
-  Usage usage;                                      ///< Token counts so far.
-  timing::TimerKey streamTimer;                     ///< Next check of the stream.
+  Request request;                                  ///< The client's request.
+  Client* client = nullptr;                         ///< Null once the request is completed or cancelled.
+  Micros arrivedAt = 0;                             ///< Arrival time on the monotonic clock.
+  Micros completionDeadline = 0;                    ///< Latest time to send a completion.
+  std::string traceId;                              ///< Id by which engines and logs identify the request.
+  int attemptCount = 0;                             ///< Attempts so far, including those that were not sent.
+  std::optional<InFlightAttempt> attempt;           ///< The attempt in flight.
+  ExecutionHistory history;                         ///< Whether the request was possibly executed.
+  std::optional<EndpointLocation> firstExecutedAt;  ///< Location of the first possible execution.
+  std::string kvTransferParams;                     ///< KV transfer parameters of the completed prefill.
+  std::optional<EndpointId> kvEndpoint;  ///< Endpoint at which the completed prefill left its KV state.
+  std::string lastError;                 ///< Latest error text of an engine, for the completion's text.
+  std::uint32_t nextTokenIndex = 0;      ///< Tokens passed to the client so far.
+  Usage usage;                           ///< Token counts so far.
+  timing::TimerKey streamTimer;          ///< Timer of the next stream check.
 
-  /// Whether the client has its completion, or has gone.
+  /// Whether the request is completed or cancelled.
   bool isFinished() const { return client == nullptr; }
-  /// Whether the answer has begun.
-  bool hasAnswerBegun() const { return nextTokenIndex > 0; }
+  /// Whether the client has received tokens.
+  bool hasResponseStarted() const { return nextTokenIndex > 0; }
   /// Whether this attempt is in flight.
   bool isInFlight(int attemptNumber) const { return attempt && attempt->number == attemptNumber; }
   /// Whether a decode or combined attempt is in flight.
--- a/src/routing/attempt_runner.cpp
+++ b/src/routing/attempt_runner.cpp
@@ -8,9 +8,9 @@
 namespace garnethook::routing {
 namespace {
 
-// Whether the engine may still work on an attempt that has ended here: its response was lost or can't be
-// used. A decode that was answered waits for no state any more.
-bool mayGoOnAtEngine(const InFlightAttempt& attempt, const AttemptResult& result) {
+// Returns whether the engine may still work on an attempt that has ended at the router because its response
+// was lost or is unusable. A decode attempt that received a response no longer waits for KV state.
+bool mayContinueAtEngine(const InFlightAttempt& attempt, const AttemptResult& result) {
   if (attempt.hasStarted || result.badRequest || provesNotExecuted(result.outcome)) return false;
   switch (result.outcome) {
     case Outcome::prefillDone:
@@ -25,17 +25,17 @@
 void AttemptRunner::start(ActiveRequest& active, const Send& send) {
   InFlightAttempt attempt{.number = active.attemptCount++,
                           .endpoint = send.endpoint,
-                          .phase = parts_.endpoints.phaseAt(send.endpoint, active.kvEndpoint.has_value()),
+                          .phase = deps_.endpoints.phaseAt(send.endpoint, active.kvEndpoint.has_value()),
                           .sentAt = context_.timers.now()};
   ++context_.counters.attempts;
   active.usage.attempts = static_cast<std::uint32_t>(active.attemptCount);
-  const auto releaseDueAt = parts_.reservations.tracker().releaseDueAt(active.id);
+  const auto releaseDueAt = deps_.reservations.tracker().releaseDueAt(active.id);
   startTimers({active.id, attempt.number}, attempt, send.timeout, releaseDueAt);
   active.attempt = attempt;
   if (attempt.phase == Phase::prefill)
-    parts_.reservations.onPrefillSent(active, attempt.endpoint, attempt.sentAt);
-  const AttemptSpec spec = specOf(active, send.timeout, releaseDueAt.has_value());
-  active.attempt->usefulUntil = attempt.sentAt + spec.timeout;
+    deps_.reservations.onPrefillSent(active, attempt.endpoint, attempt.sentAt);
+  const AttemptSpec spec = makeSpec(active, send.timeout, releaseDueAt.has_value());
+  active.attempt->engineDeadline = attempt.sentAt + spec.timeout;
   context_.observer.onAttempt(spec);
   context_.engines.begin(spec);
 }
@@ -48,9 +48,9 @@
                                                      [this, id] { onReleaseDue(id); });
 }
 
-AttemptSpec AttemptRunner::specOf(const ActiveRequest& active, Micros timeout, bool isReleaseDue) const {
+AttemptSpec AttemptRunner::makeSpec(const ActiveRequest& active, Micros timeout, bool isReleaseDue) const {
   const InFlightAttempt& attempt = *active.attempt;
-  const RequestClass& requestClass = parts_.rules.classOf(active);
+  const RequestClass& requestClass = deps_.rules.classOf(active);
   const bool isPrefill = attempt.phase == Phase::prefill;
   AttemptSpec spec;
   spec.attempt = {active.id, attempt.number};
@@ -60,47 +60,52 @@
   spec.traceId = active.traceId;
   if (attempt.phase == Phase::decode) spec.kvTransferParams = active.kvTransferParams;
   spec.nonRepeatable = !isPrefill && !mayReject(requestClass, {.possiblyExecuted = true});
-  // What an earlier prefill may have left is released when this one does not arrive, so that has to be known.
+  // If this prefill does not reach its endpoint, the reservation of an earlier one is released. A new
+  // connection shows whether it does.
   spec.requiresNewConnection = isPrefill && isReleaseDue;
-  spec.timeout = timeout > 0 ? timeout : active.usableUntil - attempt.sentAt;
+  spec.timeout = timeout > 0 ? timeout : active.completionDeadline - attempt.sentAt;
   spec.sendBy = retryUntil(requestClass, active.history);
   return spec;
 }
 
 void AttemptRunner::onTimeout(AttemptId id) {
-  ActiveRequest* active = parts_.requests.findUnstarted(id);
+  ActiveRequest* active = deps_.requests.findUnstarted(id);
   if (active != nullptr) end(*active, Outcome::timedOut, false);
 }
 
-// Rule 5: the request's reservations have to be released, and the attempt in flight may not have arrived. One
-// whose connection is not established ends, and all is released. One that may be on a dead connection goes
-// on, and what it does not wait for is released beside it. Of one on a connection established for it, the
-// engine's liveness is checked first. This guards against connections that fall silent, above all when a zone
-// is cut off.
+// Rule 5: the request's reservations are due for release, and the attempt in flight may not have reached its
+// endpoint.
+// - If it is not fully written on an established connection, it ends; a prefill's request then has all its
+//   reservations released.
+// - If it may be on a dead connection, it continues, and the state that it does not wait for is released.
+// - If it is on a connection established for it, the engine's liveness is checked first.
+//
+// Prevents reservations from outliving the release timeout when connections become silent, above all in a
+// zone outage.
 void AttemptRunner::onReleaseDue(AttemptId id) {
-  ActiveRequest* active = parts_.requests.findUnstarted(id);
+  ActiveRequest* active = deps_.requests.findUnstarted(id);
   if (active == nullptr) return;
   switch (context_.engines.deliveryState(id)) {
     case DeliveryState::confirmed: return;
     case DeliveryState::connected:
       if (context_.engines.canCheckLiveness()) context_.engines.checkLiveness(id, active->attempt->endpoint);
       return;
-    case DeliveryState::written:
-      return parts_.reservations.releaseDuringAttempt(id.request, *active->attempt);
+    case DeliveryState::written: return deps_.reservations.releaseDuringAttempt(id.request, *active->attempt);
     case DeliveryState::undelivered: break;
   }
-  if (active->attempt->phase == Phase::prefill) parts_.reservations.release(id.request);
+  if (active->attempt->phase == Phase::prefill) deps_.reservations.release(id.request);
   end(*active, Outcome::connectFailed, false);
 }
 
 void AttemptRunner::onLivenessChecked(AttemptId id, bool alive) {
-  ActiveRequest* active = parts_.requests.findUnstarted(id);
+  ActiveRequest* active = deps_.requests.findUnstarted(id);
   if (active == nullptr || context_.engines.deliveryState(id) == DeliveryState::confirmed) return;
   active->attempt->isConfirmedAlive = alive;
-  if (!alive) parts_.reservations.releaseDuringAttempt(id.request, *active->attempt);
+  if (!alive) deps_.reservations.releaseDuringAttempt(id.request, *active->attempt);
 }
 
-// Whether the attempt has reached its endpoint for certain, as far as the time of reservations is concerned.
+// Returns whether the attempt certainly reached its endpoint, so that the release timeout of the request's
+// reservations restarts when the attempt ends.
 bool AttemptRunner::hasReachedEndpoint(AttemptId id, const InFlightAttempt& attempt) const {
   if (attempt.hasStarted || attempt.isConfirmedAlive) return true;
   const DeliveryState state = context_.engines.deliveryState(id);
@@ -108,7 +113,7 @@
          (state == DeliveryState::connected && !context_.engines.canCheckLiveness());
 }
 
-// The attempt is no longer in flight.
+// Removes the attempt in flight from the request, cancels its timers and returns it.
 InFlightAttempt AttemptRunner::takeAttempt(ActiveRequest& active) {
   const InFlightAttempt attempt = *std::exchange(active.attempt, std::nullopt);
   context_.timers.cancel(attempt.timeoutTimer);
@@ -119,42 +124,42 @@
 
 void AttemptRunner::end(ActiveRequest& active, Outcome outcome, bool requestEnded) {
   const AttemptId id{active.id, active.attempt->number};
-  const bool hasReached = hasReachedEndpoint(id, *active.attempt);
-  const bool mayHaveReached = context_.engines.deliveryState(id) != DeliveryState::undelivered;
+  const bool wasDelivered = hasReachedEndpoint(id, *active.attempt);
+  const bool mayHaveBeenDelivered = context_.engines.deliveryState(id) != DeliveryState::undelivered;
   context_.engines.cancel(id);
   const InFlightAttempt attempt = takeAttempt(active);
-  if (hasReached) parts_.reservations.tracker().onAttemptEnded(id.request, context_.timers.now());
-  if (mayHaveReached && !attempt.hasStarted) parts_.reservations.onAttemptAbandoned(id.request, attempt);
+  if (wasDelivered) deps_.reservations.tracker().onAttemptEnded(id.request, context_.timers.now());
+  if (mayHaveBeenDelivered && !attempt.hasStarted) deps_.reservations.onAttemptAbandoned(id.request, attempt);
   ++context_.counters.outcomes[outcome];
   const bool isPossiblyExecuted =
       !provesNotExecuted(outcome) || (outcome == kNeutralOutcome && attempt.hasStarted);
   if (attempt.phase != Phase::prefill && isPossiblyExecuted)
-    parts_.rules.recordPossibleExecution(active, attempt);
+    deps_.rules.recordPossibleExecution(active, attempt);
   context_.observer.onAttemptEnded(id, attempt.endpoint, {.outcome = outcome, .text = "ended by the router"});
-  parts_.events.enqueue(AttemptEnded{.id = id.request,
-                                     .attempt = attempt.number,
-                                     .endpoint = attempt.endpoint,
-                                     .outcome = outcome,
-                                     .requestEnded = requestEnded,
-                                     .reachedEndpoint = hasReached});
+  deps_.events.enqueue(AttemptEnded{.id = id.request,
+                                    .attempt = attempt.number,
+                                    .endpoint = attempt.endpoint,
+                                    .outcome = outcome,
+                                    .requestEnded = requestEnded,
+                                    .reachedEndpoint = wasDelivered});
 }
 
 void AttemptRunner::onAttemptEnded(AttemptId id, const AttemptResult& result) {
-  ActiveRequest* active = parts_.requests.findInFlight(id);
+  ActiveRequest* active = deps_.requests.findInFlight(id);
   if (active == nullptr) {
     ++context_.counters.lateEvents;
     return;
   }
   const InFlightAttempt attempt = takeAttempt(*active);
-  const bool hasReached =
+  const bool wasDelivered =
       result.leftRouter && result.outcome != Outcome::connectFailed && !result.reusedConnection;
-  if (hasReached) parts_.reservations.tracker().onAttemptEnded(id.request, context_.timers.now());
-  if (mayGoOnAtEngine(attempt, result)) parts_.reservations.onAttemptAbandoned(id.request, attempt);
+  if (wasDelivered) deps_.reservations.tracker().onAttemptEnded(id.request, context_.timers.now());
+  if (mayContinueAtEngine(attempt, result)) deps_.reservations.onAttemptAbandoned(id.request, attempt);
   ++context_.counters.outcomes[result.outcome];
   context_.observer.onAttemptEnded(id, attempt.endpoint, result);
   if (!result.text.empty()) active->lastError = result.text;
   if (attempt.phase != Phase::prefill && !provesNotExecuted(result.outcome))
-    parts_.rules.recordPossibleExecution(*active, attempt);
+    deps_.rules.recordPossibleExecution(*active, attempt);
   recordUsage(*active, attempt, result);
   AttemptEnded event{.id = id.request,
                      .attempt = id.number,
@@ -163,10 +168,10 @@
                      .cachedTokens = result.cachedTokens,
                      .kvStateMissing = result.kvStateMissing,
                      .reusedConnection = result.reusedConnection,
-                     .reachedEndpoint = hasReached,
+                     .reachedEndpoint = wasDelivered,
                      .report = result.report};
   applyResult(*active, attempt, result, event);
-  parts_.events.enqueue(event);
+  deps_.events.enqueue(event);
 }
 
 void AttemptRunner::recordUsage(ActiveRequest& active, const InFlightAttempt& attempt,
@@ -179,7 +184,7 @@
   if (result.cachedTokens > 0) active.usage.cachedTokens = static_cast<std::uint32_t>(result.cachedTokens);
 }
 
-// What the result means for the request. The request may be completed, and be gone afterwards.
+// Applies the result to the request. May complete the request, and `active` may be erased afterwards.
 void AttemptRunner::applyResult(ActiveRequest& active, const InFlightAttempt& attempt,
                                 const AttemptResult& result, AttemptEnded& event) {
   switch (result.outcome) {
@@ -194,13 +199,13 @@
 
 void AttemptRunner::applyCompleted(ActiveRequest& active, const InFlightAttempt& attempt,
                                    const AttemptResult& result) {
-  if (attempt.phase == Phase::decode && active.kvEndpoint) {  // an answer without a single token
-    parts_.reservations.tracker().onTransferred(active.id, *active.kvEndpoint, context_.timers.now());
+  if (attempt.phase == Phase::decode && active.kvEndpoint) {  // the response contained no tokens
+    deps_.reservations.tracker().onTransferred(active.id, *active.kvEndpoint, context_.timers.now());
     active.kvEndpoint.reset();
   }
   active.usage.outputTokens = std::max(result.outputTokens, active.nextTokenIndex);
   if (active.isFinished()) return;
-  parts_.completer.complete(
+  deps_.completer.complete(
       active,
       {.disposition = Disposition::completed, .finishReason = result.finishReason, .usage = active.usage});
 }
@@ -208,13 +213,13 @@
 void AttemptRunner::applyFailure(ActiveRequest& active, const InFlightAttempt& attempt,
                                  const AttemptResult& result, AttemptEnded& event) {
   if (attempt.phase == Phase::prefill && provesNotExecuted(result.outcome))
-    parts_.reservations.tracker().onNoReservation(active.id, attempt.endpoint);
+    deps_.reservations.tracker().onNoReservation(active.id, attempt.endpoint);
   if (result.kvStateMissing) active.kvEndpoint.reset();
-  if (!result.badRequest && !attempt.hasStarted) return;  // the policy decides about a retry
+  if (!result.badRequest && !attempt.hasStarted) return;  // the policy decides whether to retry
   event.requestEnded = true;
   if (result.badRequest) event.outcome = kNeutralOutcome;
   if (active.isFinished()) return;
-  parts_.completer.complete(
+  deps_.completer.complete(
       active, result.badRequest ? badRequestCompletion(result.text) : streamBrokenCompletion(result.text));
 }
 
--- a/src/routing/attempt_runner.h
+++ b/src/routing/attempt_runner.h
@@ -1,4 +1,4 @@
-/// The attempts of requests: how they begin and end, their timers, and whether they arrive.
+/// Starts and ends the attempts of requests, runs their timers and monitors whether they reach their engines.
 #pragma once
 
 #include "routing/endpoint_directory.h"
@@ -11,39 +11,39 @@
 
 namespace garnethook::routing {
 
-/// For the policy, an attempt that ends by the client or the router, so that nothing can be concluded about
-/// its endpoint, ends with this outcome.
+/// Outcome reported to the policy for an attempt that was ended by the client or the router, which permits no
+/// conclusion about its endpoint.
 inline constexpr Outcome kNeutralOutcome = Outcome::notSent;
 
-/// Runs the one attempt that a request may have in flight.
+/// Manages the attempt in flight of each request; a request has at most one.
 class AttemptRunner {
  public:
-  /// The parts of the router that attempts need; all are referred to.
-  struct Parts {
+  /// The components of the router that attempts use; all must outlive the AttemptRunner.
+  struct Dependencies {
     RequestTable& requests;               ///< The active requests.
-    const EndpointDirectory& endpoints;   ///< What endpoints are.
-    RuleEnforcer& rules;                  ///< The rules.
-    KvReservationReleaser& reservations;  ///< KV cache reservations.
+    const EndpointDirectory& endpoints;   ///< Roles and locations of endpoints.
+    RuleEnforcer& rules;                  ///< The platform's rules.
+    KvReservationReleaser& reservations;  ///< KV reservations.
     RequestCompleter& completer;          ///< Completes requests.
-    PolicyEventQueue& events;             ///< Is told how attempts end.
+    PolicyEventQueue& events;             ///< Is notified of the end of each attempt.
   };
-  /// `context` is referred to.
-  AttemptRunner(const RouterContext& context, const Parts& parts) : context_(context), parts_(parts) {}
+  /// `context` must outlive this object.
+  AttemptRunner(const RouterContext& context, const Dependencies& deps) : context_(context), deps_(deps) {}
 
-  /// Begins an attempt that the rules allow.
+  /// Starts an attempt. The caller has checked that the rules allow it.
   void start(ActiveRequest& active, const Send& send);
-  /// Ends the attempt in flight by the router's own decision. `requestEnded`: so has the request. Events may
-  /// be processed: `active` may be gone afterwards.
+  /// Ends the attempt in flight by decision of the router or the policy. `requestEnded`: the request has
+  /// ended too. Processes events, which may erase `active`.
   void end(ActiveRequest& active, Outcome outcome, bool requestEnded);
-  /// The engine ended the attempt.
+  /// Handles the end of an attempt reported by the engine client.
   void onAttemptEnded(AttemptId id, const AttemptResult& result);
-  /// The engine client has checked whether the attempt's engine is alive.
+  /// Handles the result of EngineClient::checkLiveness() for the attempt's engine.
   void onLivenessChecked(AttemptId id, bool alive);
 
  private:
   void startTimers(AttemptId id, InFlightAttempt& attempt, Micros timeout,
                    const std::optional<Micros>& releaseDueAt);
-  AttemptSpec specOf(const ActiveRequest& active, Micros timeout, bool isReleaseDue) const;
+  AttemptSpec makeSpec(const ActiveRequest& active, Micros timeout, bool isReleaseDue) const;
   void onTimeout(AttemptId id);
   void onReleaseDue(AttemptId id);
   bool hasReachedEndpoint(AttemptId id, const InFlightAttempt& attempt) const;
@@ -56,7 +56,7 @@
                     AttemptEnded& event);
 
   const RouterContext& context_;
-  Parts parts_;
+  Dependencies deps_;
 };
 
 }  // namespace garnethook::routing
--- a/src/routing/completion.h
+++ b/src/routing/completion.h
@@ -1,4 +1,4 @@
-/// What a client receives: pieces of the answer, and one completion.
+/// Data that a client receives: the tokens of the response, and one completion.
 #pragma once
 
 #include <cstdint>
@@ -10,73 +10,73 @@
 
 namespace garnethook::routing {
 
-/// A piece of an answer. The views are valid during the call that passes it.
+/// Consecutive tokens of a response. The views are valid only during the call that passes them.
 struct Tokens {
-  std::uint32_t index = 0;             ///< Position of the first token in the answer.
+  std::uint32_t index = 0;             ///< Position of the first token in the response.
   std::uint32_t count = 0;             ///< Number of tokens.
   std::string_view text;               ///< Their text.
-  std::span<const std::uint32_t> ids;  ///< Their ids; empty where the engine reports none.
+  std::span<const std::uint32_t> ids;  ///< Their ids; empty if the engine reports none.
 };
 
-/// Why a complete answer ended.
+/// Why a complete response ended.
 enum class FinishReason {
   stop,   ///< The model or a stop text ended it.
-  length  ///< The limit of output tokens was reached.
+  length  ///< It reached the limit of output tokens.
 };
 
 /// Token counts of a request.
 struct Usage {
   std::uint32_t promptTokens = 0;  ///< Prompt tokens as the engine counts them; 0: not reported.
   std::uint32_t cachedTokens = 0;  ///< Prompt tokens found in the engine's prefix cache.
-  std::uint32_t outputTokens = 0;  ///< Tokens of the answer.
-  std::uint32_t attempts = 0;      ///< Attempts that were made.
+  std::uint32_t outputTokens = 0;  ///< Tokens of the response.
+  std::uint32_t attempts = 0;      ///< Number of attempts.
 };
 
 /// How a request ended.
 enum class Disposition {
-  completed,  ///< The whole answer was sent.
-  rejected,   ///< Nothing ran, or what ran may safely run again: the client may repeat it.
-  failed      ///< It may have run, and there is no whole answer.
+  completed,  ///< The whole response was sent.
+  rejected,   ///< Nothing ran, or it can safely run again: the client may retry the request.
+  failed      ///< It was possibly executed, and there is no complete response.
 };
 
 /// Why a request was not completed.
 enum class FailureReason {
   none,             ///< It was completed.
-  overloaded,       ///< The policy rejected it: no endpoint is expected to answer in time.
+  overloaded,       ///< The policy rejected it: no endpoint is expected to respond in time.
   noEndpoint,       ///< The policy rejected it: no endpoint is running.
-  tooManyRequests,  ///< The router's own limit of pending requests.
+  tooManyRequests,  ///< The router's limit of pending requests was exceeded.
   shuttingDown,     ///< The router is shutting down.
-  deadline,         ///< No answer before the client's deadline.
-  attemptsFailed,   ///< Attempts failed, and another one is not allowed or not left.
-  streamBroken,     ///< The answer began and its connection broke.
-  streamStalled,    ///< The answer began and no more tokens came.
-  badRequest,       ///< The engine reports that the request itself is invalid.
-  slowClient,       ///< The client reads too slowly for what waits for it.
+  deadline,         ///< There was no complete response before the client's deadline.
+  attemptsFailed,   ///< Attempts failed, and no further attempt is allowed or left.
+  streamBroken,     ///< The response started and its connection broke.
+  streamStalled,    ///< The response started and no more tokens arrived.
+  badRequest,       ///< The engine reported that the request itself is invalid.
+  slowClient,       ///< The client reads too slowly, and too much data is buffered for it.
 };
-/// The name of a reason in logs.
+/// Returns the name of a reason in logs.
 std::string_view name(FailureReason reason);
 
-/// The one final answer to a request.
+/// The final result of a request; each request has at most one.
 struct Completion {
   Disposition disposition = Disposition::failed;      ///< How it ended.
   FailureReason failureReason = FailureReason::none;  ///< Why it was not completed.
-  std::string text{};                                 ///< For the client's user.
-  Micros retryAfter = 0;  ///< Rejected: when to retry, in microseconds; 0: not given.
-  FinishReason finishReason = FinishReason::stop;  ///< Completed: why the answer ended.
+  std::string text{};                                 ///< Message for the client's user.
+  Micros retryAfter = 0;  ///< Rejected: delay before a retry, in microseconds; 0: not specified.
+  FinishReason finishReason = FinishReason::stop;  ///< Completed: why the response ended.
   Usage usage{};                                   ///< Token counts.
 };
 
-/// The client's end of a request, owned by a frontend.
+/// Receives the response to a request; owned by a frontend.
 class Client {
  public:
   virtual ~Client() = default;
-  /// The next piece of the answer.
+  /// Receives the next tokens of the response.
   virtual void onTokens(const Tokens& tokens) = 0;
-  /// The one final answer; no call follows, and the router does not use the client afterwards.
+  /// Receives the completion; no call follows, and the router does not use the client afterwards.
   virtual void onCompletion(const Completion& completion) = 0;
-  /// Whether the client has gone, even where its frontend has not been notified yet. Checked before each
-  /// attempt, so that none begins for a client whose close is queued behind other events of the same loop
-  /// turn.
+  /// Whether the client has disconnected or cancelled, even if its frontend has not been notified yet.
+  /// Checked before each attempt, so that none starts for a client whose close event is still queued in the
+  /// same event loop iteration.
   virtual bool isCancelled() const { return false; }
 };
 
--- a/src/routing/completion_builder.h
+++ b/src/routing/completion_builder.h
@@ -1,4 +1,4 @@
-/// The completions that the router itself gives, with the texts that clients receive.
+/// Builds the completions that the router itself generates, with the texts that clients receive.
 #pragma once
 
 #include <string>
@@ -8,24 +8,25 @@
 
 namespace garnethook::routing {
 
-/// The router has too many pending requests.
+/// Rejection because the router has too many pending requests.
 Completion tooManyRequestsCompletion(Micros retryAfter);
-/// The router is shutting down; `retryAfter` is for rejected requests only.
+/// Completion because the router is shutting down; `retryAfter` applies to rejected requests only.
 Completion shutdownCompletion(Disposition disposition, Micros retryAfter);
-/// The deadline had passed when the request came.
+/// Rejection because the deadline had passed when the request arrived.
 Completion expiredOnArrivalCompletion();
-/// The policy rejects the request. `hasRunningEndpoints`: any endpoint is listed as running.
+/// Rejection by the policy. `hasRunningEndpoints`: whether any endpoint is listed as running.
 Completion policyRejection(const ActiveRequest& active, bool isPastDeadline, bool hasRunningEndpoints,
                            Micros retryAfter);
-/// The policy gives the request up.
+/// Failure by decision of the policy.
 Completion policyFailure(const ActiveRequest& active, bool isPastDeadline);
-/// The engine reports that the request is invalid; `text`: what it said.
+/// Failure because the engine reported that the request is invalid; `text`: the engine's message.
 Completion badRequestCompletion(const std::string& text);
-/// An answer that had begun broke off; `text`: what the engine or the connection said, or empty.
+/// Failure because a response that had started ended early; `text`: the error message of the engine or the
+/// connection, or empty.
 Completion streamBrokenCompletion(const std::string& text);
-/// No tokens came any more.
+/// Failure because a response that had started received no more tokens.
 Completion streamStalledCompletion();
-/// An answer that had begun was not complete at the deadline.
+/// Failure because a response that had started was not complete at the deadline.
 Completion streamDeadlineCompletion();
 
 }  // namespace garnethook::routing
--- a/src/routing/endpoint_directory.cpp
+++ b/src/routing/endpoint_directory.cpp
@@ -3,9 +3,9 @@
 namespace garnethook::routing {
 
 std::vector<EndpointRestart> EndpointDirectory::apply(const EndpointUpdate& update) {
-  const bool isWhole =
+  const bool isFullList =
       update.kind == EndpointUpdate::Kind::snapshot || update.kind == EndpointUpdate::Kind::staleCopy;
-  if (isWhole) running_.clear();
+  if (isFullList) running_.clear();
   std::vector<EndpointRestart> restarted;
   for (const EndpointEntry& entry : update.entries) {
     Endpoint& endpoint = endpoints_[entry.id.value];
@@ -35,7 +35,7 @@
   return found->second.location;
 }
 
-// An endpoint of an unknown kind gets no prefill attempts.
+// Endpoints of an unknown kind receive no prefill attempts.
 Role EndpointDirectory::roleOf(const EndpointEntry& entry) const {
   const bool isKnown = entry.kind && *entry.kind < kinds_.size();
   return isKnown ? kinds_[*entry.kind].role : Role::decode;
--- a/src/routing/endpoint_directory.h
+++ b/src/routing/endpoint_directory.h
@@ -1,4 +1,4 @@
-/// What the router itself has to know of endpoints.
+/// State of endpoints that the router itself needs.
 #pragma once
 
 #include <optional>
@@ -13,21 +13,22 @@
 
 /// An endpoint that was restarted.
 struct EndpointRestart {
-  EndpointId endpoint;   ///< Which one.
-  Micros startedAt = 0;  ///< When, on the monotonic clock.
+  EndpointId endpoint;   ///< The endpoint.
+  Micros startedAt = 0;  ///< When it started, on the monotonic clock.
 };
 
-/// Role, location and start of every endpoint that was ever listed, and which of them are running.
+/// Stores role, location and start time of every endpoint ever listed, and which of them are running.
 class EndpointDirectory {
  public:
-  /// `kinds`: of endpoints, by the index that updates give.
+  /// `kinds`: the endpoint kinds, in the order of EndpointEntry::kind.
   explicit EndpointDirectory(std::vector<EndpointKind> kinds) : kinds_(std::move(kinds)) {}
 
-  /// Takes over an update. Returns the endpoints that were restarted.
+  /// Applies an update. Returns the endpoints that were restarted.
   std::vector<EndpointRestart> apply(const EndpointUpdate& update);
-  /// What an attempt does there. `hasKvState`: the request's prompt was read, and its state can be fetched.
+  /// Returns the phase of an attempt at the endpoint. `hasKvState`: whether the request's prefill is complete
+  /// and its KV state can be fetched.
   Phase phaseAt(EndpointId endpoint, bool hasKvState) const;
-  /// Where an endpoint stands; none where it was never listed.
+  /// Returns the location of an endpoint; none if it was never listed.
   std::optional<EndpointLocation> locationOf(EndpointId endpoint) const;
   /// Whether any endpoint is listed as running.
   bool hasRunning() const { return !running_.empty(); }
@@ -36,7 +37,7 @@
   struct Endpoint {
     Role role = Role::decode;
     EndpointLocation location;
-    Micros startedAt = 0;  // the last one that was listed; 0: none yet
+    Micros startedAt = 0;  // latest start time that was listed; 0: none yet
   };
   Role roleOf(const EndpointEntry& entry) const;
 
--- a/src/routing/endpoint_location.h
+++ b/src/routing/endpoint_location.h
@@ -1,4 +1,4 @@
-/// Where an endpoint stands, as far as the deduplication of repeats is concerned.
+/// Location of an endpoint, as used for the deduplication scope of retries.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +8,9 @@
 
 /// Zone and cell of an endpoint.
 struct EndpointLocation {
-  std::optional<std::size_t> zone;  ///< Index of the zone; none: not in the settings.
+  std::optional<std::size_t> zone;  ///< Index of the zone; none if the settings do not list it.
   std::uint64_t cell = 0;           ///< Hash of the cell's name.
-  /// Whether both are equal.
+  /// Compares zone and cell.
   friend bool operator==(const EndpointLocation&, const EndpointLocation&) = default;
 };
 
--- a/src/routing/engine_client.h
+++ b/src/routing/engine_client.h
@@ -1,4 +1,4 @@
-/// The engines as the router sees them: attempts, probes and KV cache releases, and their events.
+/// The router's interface to engines: attempts, probes and releases of KV reservations, and their events.
 #pragma once
 
 #include <compare>
@@ -15,105 +15,105 @@
 
 namespace garnethook::routing {
 
-/// The name of an attempt's outcome in logs.
+/// Returns the name of an attempt's outcome in logs.
 std::string_view name(Outcome outcome);
 
-/// One attempt of one request.
+/// Identifies an attempt of a request.
 struct AttemptId {
   RequestId request;  ///< The request.
-  int number = 0;     ///< Number of the attempt among those of the request, from 0.
-  /// By request, then by number.
+  int number = 0;     ///< Number among the attempts of the request, from 0.
+  /// Orders by request, then by number.
   friend auto operator<=>(const AttemptId&, const AttemptId&) = default;
 };
 
-/// What an attempt does at its engine.
+/// The part of a request's processing that an attempt runs at its engine.
 enum class Phase {
-  prefill,  ///< Reads the prompt and leaves its KV cache state reserved for a decode attempt.
-  decode,   ///< Fetches that state and generates the answer.
-  combined  ///< Does both.
+  prefill,  ///< Processes the prompt and leaves its KV state reserved for a decode attempt.
+  decode,   ///< Fetches that state and generates the response.
+  combined  ///< Runs prefill and decode at one engine.
 };
-/// The name of a phase in logs.
+/// Returns the name of a phase in logs.
 std::string_view name(Phase phase);
 
-/// An attempt that is to be made. Views and pointers are valid during EngineClient::begin only.
+/// Parameters of an attempt. Views and pointers are valid during EngineClient::begin() only.
 struct AttemptSpec {
-  AttemptId attempt;                  ///< Which attempt.
-  EndpointId endpoint;                ///< Where it is made.
-  Phase phase = Phase::combined;      ///< What it does.
+  AttemptId attempt;                  ///< The attempt.
+  EndpointId endpoint;                ///< The endpoint to send it to.
+  Phase phase = Phase::combined;      ///< The phase to run.
   const Request* request = nullptr;   ///< The request.
-  std::string_view traceId;           ///< The same for all attempts of the request, unique among all routers.
-  std::string_view kvTransferParams;  ///< Decode: what the prefill returned for the transfer, as JSON text.
-  bool nonRepeatable = false;         ///< It must not be sent again once it may have run.
-  bool requiresNewConnection = false;  ///< On a new connection, so that it is known whether it arrives.
-  Micros timeout = 0;  ///< How long the router waits for the first sign of it, in microseconds.
-  /// A repeat that engines would run as a second piece of work when it arrives later has to be written by
-  /// this time of the monotonic clock; 0: at any time.
+  std::string_view traceId;           ///< Same for all attempts of the request, unique among all routers.
+  std::string_view kvTransferParams;  ///< Decode: KV transfer parameters from the prefill, as JSON text.
+  bool nonRepeatable = false;         ///< It must not be sent again once it was possibly executed.
+  /// It has to use a new connection, which shows whether it reaches the endpoint.
+  bool requiresNewConnection = false;
+  Micros timeout = 0;  ///< How long the router waits for the start of the response, in microseconds.
+  /// Latest time on the monotonic clock to write a retry that engines would execute a second time if it
+  /// arrived later; 0: no limit.
   Micros sendBy = 0;
 };
 
 /// How an attempt ended.
 struct AttemptResult {
-  Outcome outcome = Outcome::error;    ///< What became of it.
+  Outcome outcome = Outcome::error;    ///< The outcome.
   double cachedTokens = 0;             ///< Prompt tokens found in the prefix cache.
-  bool kvStateMissing = false;         ///< There was no KV cache state to fetch.
-  bool reusedConnection = false;       ///< A kept connection broke before any byte of a response.
-  bool badRequest = false;             ///< Nothing ran, and no engine would accept it.
-  bool leftRouter = true;              ///< False: no byte of it left this router.
-  std::optional<LoadReport> report{};  ///< The engine's load, where it reports one.
-  std::string kvTransferParams{};      ///< Of a completed prefill: JSON text for the decode attempt.
-  FinishReason finishReason = FinishReason::stop;  ///< Completed: why the answer ended.
-  std::uint32_t promptTokens = 0;                  ///< As the engine counts them; 0: not reported.
-  std::uint32_t outputTokens = 0;                  ///< As the engine counts them; 0: not reported.
-  std::string text{};                              ///< What the engine or the connection said of a failure.
+  bool kvStateMissing = false;         ///< There was no KV state to fetch.
+  bool reusedConnection = false;       ///< A reused connection broke before any byte of a response.
+  bool badRequest = false;             ///< Nothing ran, and no engine would accept the request.
+  bool leftRouter = true;              ///< False: the router sent no byte of it.
+  std::optional<LoadReport> report{};  ///< The engine's load, if it reports one.
+  std::string kvTransferParams{};      ///< Completed prefill: KV transfer parameters, as JSON text.
+  FinishReason finishReason = FinishReason::stop;  ///< Completed: why the response ended.
+  std::uint32_t promptTokens = 0;                  ///< Prompt tokens counted by the engine; 0: not reported.
+  std::uint32_t outputTokens = 0;                  ///< Output tokens counted by the engine; 0: not reported.
+  std::string text{};                              ///< Error message of the engine or the connection.
 };
 
-/// Events of the engines, on the router's thread.
+/// Receives the events of the engines, on the router's thread.
 class EngineClientEvents {
  public:
   virtual ~EngineClientEvents() = default;
-  /// `count` tokens of the answer; `ids` may be empty. The views are valid during the call.
+  /// `count` tokens of the response arrived; `ids` may be empty. The views are valid only during the call.
   virtual void onTokens(AttemptId attempt, std::string_view text, std::uint32_t count,
                         std::span<const std::uint32_t> ids) = 0;
-  /// The attempt ended; no event of it follows.
+  /// The attempt ended; no further event of it follows.
   virtual void onAttemptEnded(AttemptId attempt, const AttemptResult& result) = 0;
-  /// Answers EngineClient::probe.
+  /// A probe ended; see EngineClient::probe().
   virtual void onProbeEnded(EndpointId endpoint, bool ok, const std::optional<LoadReport>& report) = 0;
-  /// Answers EngineClient::release. `ok`: an endpoint has taken the call.
+  /// A release call ended; see EngineClient::release(). `ok`: an endpoint confirmed the call.
   virtual void onReleaseEnded(const ReleaseCall& call, bool ok) = 0;
-  /// Answers EngineClient::checkLiveness.
+  /// A liveness check ended; see EngineClient::checkLiveness().
   virtual void onLivenessChecked(AttemptId /*attempt*/, bool /*alive*/) {}
 };
 
-/// How far the request of an attempt in flight has got for certain.
+/// Confirmed delivery progress of an attempt in flight.
 enum class DeliveryState {
-  undelivered,  ///< Not written as a whole, or on a connection that is not established yet.
-  written,    ///< Written as a whole, but on a kept connection that has been silent since and may be dead, or
-              ///< the peer's system has not acknowledged all of it.
-  connected,  ///< On a connection established for it that has been silent since: it may have broken.
+  undelivered,  ///< Not fully written, or on a connection that is not established yet.
+  written,  ///< Fully written, but on a reused connection that has been silent since and may be dead, or not
+            ///< fully acknowledged by the peer's system.
+  connected,  ///< On a connection established for it that has been silent since and may have broken.
   confirmed   ///< The connection has received bytes since.
 };
 
-/// Makes attempts at engines. Events come after the call that they answer, never from within it.
+/// Sends attempts to engines. Events follow the call that causes them; they are never raised within it.
 class EngineClient {
  public:
   virtual ~EngineClient() = default;
-  /// Begins an attempt.
+  /// Starts an attempt.
   virtual void begin(const AttemptSpec& spec) = 0;
-  /// Ends the attempt at this side at once; no event of it follows.
+  /// Ends the attempt locally and immediately; no event of it follows.
   virtual void cancel(AttemptId attempt) = 0;
-  /// How far an attempt in flight has got.
+  /// Returns the delivery progress of an attempt in flight.
   virtual DeliveryState deliveryState(AttemptId attempt) const = 0;
-  /// Asks a prefill engine to release what it reserves for the request. Succeeds at once where engines have
-  /// no such call.
+  /// Requests that a prefill engine release its reservations for the request. Succeeds immediately if engines
+  /// do not support release calls.
   virtual void release(const ReleaseCall& call, const std::string& traceId) = 0;
-  /// Whether engines have a call that releases reservations.
+  /// Whether engines support release calls.
   virtual bool canRelease() const { return true; }
-  /// When anything came from the endpoint last, on the monotonic clock; 0: nothing yet. None where that is
-  /// not known.
+  /// Returns when data was last received from the endpoint, on the monotonic clock; 0: never, none: unknown.
   virtual std::optional<Micros> lastReceivedAt(EndpointId /*endpoint*/) const { return std::nullopt; }
-  /// Asks an endpoint for its health and load.
+  /// Queries an endpoint's health and load.
   virtual void probe(EndpointId endpoint) = 0;
-  /// Whether checkLiveness() is possible.
+  /// Whether checkLiveness() is supported.
   virtual bool canCheckLiveness() const { return false; }
   /// Checks on another connection, within a short time, whether the attempt's engine is alive.
   virtual void checkLiveness(AttemptId /*attempt*/, EndpointId /*endpoint*/) {}
--- a/src/routing/kv_reservation_releaser.cpp
+++ b/src/routing/kv_reservation_releaser.cpp
@@ -6,8 +6,8 @@
 namespace garnethook::routing {
 namespace {
 
-// The reservations of a request that waits for capacity are released this much ahead of their time: nothing
-// else looks at them before the next attempt.
+// The reservations of a request that waits for capacity are released this long before they are due, since
+// nothing else checks them before the next attempt.
 constexpr Micros kWaitingRequestMargin = 150'000;
 
 }  // namespace
@@ -27,20 +27,21 @@
 void KvReservationReleaser::onAttemptAbandoned(RequestId request, const InFlightAttempt& attempt) {
   if (!context_.engines.canRelease()) return;
   const Micros now = context_.timers.now();
-  const KvReservationTracker::AbandonedAttempt abandoned{now, std::max<Micros>(0, attempt.usefulUntil - now)};
+  const KvReservationTracker::AbandonedAttempt abandoned{now,
+                                                         std::max<Micros>(0, attempt.engineDeadline - now)};
   if (attempt.phase == Phase::prefill) tracker_.onPrefillAbandoned(request, attempt.endpoint, abandoned);
   if (attempt.phase == Phase::decode) tracker_.onDecodeAbandoned(request, abandoned);
   startTimer();
 }
 
 void KvReservationReleaser::release(RequestId request) {
-  callReleases(tracker_.release(request, context_.timers.now()));
+  sendReleases(tracker_.release(request, context_.timers.now()));
 }
 
 void KvReservationReleaser::releaseDuringAttempt(RequestId request, InFlightAttempt& attempt) {
-  attempt.mayNotHaveArrived = true;
+  attempt.isDeliveryUncertain = true;
   const Micros now = context_.timers.now();
-  callReleases(attempt.phase == Phase::prefill ? tracker_.releaseDuringPrefill(request, attempt.endpoint, now)
+  sendReleases(attempt.phase == Phase::prefill ? tracker_.releaseDuringPrefill(request, attempt.endpoint, now)
                                                : tracker_.releaseDuringDecode(request, now));
 }
 
@@ -66,26 +67,27 @@
   return requests_.contains(request) || tracker_.isTracking(request);
 }
 
-// Engines release all that is held for a request, so a repeated call would take the state that a newer
-// prefill of it has left, or is about to leave. It waits until the request has ended or its answer has begun,
-// unless the attempt in flight may never have arrived.
+// A release call frees all state that an engine holds for the request, so a repeated call would also free the
+// state that a newer prefill of the request has left or is about to leave. The repeat therefore waits until
+// the request has ended or its response has started, unless the attempt in flight may never have reached its
+// endpoint.
 bool KvReservationReleaser::mayRepeat(RequestId request) const {
   const ActiveRequest* active = requests_.find(request);
   if (active == nullptr || active->isFinished()) return true;
   if (!active->attempt) return !active->kvEndpoint;
-  return active->attempt->hasStarted || active->attempt->mayNotHaveArrived;
+  return active->attempt->hasStarted || active->attempt->isDeliveryUncertain;
 }
 
-void KvReservationReleaser::callReleases(const std::vector<ReleaseCall>& calls) {
+void KvReservationReleaser::sendReleases(const std::vector<ReleaseCall>& calls) {
   for (const ReleaseCall& call : calls) {
     const auto traceId = traceIds_.find(call.request.value);
-    if (traceId != traceIds_.end()) callRelease(call, traceId->second);
+    if (traceId != traceIds_.end()) sendRelease(call, traceId->second);
   }
   if (!calls.empty()) startTimer();
 }
 
-// One call that can't be made must not cost the others; the tracker has it made again.
-void KvReservationReleaser::callRelease(const ReleaseCall& call, const std::string& traceId) {
+// A call that throws must not prevent the remaining calls; the tracker schedules a retry.
+void KvReservationReleaser::sendRelease(const ReleaseCall& call, const std::string& traceId) {
   context_.observer.onRelease(call, traceId);
   try {
     context_.engines.release(call, traceId);
@@ -103,14 +105,14 @@
 
 void KvReservationReleaser::onTimer() {
   const Micros now = context_.timers.now();
-  callReleases(tracker_.dueRetries(now, [this](RequestId request) { return mayRepeat(request); }));
-  releaseOfWaitingRequests(now);
+  sendReleases(tracker_.dueRetries(now, [this](RequestId request) { return mayRepeat(request); }));
+  releaseForWaitingRequests(now);
   startTimer();
 }
 
-// Between two attempts a request may wait for capacity for longer than what an abandoned prefill left may
-// stay.
-void KvReservationReleaser::releaseOfWaitingRequests(Micros now) {
+// Between two attempts, a request may wait for capacity for longer than the state of an abandoned prefill may
+// be kept.
+void KvReservationReleaser::releaseForWaitingRequests(Micros now) {
   const Micros margin = std::min(kWaitingRequestMargin, context_.options.kvReservations.kvReleaseTimeout / 2);
   for (const RequestId request : tracker_.requestsDue(now, margin)) {
     const ActiveRequest* active = requests_.find(request);
--- a/src/routing/kv_reservation_releaser.h
+++ b/src/routing/kv_reservation_releaser.h
@@ -1,4 +1,4 @@
-/// Makes the calls that release KV cache reservations, and retries them.
+/// Sends the calls that release KV reservations, and retries them.
 #pragma once
 
 #include <string>
@@ -12,11 +12,11 @@
 
 namespace garnethook::routing {
 
-/// Owns the tracker of reservations, the retry timer, and the trace ids under which endpoints know the
-/// requests: they are kept for as long as a release may still need them.
+/// Owns the tracker of reservations, the retry timer, and the trace ids by which endpoints identify requests.
+/// A trace id is kept for as long as a release may still need it.
 class KvReservationReleaser {
  public:
-  /// `context` and `requests` are referred to.
+  /// `context` and `requests` must outlive this object.
   KvReservationReleaser(const RouterContext& context, const RequestTable& requests);
 
   /// The reservations.
@@ -24,37 +24,38 @@
   /// The reservations.
   const KvReservationTracker& tracker() const { return tracker_; }
 
-  /// A prefill of the request was sent to the endpoint.
+  /// Records that a prefill of the request was sent to the endpoint.
   void onPrefillSent(const ActiveRequest& active, EndpointId endpoint, Micros now);
-  /// An attempt that had reached its endpoint, or may have, was given up or lost before it had a response.
+  /// Records that an attempt that reached its endpoint, or may have, was cancelled or lost before its
+  /// response.
   void onAttemptAbandoned(RequestId request, const InFlightAttempt& attempt);
-  /// Releases all that is reserved for the request.
+  /// Releases all reservations of the request.
   void release(RequestId request);
-  /// Releases what may be released beside an attempt in flight that may never have arrived: what earlier
-  /// prefills left, beside a prefill; the state itself beside a decode, where a release spares what an
-  /// endpoint waits for.
+  /// Starts the releases that are possible while `attempt` is in flight and may never have reached its
+  /// endpoint. During a prefill these are the reservations of earlier prefills; during a decode it is the
+  /// state itself, if releases skip state that an endpoint waits for (releaseSkipsAwaitedState).
   void releaseDuringAttempt(RequestId request, InFlightAttempt& attempt);
-  /// A release call ended; a failed one is retried later.
+  /// Handles the end of a release call; a failed one is retried later.
   void onReleaseEnded(const ReleaseCall& call, bool ok);
-  /// These endpoints were restarted: what they reserved is gone.
+  /// Discards the reservations that the restarts freed.
   void onEndpointsRestarted(const std::vector<EndpointRestart>& restarts);
-  /// Forgets the request's trace id, where no release may need it any more.
+  /// Erases the request's trace id unless a release may still need it.
   void forgetTraceId(RequestId request);
 
  private:
   bool needsTraceId(RequestId request) const;
   bool mayRepeat(RequestId request) const;
-  void callReleases(const std::vector<ReleaseCall>& calls);
-  void callRelease(const ReleaseCall& call, const std::string& traceId);
+  void sendReleases(const std::vector<ReleaseCall>& calls);
+  void sendRelease(const ReleaseCall& call, const std::string& traceId);
   void startTimer();
   void onTimer();
-  void releaseOfWaitingRequests(Micros now);
+  void releaseForWaitingRequests(Micros now);
 
   const RouterContext& context_;
   const RequestTable& requests_;
   KvReservationTracker tracker_;
   std::unordered_map<std::uint64_t, std::string> traceIds_;  // of requests with a prefill, by RequestId
-  timing::Alarm timer_;  // runs while a release is pending, or a prefill was abandoned
+  timing::Alarm timer_;  // runs while a release is pending or a reservation has an abandoned prefill
 };
 
 }  // namespace garnethook::routing
--- a/src/routing/kv_reservation_tracker.cpp
+++ b/src/routing/kv_reservation_tracker.cpp
@@ -6,26 +6,26 @@
 namespace garnethook::routing {
 namespace {
 
-// More doublings than this would overflow, and pass every limit anyway.
+// Limits the shift in backoffDelay(): more doublings could overflow, and exceed every maximum delay anyway.
 constexpr int kMaxDoublings = 20;
-// A call without any answer counts as failed after this; engine clients answer much earlier.
+// A call that has not ended after this time counts as failed. Engine clients report the end much earlier.
 constexpr Micros kCallTimeout = 2'000'000;
 
 }  // namespace
 
 void KvReservationTracker::AbandonedWork::add(const AbandonedAttempt& attempt) {
-  const Micros work = std::max(attempt.remainingTimeout, kMinAbandonedWork) + kAbandonedWorkMargin;
-  add(AbandonedWork{attempt.at, work, attempt.at + std::min(work, kMaxAbandonedWork)});
+  const Micros workDuration = std::max(attempt.remainingTimeout, kMinAbandonedWork) + kAbandonedWorkMargin;
+  add(AbandonedWork{attempt.at, workDuration, attempt.at + std::min(workDuration, kMaxAbandonedWork)});
 }
 
 void KvReservationTracker::AbandonedWork::add(const AbandonedWork& other) {
-  since = std::max(since, other.since);
-  lasts = std::max(lasts, other.lasts);
-  until = std::max(until, other.until);
+  lastAbandonedAt = std::max(lastAbandonedAt, other.lastAbandonedAt);
+  duration = std::max(duration, other.duration);
+  mayRunUntil = std::max(mayRunUntil, other.mayRunUntil);
 }
 
 void KvReservationTracker::AbandonedWork::extendFrom(Micros now) {
-  until = std::max(until, std::min(now + lasts, since + kMaxAbandonedWork));
+  mayRunUntil = std::max(mayRunUntil, std::min(now + duration, lastAbandonedAt + kMaxAbandonedWork));
 }
 
 void KvReservationTracker::report(KvReservationChange change, const Key& key,
@@ -33,18 +33,18 @@
   if (onChange_) onChange_({change, key.first, key.second, callNumber});
 }
 
-// ---- what attempts leave ----
+// ---- attempts and endpoints ----
 
 void KvReservationTracker::onPrefillSent(RequestId request, EndpointId endpoint, Micros now) {
   const Key key{request, endpoint};
-  const auto [item, isFirst] = reservations_.try_emplace(key, Reservation{.since = now});
+  const auto [item, isFirst] = reservations_.try_emplace(key, Reservation{.idleSince = now});
   Reservation& reservation = item->second;
   reservation.sentAt = now;
   reservation.hasEarlierPrefill = !isFirst;
   const auto release = releases_.find(key);
   if (release != releases_.end()) {
     reservation.hasEarlierPrefill = true;
-    reservation.prefills.add(release->second.prefills);
+    reservation.abandonedPrefills.add(release->second.abandonedPrefills);
     releases_.erase(release);
   }
   report(KvReservationChange::reserved, key);
@@ -62,18 +62,18 @@
                                               const AbandonedAttempt& attempt) {
   const Key key{request, endpoint};
   if (const auto item = reservations_.find(key); item != reservations_.end())
-    item->second.prefills.add(attempt);
+    item->second.abandonedPrefills.add(attempt);
   else if (const auto release = releases_.find(key); release != releases_.end())
-    release->second.prefills.add(attempt);
+    release->second.abandonedPrefills.add(attempt);
   else
     return;
   report(KvReservationChange::prefillAbandoned, key);
 }
 
 void KvReservationTracker::onDecodeAbandoned(RequestId request, const AbandonedAttempt& attempt) {
-  for (auto item = firstOf(reservations_, request);
+  for (auto item = firstItemFor(reservations_, request);
        item != reservations_.end() && item->first.first == request; ++item) {
-    item->second.decodes.add(attempt);
+    item->second.abandonedDecodes.add(attempt);
     report(KvReservationChange::decodeAbandoned, item->first);
   }
 }
@@ -82,39 +82,41 @@
   const Key key{request, endpoint};
   const auto item = reservations_.find(key);
   if (item != reservations_.end()) {
-    item->second.decodes = {};
-    if (item->second.prefills.until <= now) reservations_.erase(item);
+    item->second.abandonedDecodes = {};
+    if (item->second.abandonedPrefills.mayRunUntil <= now) reservations_.erase(item);
     report(KvReservationChange::transferred, key);
   }
   const auto release = releases_.find(key);
   if (release == releases_.end()) return;
-  release->second.decodes = {};
-  if (release->second.prefills.until <= now) releases_.erase(release);
+  release->second.abandonedDecodes = {};
+  if (release->second.abandonedPrefills.mayRunUntil <= now) releases_.erase(release);
 }
 
 void KvReservationTracker::onAttemptEnded(RequestId request, Micros now) {
-  for (auto item = firstOf(reservations_, request);
+  for (auto item = firstItemFor(reservations_, request);
        item != reservations_.end() && item->first.first == request; ++item)
-    item->second.since = now;
+    item->second.idleSince = now;
 }
 
 void KvReservationTracker::onEndpointRestarted(EndpointId endpoint, Micros startedAt) {
-  const auto isGone = [&](const Key& key, Micros prefillSentAt) {
+  const auto isInvalidated = [&](const Key& key, Micros prefillSentAt) {
     if (key.second != endpoint || prefillSentAt >= startedAt) return false;
     report(KvReservationChange::endpointRestarted, key);
     return true;
   };
-  std::erase_if(reservations_, [&](const auto& item) { return isGone(item.first, item.second.sentAt); });
-  std::erase_if(releases_, [&](const auto& item) { return isGone(item.first, item.second.prefillSentAt); });
+  std::erase_if(reservations_,
+                [&](const auto& item) { return isInvalidated(item.first, item.second.sentAt); });
+  std::erase_if(releases_,
+                [&](const auto& item) { return isInvalidated(item.first, item.second.prefillSentAt); });
 }
 
-// ---- when they are due ----
+// ---- due times ----
 
 std::optional<Micros> KvReservationTracker::releaseDueAt(RequestId request) const {
   std::optional<Micros> oldest;
-  for (auto item = firstOf(reservations_, request);
+  for (auto item = firstItemFor(reservations_, request);
        item != reservations_.end() && item->first.first == request; ++item)
-    oldest = std::min(oldest.value_or(item->second.since), item->second.since);
+    oldest = std::min(oldest.value_or(item->second.idleSince), item->second.idleSince);
   if (oldest) *oldest += options_.kvReleaseTimeout;
   return oldest;
 }
@@ -122,14 +124,15 @@
 std::vector<RequestId> KvReservationTracker::requestsDue(Micros now, Micros margin) const {
   std::set<RequestId> due;
   for (const auto& [key, reservation] : reservations_)
-    if (reservation.prefills.since != 0 && reservation.since + options_.kvReleaseTimeout - margin <= now)
+    if (reservation.abandonedPrefills.lastAbandonedAt != 0 &&
+        reservation.idleSince + options_.kvReleaseTimeout - margin <= now)
       due.insert(key.first);
   return {due.begin(), due.end()};
 }
 
 // ---- release calls ----
 
-ReleaseCall KvReservationTracker::call(const Key& key, Release& release, Micros now) {
+ReleaseCall KvReservationTracker::startCall(const Key& key, Release& release, Micros now) {
   release.callNumber = ++lastCallNumber_;
   release.calledAt = now;
   release.retryAt = 0;
@@ -137,21 +140,22 @@
   return {key.second, key.first, release.callNumber, release.failures > 0};
 }
 
-// A release that is pending already is requested anew: its earlier calls may have spared the state.
+// A release that is already pending starts again, since engines may have skipped the state on its earlier
+// calls.
 ReleaseCall KvReservationTracker::startRelease(const Key& key, const Reservation& reservation, Micros now) {
   Release& release = releases_[key];
   release.requestedAt = now;
   release.prefillSentAt = reservation.sentAt;
   release.failures = release.confirmations = 0;
-  release.prefills.add(reservation.prefills);
-  release.decodes.add(reservation.decodes);
+  release.abandonedPrefills.add(reservation.abandonedPrefills);
+  release.abandonedDecodes.add(reservation.abandonedDecodes);
   report(KvReservationChange::releaseRequested, key);
-  return call(key, release, now);
+  return startCall(key, release, now);
 }
 
 std::vector<ReleaseCall> KvReservationTracker::release(RequestId request, Micros now) {
   std::vector<ReleaseCall> calls;
-  for (auto item = firstOf(reservations_, request);
+  for (auto item = firstItemFor(reservations_, request);
        item != reservations_.end() && item->first.first == request; item = reservations_.erase(item))
     calls.push_back(startRelease(item->first, item->second, now));
   return calls;
@@ -163,7 +167,7 @@
   auto own = reservations_.extract(key);
   auto calls = release(request, now);
   if (!own) return calls;
-  own.mapped().since = now;
+  own.mapped().idleSince = now;
   if (own.mapped().hasEarlierPrefill && options_.releaseSkipsAwaitedState)
     calls.push_back({endpoint, request, ++lastCallNumber_});
   reservations_.insert(std::move(own));
@@ -173,19 +177,19 @@
 std::vector<ReleaseCall> KvReservationTracker::releaseDuringDecode(RequestId request, Micros now) {
   std::vector<ReleaseCall> calls;
   if (!options_.releaseSkipsAwaitedState) return calls;
-  for (auto item = firstOf(reservations_, request);
+  for (auto item = firstItemFor(reservations_, request);
        item != reservations_.end() && item->first.first == request; ++item)
     if (!releases_.contains(item->first)) calls.push_back(startRelease(item->first, item->second, now));
   return calls;
 }
 
-Micros KvReservationTracker::delayAfter(int calls, Micros maxDelay) const {
-  const Micros delay = options_.releaseRetryDelay << std::min(calls - 1, kMaxDoublings);
+Micros KvReservationTracker::backoffDelay(int callCount, Micros maxDelay) const {
+  const Micros delay = options_.releaseRetryDelay << std::min(callCount - 1, kMaxDoublings);
   return std::min(std::max(options_.releaseRetryDelay, maxDelay), delay);
 }
 
 void KvReservationTracker::onReleaseEnded(const ReleaseCall& call, bool ok, Micros now,
-                                          std::optional<Micros> heardAt) {
+                                          std::optional<Micros> lastReceivedAt) {
   const Key key{call.request, call.endpoint};
   const auto item = releases_.find(key);
   if (item == releases_.end() || item->second.retryAt != 0 || item->second.callNumber != call.number)
@@ -194,17 +198,21 @@
   if (!ok) {
     if (++release.failures >= options_.maxReleaseAttempts)
       return finishRelease(key, KvReservationChange::releaseGivenUp, call.number);
-    release.retryAt = now + delayAfter(release.failures, options_.kvReleaseTimeout / 2);
+    release.retryAt = now + backoffDelay(release.failures, options_.kvReleaseTimeout / 2);
     return report(KvReservationChange::releaseFailed, key, call.number);
   }
   if (++release.confirmations == 1) longestRelease_ = std::max(longestRelease_, now - release.requestedAt);
-  if (heardAt && *heardAt < release.prefills.since) release.prefills.extendFrom(now);
-  const Micros finalFrom = std::max(release.prefills.until, release.decodes.until);
-  if (release.calledAt >= finalFrom)
+  if (lastReceivedAt && *lastReceivedAt < release.abandonedPrefills.lastAbandonedAt)
+    release.abandonedPrefills.extendFrom(now);
+  const Micros abandonedWorkEnd =
+      std::max(release.abandonedPrefills.mayRunUntil, release.abandonedDecodes.mayRunUntil);
+  if (release.calledAt >= abandonedWorkEnd)
     return finishRelease(key, KvReservationChange::releaseConfirmed, call.number);
-  // New state may appear at any moment while a prefill goes on; a decode only keeps what is there.
-  const Micros maxDelay = options_.kvReleaseTimeout / (release.prefills.until > now ? 2 : 1);
-  release.retryAt = std::min(now + delayAfter(release.confirmations, maxDelay), std::max(now + 1, finalFrom));
+  // While an abandoned prefill may still run, new state can appear at any time, so the release is repeated at
+  // shorter intervals. An abandoned decode only delays the release of existing state.
+  const Micros maxDelay = options_.kvReleaseTimeout / (release.abandonedPrefills.mayRunUntil > now ? 2 : 1);
+  release.retryAt =
+      std::min(now + backoffDelay(release.confirmations, maxDelay), std::max(now + 1, abandonedWorkEnd));
   report(KvReservationChange::releaseRepeated, key, call.number);
 }
 
@@ -216,7 +224,7 @@
 }
 
 std::vector<ReleaseCall> KvReservationTracker::dueRetries(Micros now, const MayRepeat& mayRepeat) {
-  giveUpUnanswered(now);
+  failUnansweredCalls(now);
   std::vector<ReleaseCall> calls;
   for (auto& [key, release] : releases_) {
     if (release.retryAt == 0 || release.retryAt > now) continue;
@@ -224,13 +232,13 @@
       if (mayRepeat && !mayRepeat(key.first)) continue;
       ++repeatedCount_;
     }
-    calls.push_back(call(key, release, now));
+    calls.push_back(startCall(key, release, now));
   }
   return calls;
 }
 
-// A call whose answer is lost in this process must not keep its release from being called again.
-void KvReservationTracker::giveUpUnanswered(Micros now) {
+// Prevents a release from never being retried when the result of its call is lost within this process.
+void KvReservationTracker::failUnansweredCalls(Micros now) {
   std::vector<ReleaseCall> unanswered;
   for (const auto& [key, release] : releases_)
     if (release.retryAt == 0 && now - release.calledAt >= kCallTimeout)
@@ -238,19 +246,20 @@
   for (const ReleaseCall& call : unanswered) onReleaseEnded(call, false, now);
 }
 
-// ---- what is known ----
+// ---- queries ----
 
 bool KvReservationTracker::isTracking(RequestId request) const {
   const auto hasItem = [&](const auto& items) {
-    const auto item = firstOf(items, request);
+    const auto item = firstItemFor(items, request);
     return item != items.end() && item->first.first == request;
   };
   return hasItem(reservations_) || hasItem(releases_);
 }
 
 bool KvReservationTracker::hasUnfinishedWork() const {
-  return !releases_.empty() || std::any_of(reservations_.begin(), reservations_.end(),
-                                           [](const auto& item) { return item.second.prefills.since != 0; });
+  return !releases_.empty() || std::any_of(reservations_.begin(), reservations_.end(), [](const auto& item) {
+    return item.second.abandonedPrefills.lastAbandonedAt != 0;
+  });
 }
 
 std::size_t KvReservationTracker::unconfirmedReleaseCount() const {
--- a/src/routing/kv_reservation_tracker.h
+++ b/src/routing/kv_reservation_tracker.h
@@ -1,15 +1,18 @@
-/// KV cache state that prefill endpoints reserve, or may reserve, for requests: which endpoint must be asked
-/// to release it, when, and when again. Free of I/O and clocks.
+/// Tracks the KV state that prefill endpoints reserve, or may reserve, for requests, and determines which
+/// endpoint to send release calls to, when to send them and when to repeat them. Performs no I/O and reads no
+/// clock.
 ///
-/// A prefill leaves a reservation at its endpoint until a decode endpoint has fetched it. A prefill that was
-/// cancelled, or whose response was lost, may have left one too, so it counts as reserved. Rule 5 limits the
-/// time for which a reservation may be kept while its request has no attempt in flight. An attempt counts as
-/// in flight once it has reached an endpoint: while connections fail to come up, the time runs on.
+/// A prefill leaves a reservation at its endpoint until a decode endpoint has fetched the state. A prefill
+/// that was cancelled, or whose response was lost, may have left one too, so it counts as reserved. Rule 5
+/// limits the time for which a reservation may be kept while its request has no attempt in flight. For this
+/// limit, an attempt counts as in flight only once it has reached an endpoint: the time continues to run
+/// while connections cannot be established.
 ///
-/// Engines may go on with an attempt that was given up: its close can come late or never, and a prefill that
-/// has begun is often finished. Until that can't be so any more, a confirmed release is not final: it may
-/// have come before the state, or have spared it for a decode that was still waiting. So it is called again,
-/// at growing intervals, and one more time when the attempt can't change anything any more.
+/// Engines may continue to work on an abandoned attempt: the close of its connection can arrive late or
+/// never, and engines often finish a prefill that has started. As long as this is possible, a confirmed
+/// release is not final: the call may have arrived before the state existed, or may have skipped the state
+/// because a decode still waited for it. The release is therefore called again, at increasing intervals, and
+/// once more when the abandoned attempt can no longer have an effect.
 #pragma once
 
 #include <cstddef>
@@ -26,123 +29,129 @@
 
 namespace garnethook::routing {
 
-/// Tracks the reservations of all requests, and the release calls that are pending.
+/// Tracks the reservations of all requests and the pending releases.
 class KvReservationTracker {
  public:
   /// Times in microseconds.
   struct Options {
     Micros kvReleaseTimeout = 500'000;  ///< Rule 5: how long a reservation may be kept without an attempt.
-    int maxReleaseAttempts = 40;  ///< Failed calls of one release; then the endpoint's timeout is relied on.
+    /// Failed calls after which a release is given up; the endpoint's own timeout then frees the state.
+    int maxReleaseAttempts = 40;
     /// Delay before the second call. It doubles up to half of kvReleaseTimeout, so that an endpoint that
-    /// can be reached again is asked within that time.
+    /// becomes reachable again receives a call within that time.
     Micros releaseRetryDelay = 100'000;
-    /// A release call leaves alone what a decode attempt at an endpoint waits for.
+    /// Engines ignore a release call for state that a decode attempt waits for.
     bool releaseSkipsAwaitedState = false;
   };
-  /// An attempt that was given up: when, and how long the engine was told that its result is of use.
+  /// An abandoned attempt: one that was cancelled, or that ended without a usable response.
   struct AbandonedAttempt {
-    Micros at = 0;                ///< When it was given up.
-    Micros remainingTimeout = 0;  ///< What was left then of the time that the engine was told.
+    Micros at = 0;                ///< When it was abandoned.
+    Micros remainingTimeout = 0;  ///< Remainder at that time of the timeout sent to the engine.
   };
-  /// Engines are taken to go on with abandoned work for this long at least: some finish what has begun.
+  /// Minimum time for which engines are assumed to continue abandoned work, as some finish started work.
   static constexpr Micros kMinAbandonedWork = 1'000'000;
-  /// ... and this much longer than they were told, for the work itself and the way there.
+  /// Added to the engine's remaining timeout, for the work itself and the network latency.
   static constexpr Micros kAbandonedWorkMargin = 250'000;
-  /// No release is repeated for longer than this after the attempt was given up.
+  /// Maximum time after an attempt was abandoned for which its release is repeated.
   static constexpr Micros kMaxAbandonedWork = 10'000'000;
 
-  /// Told of every change of a reservation.
+  /// Called on every change of a reservation.
   using OnChange = std::function<void(const KvReservationEvent&)>;
-  /// Whether a confirmed release may be called again now: not while the request waits for a new state.
+  /// Returns whether a confirmed release may be repeated now; false while the request waits for new state.
   using MayRepeat = std::function<bool(RequestId)>;
 
-  /// There are no reservations at first. `onChange`: may be empty.
+  /// Creates a tracker without reservations. `onChange` may be empty.
   explicit KvReservationTracker(const Options& options, OnChange onChange = {})
       : options_(options), onChange_(std::move(onChange)) {}
 
-  /// A prefill of the request was sent to the endpoint. A pending release of an earlier prefill there is not
-  /// retried, as it could release the new state; what that prefill may have left is released with the new
-  /// one.
+  /// Records that a prefill of the request was sent to the endpoint. A pending release of an earlier prefill
+  /// at that endpoint is not retried, since a retry could release the new state; state that the earlier
+  /// prefill may have left is released together with the new state.
   void onPrefillSent(RequestId request, EndpointId endpoint, Micros now);
-  /// The prefill is known to have left nothing: the endpoint rejected it, or was never reached.
+  /// Records that the prefill left no state: the endpoint rejected it, or was never reached.
   void onNoReservation(RequestId request, EndpointId endpoint);
-  /// The prefill was given up, or its response was lost: the engine may go on with it and leave state later.
+  /// Records that the prefill was cancelled, or its response was lost: the engine may continue and leave
+  /// state later.
   void onPrefillAbandoned(RequestId request, EndpointId endpoint, const AbandonedAttempt& attempt);
-  /// A decode attempt was given up before its first token: it may still wait for the state, so that release
-  /// calls spare it.
+  /// Records that a decode attempt was abandoned before its first token. It may still wait for the state, in
+  /// which case release calls do not free it.
   void onDecodeAbandoned(RequestId request, const AbandonedAttempt& attempt);
-  /// A decode endpoint has begun to answer: the reservation was fetched and released with it. What an
-  /// abandoned prefill at that endpoint may still leave stays tracked.
+  /// Records that a decode attempt has received its first token: the state was fetched from `endpoint`, which
+  /// released the reservation. State that an abandoned prefill at `endpoint` may still leave stays tracked.
   void onTransferred(RequestId request, EndpointId endpoint, Micros now);
-  /// An attempt of the request that had reached an endpoint ended: the time of its reservations starts anew.
+  /// Restarts the release timeout of the request's reservations, since an attempt that had reached an
+  /// endpoint ended.
   void onAttemptEnded(RequestId request, Micros now);
-  /// The endpoint was started at that time: what prefills sent before reserved is gone.
+  /// Discards the reservations of prefills sent to the endpoint before `startedAt`: the restart freed them.
   void onEndpointRestarted(EndpointId endpoint, Micros startedAt);
 
-  /// When the request's reservations have to be fetched or released, unless an attempt has reached an
-  /// endpoint by then; none where there is no reservation.
+  /// Returns when the request's reservations are due for release, unless an attempt has reached an endpoint
+  /// by then; none if the request has no reservation.
   std::optional<Micros> releaseDueAt(RequestId request) const;
-  /// Requests with an abandoned prefill whose reservation is due for release within `margin`.
+  /// Returns the requests with an abandoned prefill whose reservation is due for release within `margin`.
   std::vector<RequestId> requestsDue(Micros now, Micros margin) const;
-  /// The request needs its reservations no more. Returns the calls to be made now.
+  /// Starts the release of all reservations of the request. Returns the calls to make now.
   std::vector<ReleaseCall> release(RequestId request, Micros now);
-  /// The release is due while a prefill at `endpoint` is in flight that may never have arrived. Returns the
-  /// calls to be made now. At that endpoint one is made only where releases spare what is awaited, and it is
-  /// not retried.
+  /// Starts releases that are due while a prefill at `endpoint` is in flight that may never have reached it.
+  /// Returns the calls to make now. `endpoint` itself receives a call only with releaseSkipsAwaitedState, and
+  /// that call is not retried.
   std::vector<ReleaseCall> releaseDuringPrefill(RequestId request, EndpointId endpoint, Micros now);
-  /// The release is due while a decode attempt is in flight that may never have arrived. Returns the calls to
-  /// be made now, where releases spare what is awaited; the reservations they spare stay tracked.
+  /// Starts releases that are due while a decode attempt is in flight that may never have reached its
+  /// endpoint. Returns the calls to make now, none without releaseSkipsAwaitedState. The reservations stay
+  /// tracked, since engines may skip them.
   std::vector<ReleaseCall> releaseDuringDecode(RequestId request, Micros now);
-  /// A release call ended; only the latest one of a reservation counts. A failed one is due again after the
-  /// delay, up to the limit of attempts, and a confirmed one where it may have come too early.
+  /// Handles the end of a release call; ignores it unless it is the latest call of its release. A failed call
+  /// is retried after a delay, up to maxReleaseAttempts; a confirmed one is repeated if it may have been too
+  /// early.
   /// @param call the call
-  /// @param ok an endpoint has taken it
+  /// @param ok whether an endpoint confirmed the call
   /// @param now the current time
-  /// @param heardAt when anything came from the reservation's endpoint last; none where that is not known. An
-  ///        endpoint that was silent since the attempt was given up may get it later and begin with it then.
+  /// @param lastReceivedAt when data was last received from the reservation's endpoint; none if unknown. An
+  ///        endpoint that was silent since the attempt was abandoned may receive the attempt later and start
+  ///        to work on it then.
   void onReleaseEnded(const ReleaseCall& call, bool ok, Micros now,
-                      std::optional<Micros> heardAt = std::nullopt);
-  /// The release calls that are due again by now; they count as made.
+                      std::optional<Micros> lastReceivedAt = std::nullopt);
+  /// Returns the release calls to retry or repeat now, and records them as made.
   std::vector<ReleaseCall> dueRetries(Micros now, const MayRepeat& mayRepeat = {});
 
-  /// Whether the request has a reservation, or a release that is not final.
+  /// Whether the request has a reservation or a pending release.
   bool isTracking(RequestId request) const;
-  /// Reservations whose release was not requested yet.
+  /// Number of reservations whose release was not requested yet.
   std::size_t reservationCount() const { return reservations_.size(); }
-  /// Releases that were requested and are not final yet.
+  /// Number of releases that were requested and are not final yet.
   std::size_t pendingReleaseCount() const { return releases_.size(); }
-  /// Whether the releaser has anything to do later: a pending release, or an abandoned prefill.
+  /// Whether there is a pending release or a reservation with an abandoned prefill.
   bool hasUnfinishedWork() const;
-  /// Pending releases of which no call was confirmed yet.
+  /// Number of pending releases without a confirmed call.
   std::size_t unconfirmedReleaseCount() const;
-  /// How long the oldest of those has been waiting, in microseconds; 0 where there is none.
+  /// Age of the oldest of these in microseconds; 0 if there is none.
   Micros oldestUnconfirmedRelease(Micros now) const;
-  /// Releases that were confirmed for good.
+  /// Number of releases whose confirmation was final.
   std::uint64_t releasedCount() const { return releasedCount_; }
-  /// Calls that were made again though one had been confirmed.
+  /// Number of calls that were repeated after a confirmed one.
   std::uint64_t repeatedCount() const { return repeatedCount_; }
-  /// Releases that were given up after all attempts.
+  /// Number of releases that were given up after maxReleaseAttempts failed calls.
   std::uint64_t abandonedCount() const { return abandonedCount_; }
   /// The longest time from a release's request to its first confirmation, in microseconds.
   Micros longestRelease() const { return longestRelease_; }
 
  private:
   using Key = std::pair<RequestId, EndpointId>;
-  // Attempts that were given up and may go on at their engines.
+  // Abandoned attempts on which engines may continue to work.
   struct AbandonedWork {
-    Micros since = 0;  // when the latest one was given up; 0: there is none
-    Micros lasts = 0;  // from there on
-    Micros until = 0;  // a release call that is made by then may have come too early
+    Micros lastAbandonedAt = 0;  // when the latest attempt was abandoned; 0: none
+    Micros duration = 0;         // assumed longest time for which an engine continues
+    Micros mayRunUntil = 0;      // a release call made before this time may be too early
     void add(const AbandonedAttempt& attempt);
     void add(const AbandonedWork& other);
     void extendFrom(Micros now);
   };
   struct Reservation {
-    Micros since = 0;                // start of the time that rule 5 limits
-    Micros sentAt = 0;               // the latest prefill
-    bool hasEarlierPrefill = false;  // an earlier prefill of the request there may have left state too
-    AbandonedWork prefills;          // may still leave state
-    AbandonedWork decodes;           // may still wait for the state
+    Micros idleSince = 0;             // start of the time that rule 5 limits
+    Micros sentAt = 0;                // when the latest prefill was sent
+    bool hasEarlierPrefill = false;   // an earlier prefill here may have left state too
+    AbandonedWork abandonedPrefills;  // may still leave state
+    AbandonedWork abandonedDecodes;   // may still wait for the state
   };
   struct Release {
     Micros requestedAt = 0;
@@ -152,18 +161,18 @@
     std::uint64_t callNumber = 0;
     int failures = 0;
     int confirmations = 0;
-    AbandonedWork prefills;
-    AbandonedWork decodes;
+    AbandonedWork abandonedPrefills;
+    AbandonedWork abandonedDecodes;
   };
   template <class Items>
-  static auto firstOf(Items& items, RequestId request) {
+  static auto firstItemFor(Items& items, RequestId request) {
     return items.lower_bound({request, EndpointId{0}});
   }
-  ReleaseCall call(const Key& key, Release& release, Micros now);
+  ReleaseCall startCall(const Key& key, Release& release, Micros now);
   ReleaseCall startRelease(const Key& key, const Reservation& reservation, Micros now);
   void finishRelease(const Key& key, KvReservationChange change, std::uint64_t callNumber);
-  void giveUpUnanswered(Micros now);
-  Micros delayAfter(int calls, Micros maxDelay) const;
+  void failUnansweredCalls(Micros now);
+  Micros backoffDelay(int callCount, Micros maxDelay) const;
   void report(KvReservationChange change, const Key& key, std::uint64_t callNumber = 0) const;
 
   Options options_;
--- a/src/routing/observer.h
+++ b/src/routing/observer.h
@@ -1,4 +1,4 @@
-/// What happens in a router, for logs, recordings and token counts.
+/// Interface to observe a router, for logs, recordings and token counts.
 #pragma once
 
 #include <string>
@@ -12,33 +12,34 @@
 
 namespace garnethook::routing {
 
-/// Called at once, on the router's thread; must not call the router.
+/// Receives notifications of a router, synchronously and on the router's thread. Must not call the router.
 class Observer {
  public:
   virtual ~Observer() = default;
-  /// An attempt is about to begin.
+  /// An attempt is about to start.
   virtual void onAttempt(const AttemptSpec&) {}
-  /// An attempt ended, by its engine or by the router.
+  /// An attempt was ended by its engine or by the router.
   virtual void onAttemptEnded(AttemptId, EndpointId, const AttemptResult&) {}
-  /// An engine read the prompt and reported how many tokens it has.
+  /// An engine processed the prompt and reported its number of tokens.
   virtual void onPromptTokensReported(EndpointId, const Request&, double /*tokens*/) {}
-  /// A client is about to receive its completion; `duration`: since its arrival, in microseconds.
+  /// A client is about to receive its completion; `duration`: time since the request arrived, in
+  /// microseconds.
   virtual void onCompletion(RequestId, const Request&, const Completion&, Micros /*duration*/) {}
-  /// A client has gone, or wants no more.
+  /// A client disconnected or cancelled its request.
   virtual void onCancelled(RequestId) {}
-  /// A log text of the routing policy; see withEndpointNames().
+  /// The routing policy wrote a log text; see withEndpointNames().
   virtual void onPolicyLog(const std::string&) {}
-  /// An action of the policy threw when it was executed.
+  /// An action of the policy or a release call threw an exception.
   virtual void onActionFailed(const std::string& /*error*/) {}
-  /// A rule would have been broken, or was: see RuleGuard.
+  /// A rule was violated, or would have been; see RuleGuard.
   virtual void onViolation(Violation, RequestId, const Request&) {}
-  /// An endpoint is asked to release what it reserves for a request.
+  /// A release call is about to be sent to an endpoint.
   virtual void onRelease(const ReleaseCall&, std::string_view /*traceId*/) {}
-  /// How such a release ended.
+  /// A release call ended.
   virtual void onReleaseEnded(const ReleaseCall&, bool /*ok*/) {}
-  /// What is known of a KV reservation has changed.
+  /// The tracked state of a KV reservation changed.
   virtual void onKvReservation(const KvReservationEvent&) {}
-  /// Every event given to the policy and the actions it answered with, for recordings.
+  /// The policy handled an event and returned these actions, for recordings.
   virtual void onDecision(Micros, const Event&, const std::vector<Action>&) {}
 };
 
--- a/src/routing/options.h
+++ b/src/routing/options.h
@@ -1,4 +1,4 @@
-/// Settings of the router.
+/// Settings of a router.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +12,14 @@
 
 /// Settings of one router. Times in microseconds.
 struct Options {
-  Settings settings;       ///< Of the routing policy.
-  std::uint64_t seed = 1;  ///< Of the routing policy's random generator.
-  std::string instance;    ///< Beginning of trace ids; unique among routers and their restarts.
-  std::size_t maxPendingRequests = 20'000;       ///< Requests beyond it are rejected at once.
-  StreamGuard::Options streamGuard;              ///< When an answer that has begun is ended.
+  Settings settings;                        ///< Settings of the routing policy.
+  std::uint64_t seed = 1;                   ///< Seed of the routing policy's random generator.
+  std::string instance;                     ///< Prefix of trace ids; unique among routers and their restarts.
+  std::size_t maxPendingRequests = 20'000;  ///< Requests beyond this limit are rejected immediately.
+  StreamGuard::Options streamGuard;         ///< When the router ends a response that has started.
   KvReservationTracker::Options kvReservations;  ///< When reservations are released.
-  Micros shutdownRetryAfter = 1'000'000;         ///< For clients rejected by the limit or by the shutdown.
+  /// Retry-After time for requests that are rejected because of maxPendingRequests or the shutdown.
+  Micros shutdownRetryAfter = 1'000'000;
 };
 
 }  // namespace garnethook::routing
--- a/src/routing/policy_event_queue.cpp
+++ b/src/routing/policy_event_queue.cpp
@@ -15,8 +15,8 @@
 void PolicyEventQueue::processEvents() {
   isProcessing_ = true;
   std::vector<Action> actions;
-  while (nextEvent_ < events_.size()) {
-    const Event event = std::move(events_[nextEvent_++]);
+  while (nextEventIndex_ < events_.size()) {
+    const Event event = std::move(events_[nextEventIndex_++]);
     actions.clear();
     const Micros now = context_.timers.now();
     policy_.handle(now, event, actions);
@@ -24,12 +24,12 @@
     executeAll(actions);
   }
   events_.clear();
-  nextEvent_ = 0;
+  nextEventIndex_ = 0;
   isProcessing_ = false;
   executor_.onEventsProcessed();
 }
 
-// One action that throws must not cost the others, nor block the queue for all later events.
+// An action that throws must not prevent the remaining actions, nor block the queue for all later events.
 void PolicyEventQueue::executeAll(const std::vector<Action>& actions) {
   for (const Action& action : actions) {
     try {
--- a/src/routing/policy_event_queue.h
+++ b/src/routing/policy_event_queue.h
@@ -1,4 +1,4 @@
-/// Gives events to the routing policy and executes the actions that it answers with.
+/// Passes events to the routing policy and executes the actions that it returns.
 #pragma once
 
 #include <cstdint>
@@ -16,18 +16,18 @@
   virtual ~ActionExecutor() = default;
   /// Executes one action; may enqueue events.
   virtual void execute(const Action& action) = 0;
-  /// All events that were enqueued have been processed.
+  /// Called when all enqueued events have been processed.
   virtual void onEventsProcessed() = 0;
 };
 
-/// The events that wait for the policy. An event that comes from executing an action is processed after the
-/// current one, so that the policy is never called from within its own answer.
+/// Queue of events for the policy. An event that results from executing an action is processed after the
+/// current event, so that calls of the policy are never nested.
 class PolicyEventQueue {
  public:
-  /// `context` and `executor` are referred to. Throws std::invalid_argument where the policy can't work with
-  /// the settings.
+  /// `context` and `executor` must outlive this object. Throws std::invalid_argument if the policy does not
+  /// support the settings.
   PolicyEventQueue(const RouterContext& context, ActionExecutor& executor);
-  /// Adds an event. It is processed before this returns, unless events are being processed already.
+  /// Adds an event. Processes it before returning, unless events are already being processed.
   void enqueue(Event event);
 
  private:
@@ -38,7 +38,7 @@
   ActionExecutor& executor_;
   RoutingPolicy policy_;
   std::vector<Event> events_;
-  std::size_t nextEvent_ = 0;
+  std::size_t nextEventIndex_ = 0;
   bool isProcessing_ = false;
 };
 
--- a/src/routing/policy_log.cpp
+++ b/src/routing/policy_log.cpp
@@ -7,7 +7,7 @@
 namespace garnethook::routing {
 namespace {
 
-// Ids are hashes, so nearly all have more digits than this; other numbers in the texts have fewer.
+// Ids are 64-bit hashes, so nearly all have at least this many digits; other numbers in the texts have fewer.
 constexpr std::size_t kMinIdDigits = 10;
 
 std::optional<EndpointId> parseId(std::string_view word) {
@@ -22,16 +22,16 @@
 }  // namespace
 
 std::string withEndpointNames(std::string_view text, const std::function<std::string(EndpointId)>& nameOf) {
-  std::string named;
+  std::string result;
   for (std::size_t begin = 0; begin < text.size();) {
     const auto end = std::min(text.find(' ', begin), text.size());
     const auto word = text.substr(begin, end - begin);
     const auto id = parseId(word);
-    if (!named.empty()) named += ' ';
-    named += id ? nameOf(*id) : std::string(word);
+    if (!result.empty()) result += ' ';
+    result += id ? nameOf(*id) : std::string(word);
     begin = end + 1;
   }
-  return named;
+  return result;
 }
 
 }  // namespace garnethook::routing
--- a/src/routing/policy_log.h
+++ b/src/routing/policy_log.h
@@ -1,4 +1,4 @@
-/// Log texts of the routing policy, which knows endpoints by number, made readable for people.
+/// Makes log texts of the routing policy, which identifies endpoints by number, readable for operators.
 #pragma once
 
 #include <functional>
@@ -9,7 +9,7 @@
 
 namespace garnethook::routing {
 
-/// `text` with the names of endpoints in place of their ids.
+/// Returns `text` with each endpoint id replaced by the endpoint's name.
 std::string withEndpointNames(std::string_view text, const std::function<std::string(EndpointId)>& nameOf);
 
 }  // namespace garnethook::routing
--- a/src/routing/release_call.h
+++ b/src/routing/release_call.h
@@ -1,4 +1,4 @@
-/// A numbered call that asks an endpoint to release what it reserves for a request.
+/// A numbered call that requests an endpoint to release its reservations for a request.
 #pragma once
 
 #include <cstdint>
@@ -7,13 +7,13 @@
 
 namespace garnethook::routing {
 
-/// One release call. Calls for the same request and endpoint differ by their number, so that a late answer to
-/// an earlier one is not taken for the answer to the latest.
+/// A release call. Calls for the same request and endpoint differ by their number, so that a late result of
+/// an earlier call is not mistaken for the result of the latest one.
 struct ReleaseCall {
   EndpointId endpoint;       ///< The endpoint that holds, or may hold, the reservation.
   RequestId request;         ///< The request that the reservation is for.
-  std::uint64_t number = 0;  ///< Counts the calls of one router, from 1.
-  bool isRetry = false;      ///< No endpoint has taken the call before it.
+  std::uint64_t number = 0;  ///< Sequence number among the calls of a router, from 1.
+  bool isRetry = false;      ///< An earlier call of the same release failed.
 };
 
 }  // namespace garnethook::routing
--- a/src/routing/request.h
+++ b/src/routing/request.h
@@ -1,4 +1,4 @@
-/// What a client requests, whichever frontend it came through.
+/// A client's request, independent of the frontend that received it.
 #pragma once
 
 #include <cstdint>
@@ -11,33 +11,33 @@
 
 namespace garnethook::routing {
 
-/// One request, as a frontend hands it to the router. Plain values.
+/// A request, as a frontend passes it to the router.
 struct Request {
   std::size_t requestClass = 0;       ///< Index into the settings' classes.
   Micros remaining = 0;               ///< Time left until the client's deadline, in microseconds.
   std::string session;                ///< Key of the client's session; empty: none.
-  std::string sharedPrefixKey;        ///< Key of the shared beginning of the prompt; empty: none.
-  double promptTokens = 0;            ///< Length of the prompt.
-  double sharedPrefixTokens = 0;      ///< The part of it in the shared beginning.
-  std::vector<PromptCount> counts;    ///< By the tokenisers of endpoints, where they are known.
-  bool estimated = false;             ///< promptTokens is estimated from the length of the text.
-  std::size_t sharedPrefixBytes = 0;  ///< Length of the shared beginning in the prompt's text.
-  bool specialTokens = false;         ///< The text of special tokens in the prompt stands for those tokens.
-  std::shared_ptr<const std::string> prompt;  ///< The prompt as text; none where it is given as token ids.
-  std::vector<std::uint32_t> promptIds;       ///< The prompt as token ids, where there is no text.
-  std::uint32_t maxOutput = 0;                ///< Most tokens of the answer.
-  std::vector<std::string> stop;              ///< Texts that end the answer.
+  std::string sharedPrefixKey;        ///< Key of the shared prefix of the prompt; empty: none.
+  double promptTokens = 0;            ///< Number of tokens of the prompt.
+  double sharedPrefixTokens = 0;      ///< Number of them in the shared prefix.
+  std::vector<PromptCount> counts;    ///< Token counts by the endpoints' tokenisers, if known.
+  bool estimated = false;             ///< Whether promptTokens is estimated from the text's length.
+  std::size_t sharedPrefixBytes = 0;  ///< Length of the shared prefix in the prompt's text.
+  bool specialTokens = false;         ///< Whether texts of special tokens in the prompt denote these tokens.
+  std::shared_ptr<const std::string> prompt;  ///< The prompt as text; null if it is given as token ids.
+  std::vector<std::uint32_t> promptIds;       ///< The prompt as token ids, if there is no text.
+  std::uint32_t maxOutput = 0;                ///< Maximum number of output tokens.
+  std::vector<std::string> stop;              ///< Texts that end the response.
   std::optional<double> temperature;          ///< Sampling temperature.
   std::optional<std::uint64_t> seed;          ///< Sampling seed.
   std::string model;                          ///< Name of the model.
 
-  /// The id under which engines and logs know the request; empty: the router makes one.
+  /// Id by which engines and logs identify the request; empty: the router generates one.
   std::string traceId;
-  /// Path and query of the client's own request, for engines that receive it as it came.
+  /// Path and query of the client's HTTP request, for engines to which it is forwarded unchanged.
   std::string target;
-  /// Further header fields for such engines, each a line with its CRLF.
+  /// Further header fields for such engines, each a line that ends with CRLF.
   std::string fields;
-  /// Body of the client's own request, for such engines.
+  /// Body of the client's HTTP request, for such engines.
   std::shared_ptr<const std::string> body;
 };
 
--- a/src/routing/request_completer.cpp
+++ b/src/routing/request_completer.cpp
@@ -3,7 +3,7 @@
 namespace garnethook::routing {
 
 void RequestCompleter::complete(ActiveRequest& active, Completion completion) {
-  if (!active.hasAnswerBegun()) rules_.checkCompletionTime(active);
+  if (!active.hasResponseStarted()) rules_.checkCompletionTime(active);
   Client& client = requests_.finish(active);
   count(completion);
   if (completion.disposition != Disposition::completed) {
--- a/src/routing/request_completer.h
+++ b/src/routing/request_completer.h
@@ -1,4 +1,4 @@
-/// Gives clients their completion.
+/// Delivers completions to clients.
 #pragma once
 
 #include "routing/request_table.h"
@@ -7,13 +7,13 @@
 
 namespace garnethook::routing {
 
-/// Completes requests, once each, and counts how they ended.
+/// Completes each request once and counts the dispositions.
 class RequestCompleter {
  public:
-  /// All arguments are referred to.
+  /// All arguments must outlive this object.
   RequestCompleter(const RouterContext& context, RequestTable& requests, RuleEnforcer& rules)
       : context_(context), requests_(requests), rules_(rules) {}
-  /// Completes a pending request. Its client is called, which may call the router: `active` may be gone
+  /// Completes a pending request. Calls its client, which may call the router; `active` may be erased
   /// afterwards.
   void complete(ActiveRequest& active, Completion completion);
 
--- a/src/routing/request_table.cpp
+++ b/src/routing/request_table.cpp
@@ -56,7 +56,7 @@
 void RequestTable::forEachAwaitingResponse(
     const std::function<void(RequestId, const Request&)>& callback) const {
   for (const auto& [id, active] : requests_)
-    if (!active.isFinished() && !active.hasAnswerBegun()) callback({id}, active.request);
+    if (!active.isFinished() && !active.hasResponseStarted()) callback({id}, active.request);
 }
 
 }  // namespace garnethook::routing
--- a/src/routing/request_table.h
+++ b/src/routing/request_table.h
@@ -11,39 +11,39 @@
 
 namespace garnethook::routing {
 
-/// Owns the active requests, and knows which of them are pending (without a completion) and which are
-/// finished (to be erased once the events at hand are processed).
+/// Owns the active requests and tracks which of them are pending (neither completed nor cancelled) and which
+/// are finished (to be erased after the queued events are processed).
 class RequestTable {
  public:
-  /// Adds a request. `instance`: beginning of the trace id of a request that brings none. References to
-  /// requests are valid until their erase().
+  /// Adds a request. `instance`: prefix of the generated trace id if the request has none. References to a
+  /// request are valid until its erase().
   ActiveRequest& add(Request request, Client& client, Micros now, const std::string& instance);
-  /// The request; null where it is not active.
+  /// Returns the request; null if it is not active.
   ActiveRequest* find(RequestId id);
-  /// The request; null where it is not active.
+  /// Returns the request; null if it is not active.
   const ActiveRequest* find(RequestId id) const;
-  /// The request, where this attempt of it is in flight; else null.
+  /// Returns the request if this attempt of it is in flight, null otherwise.
   ActiveRequest* findInFlight(AttemptId attempt);
-  /// The request, where this attempt is in flight and its answer has not begun; else null.
+  /// Returns the request if this attempt is in flight and its response has not started, null otherwise.
   ActiveRequest* findUnstarted(AttemptId attempt);
   /// Whether the request is active.
   bool contains(RequestId id) const { return requests_.contains(id.value); }
-  /// Ends the pending request: its client is returned and is not referred to any more.
+  /// Marks a pending request as finished. Returns its client and removes the reference to it.
   Client& finish(ActiveRequest& active);
-  /// Forgets a finished request.
+  /// Erases a finished request.
   void erase(RequestId id) { requests_.erase(id.value); }
 
-  /// The requests that finish() was called for since clearFinished(), in that order.
+  /// Requests for which finish() was called since clearFinished(), in the order of the calls.
   const std::vector<RequestId>& finished() const { return finished_; }
   /// Empties finished().
   void clearFinished() { finished_.clear(); }
-  /// Requests without a completion.
+  /// Number of pending requests.
   std::size_t pendingCount() const { return pendingCount_; }
-  /// Pending requests, and those with an attempt still in flight.
+  /// Number of requests that are pending or have an attempt in flight.
   std::size_t size() const { return requests_.size(); }
-  /// Pending requests in the order of their arrival.
+  /// Returns the pending requests in the order of their arrival.
   std::vector<RequestId> pendingIds() const;
-  /// Calls back for each pending request whose answer has not begun.
+  /// Calls `callback` for each pending request whose response has not started.
   void forEachAwaitingResponse(const std::function<void(RequestId, const Request&)>& callback) const;
 
  private:
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -11,17 +11,18 @@
 namespace garnethook::routing {
 namespace {
 
-// Keys from clients become the policy's opaque numbers, the same at every router; 0 stands for none.
+// Hashes a client's key to the opaque number that the policy uses. Every router computes the same value; 0
+// means no key.
 std::uint64_t hashKey(std::string_view text) {
   return text.empty() ? 0 : std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));
 }
 
-RequestArrived arrivalOf(const ActiveRequest& active) {
+RequestArrived makeArrivalEvent(const ActiveRequest& active) {
   const Request& request = active.request;
   RequestArrived event;
   event.id = active.id;
   event.requestClass = request.requestClass;
-  event.remaining = active.usableUntil - active.arrivedAt;
+  event.remaining = active.completionDeadline - active.arrivedAt;
   event.session = {hashKey(request.session)};
   event.sharedPrefix = {hashKey(request.sharedPrefixKey)};
   event.promptTokens = request.promptTokens;
@@ -42,35 +43,37 @@
       reservations_(context_, requests_),
       events_(context_, *this),
       completer_(context_, requests_, rules_),
-      parts_{requests_, endpoints_, rules_, reservations_, completer_, events_},
-      attempts_(context_, parts_),
+      deps_{requests_, endpoints_, rules_, reservations_, completer_, events_},
+      attempts_(context_, deps_),
       streamGuard_(options_.streamGuard),
-      tokens_(context_, parts_, attempts_, streamGuard_) {}
+      tokens_(context_, deps_, attempts_, streamGuard_) {}
 
 ActiveRequest* Router::findPending(RequestId id) {
   ActiveRequest* active = requests_.find(id);
   return active != nullptr && !active->isFinished() ? active : nullptr;
 }
 
-bool Router::isPastDeadline(const ActiveRequest& active) const { return timers_.now() >= active.usableUntil; }
+bool Router::isPastDeadline(const ActiveRequest& active) const {
+  return timers_.now() >= active.completionDeadline;
+}
 
 // ---- clients ----
 
 RequestId Router::accept(Request request, Client& client) {
   ++counters_.accepted;
   ActiveRequest& active = requests_.add(std::move(request), client, timers_.now(), options_.instance);
-  active.usableUntil = active.arrivedAt + streamGuard_.usableTime(active.request.remaining);
+  active.completionDeadline = active.arrivedAt + streamGuard_.usableTime(active.request.remaining);
   const RequestId id = active.id;
   if (auto rejection = rejectionOnArrival(active)) {
     completer_.complete(active, *std::move(rejection));
     eraseFinished();
   } else {
-    events_.enqueue(arrivalOf(active));
+    events_.enqueue(makeArrivalEvent(active));
   }
   return id;
 }
 
-// Of a request that the policy is not asked about.
+// Returns the rejection of a request that is not passed to the policy; none if the request is accepted.
 std::optional<Completion> Router::rejectionOnArrival(const ActiveRequest& active) const {
   if (isStopping_) return shutdownCompletion(Disposition::rejected, options_.shutdownRetryAfter);
   if (requests_.pendingCount() > options_.maxPendingRequests)
@@ -107,7 +110,7 @@
   for (const RequestId id : requests_.pendingIds()) {
     ActiveRequest* active = findPending(id);
     if (active == nullptr) continue;
-    const bool mayReject = !active->hasAnswerBegun() && rules_.mayReject(*active);
+    const bool mayReject = !active->hasResponseStarted() && rules_.mayReject(*active);
     completer_.complete(*active, shutdownCompletion(mayReject ? Disposition::rejected : Disposition::failed,
                                                     options_.shutdownRetryAfter));
     events_.enqueue(RequestCancelled{id});
@@ -146,16 +149,16 @@
 
 void Router::execute(const Send& send) {
   ActiveRequest* active = requests_.find(send.id);
-  if (active == nullptr || !rules_.checkAttempt(*active, send.endpoint)) return refuseAttempt(send, active);
-  if (active->client->isCancelled()) {  // its close is queued behind other events of this loop turn
-    refuseAttempt(send, active);
+  if (active == nullptr || !rules_.checkAttempt(*active, send.endpoint)) return reportNotSent(send, active);
+  if (active->client->isCancelled()) {  // the close event is still queued in this event loop iteration
+    reportNotSent(send, active);
     return cancel(send.id);
   }
   attempts_.start(*active, send);
 }
 
-// Reports an attempt that is not made, and ends the request for the policy.
-void Router::refuseAttempt(const Send& send, ActiveRequest* active) {
+// Reports to the policy that the attempt was not sent and that the request has ended.
+void Router::reportNotSent(const Send& send, ActiveRequest* active) {
   events_.enqueue(AttemptEnded{.id = send.id,
                                .attempt = active != nullptr ? active->attemptCount++ : 0,
                                .endpoint = send.endpoint,
@@ -184,7 +187,7 @@
   if (active != nullptr) completer_.complete(*active, policyFailure(*active, isPastDeadline(*active)));
 }
 
-// Released state can't be fetched any more: where the request goes on, it begins anew.
+// A decode cannot fetch KV state after its release, so a request that continues has to repeat the prefill.
 void Router::execute(const Release& release) {
   if (ActiveRequest* active = requests_.find(release.id)) {
     active->kvEndpoint.reset();
@@ -200,9 +203,10 @@
 void Router::execute(const Probe& probe) { context_.engines.probe(probe.endpoint); }
 void Router::execute(const Log& log) { context_.observer.onPolicyLog(log.text); }
 
-// Forgets requests that are answered or cancelled. Attempts that the policy did not cancel (answers that had
-// begun, and all where cancelling stops no work) end here at this side, as nobody reads their answers. Ending
-// one processes events, which may call this again and erase the request.
+// Erases requests that are completed or cancelled. Attempts that the policy did not cancel (those whose
+// response had started, and all attempts if cancelling stops no work at the engine) are ended locally, since
+// no client reads their responses. Ending an attempt processes events, which may call this function again and
+// erase the request.
 void Router::eraseFinished() {
   for (std::size_t i = 0; i < requests_.finished().size(); ++i) {
     const RequestId id = requests_.finished()[i];
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,11 +1,11 @@
-/// The life of a request between its frontend and its engines. Reports every event to the routing policy and
-/// executes every action of it; decides nothing about where a request goes. Time, timers and engines come by
-/// interface, so that the same code runs on sockets and in simulated time.
+/// Manages requests between their frontend and their engines. Reports every event to the routing policy and
+/// executes every action that the policy returns; makes no routing decisions itself. Time, timers and engines
+/// are accessed through interfaces, so that the same code runs on sockets and in simulated time.
 ///
-/// Router ties its parts together; each owns one concern: the active requests (request_table.h), attempts
-/// (attempt_runner.h), answers (token_relay.h, stream_guard.h), completions (request_completer.h), KV cache
+/// Router connects components that each own one concern: the active requests (request_table.h), attempts
+/// (attempt_runner.h), responses (token_relay.h, stream_guard.h), completions (request_completer.h), KV
 /// reservations (kv_reservation_releaser.h), the policy's events (policy_event_queue.h), the platform's rules
-/// (rule_enforcer.h) and what is known of endpoints (endpoint_directory.h).
+/// (rule_enforcer.h) and the state of endpoints (endpoint_directory.h).
 #pragma once
 
 #include <cstddef>
@@ -36,32 +36,33 @@
 
 namespace garnethook::routing {
 
-/// One router. Not thread-safe: all calls and events come on one thread.
+/// A router. Not thread-safe: all calls and events must occur on one thread.
 class Router final : public EngineClientEvents, private ActionExecutor {
  public:
-  /// `timers`, `engines` and `observer` are referred to. Throws std::invalid_argument where the policy can't
-  /// work with the settings.
+  /// `timers`, `engines` and `observer` must outlive the router. Throws std::invalid_argument if the policy
+  /// does not support the settings.
   Router(const Options& options, timing::Timers& timers, EngineClient& engines, Observer& observer);
   ~Router() override = default;
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
 
   /// Accepts a request. `client` receives its tokens and one completion, the latter possibly before this
-  /// returns; it must live until then or until cancel().
+  /// function returns. `client` must stay valid until the completion or until cancel().
   RequestId accept(Request request, Client& client);
-  /// The client has gone, or wants no more: nothing is called on it any more, and its attempt is ended.
+  /// Cancels a request because its client disconnected or cancelled it. Ends its attempt; the client receives
+  /// no further calls.
   void cancel(RequestId id);
-  /// As cancel(), and the client receives a completion first.
+  /// Like cancel(), but the client first receives a completion with the disposition `failed`.
   void abort(RequestId id, FailureReason reason, const std::string& text);
-  /// Replaces the token counts of a pending request; others are left alone.
+  /// Replaces the token counts of a request; does nothing if the request is not pending.
   void updateTokenCounts(RequestId id, std::vector<PromptCount> counts);
-  /// Calls back for each pending request whose answer has not begun.
+  /// Calls `callback` for each pending request whose response has not started.
   void forEachAwaitingResponse(const std::function<void(RequestId, const Request&)>& callback) const {
     requests_.forEachAwaitingResponse(callback);
   }
-  /// The list of endpoints changed.
+  /// Handles an update of the endpoint list.
   void onEndpointUpdate(const EndpointUpdate& update);
-  /// Every pending request receives its completion now; new ones are rejected.
+  /// Completes every pending request immediately; new requests are rejected.
   void stop();
 
   void onTokens(AttemptId attempt, std::string_view text, std::uint32_t count,
@@ -71,15 +72,15 @@
   void onReleaseEnded(const ReleaseCall& call, bool ok) override;
   void onLivenessChecked(AttemptId attempt, bool alive) override;
 
-  /// What was counted so far.
+  /// Counters since the start of the router.
   const Counters& counters() const { return counters_; }
-  /// KV cache reservations and their releases.
+  /// KV reservations and their releases.
   const KvReservationTracker& kvReservations() const { return reservations_.tracker(); }
-  /// Violations of rules that were counted.
+  /// Rule checks, with the numbers of violations.
   const RuleGuard& ruleGuard() const { return rules_.guard(); }
   /// Number of requests without a completion.
   std::size_t pendingRequests() const { return requests_.pendingCount(); }
-  /// Number of pending requests and of those with an attempt still in flight.
+  /// Number of requests that are pending or have an attempt in flight.
   std::size_t activeRequests() const { return requests_.size(); }
   /// Settings of the routing policy.
   const Settings& settings() const { return options_.settings; }
@@ -96,7 +97,7 @@
   void execute(const Probe& probe);
   void execute(const Subscribe&) {}
   void execute(const Log& log);
-  void refuseAttempt(const Send& send, ActiveRequest* active);
+  void reportNotSent(const Send& send, ActiveRequest* active);
   std::optional<Completion> rejectionOnArrival(const ActiveRequest& active) const;
   bool isPastDeadline(const ActiveRequest& active) const;
   ActiveRequest* findPending(RequestId id);
@@ -112,7 +113,7 @@
   KvReservationReleaser reservations_;
   PolicyEventQueue events_;
   RequestCompleter completer_;
-  AttemptRunner::Parts parts_;
+  AttemptRunner::Dependencies deps_;
   AttemptRunner attempts_;
   StreamGuard streamGuard_;
   TokenRelay tokens_;
--- a/src/routing/router_context.h
+++ b/src/routing/router_context.h
@@ -1,4 +1,4 @@
-/// What all parts of a router share.
+/// Objects that all components of a router share.
 #pragma once
 
 #include "routing/counters.h"
@@ -12,10 +12,10 @@
 /// References that are valid for the router's lifetime.
 struct RouterContext {
   const Options& options;  ///< The router's settings.
-  timing::Timers& timers;  ///< Ends with the router.
-  EngineClient& engines;   ///< Makes the attempts.
-  Observer& observer;      ///< Is notified of everything.
-  Counters& counters;      ///< Counts everything.
+  timing::Timers& timers;  ///< Timers, all cancelled when the router is destroyed.
+  EngineClient& engines;   ///< Sends attempts, probes and release calls.
+  Observer& observer;      ///< Receives notifications.
+  Counters& counters;      ///< The router's counters.
 };
 
 }  // namespace garnethook::routing
--- a/src/routing/rule_enforcer.h
+++ b/src/routing/rule_enforcer.h
@@ -8,28 +8,28 @@
 
 namespace garnethook::routing {
 
-/// Checks active requests by RuleGuard, and counts and reports violations.
+/// Checks active requests with RuleGuard, and counts and reports violations.
 class RuleEnforcer {
  public:
-  /// `context` and `endpoints` are referred to.
+  /// `context` and `endpoints` must outlive this object.
   RuleEnforcer(const RouterContext& context, const EndpointDirectory& endpoints)
       : context_(context), endpoints_(endpoints) {}
 
-  /// Whether an attempt at the endpoint breaks no rule; a violation is reported.
+  /// Returns whether the rules allow an attempt at the endpoint; reports the violation if they do not.
   bool checkAttempt(const ActiveRequest& active, EndpointId endpoint);
-  /// Whether the request may be rejected.
+  /// Returns whether the rules permit rejecting the request.
   bool mayReject(const ActiveRequest& active) const;
-  /// Reports a completion that comes too late.
+  /// Reports a violation if the request is completed too late; see RuleGuard::isLate().
   void checkCompletionTime(const ActiveRequest& active);
   /// Counts and reports a violation.
   void report(Violation violation, const ActiveRequest& active);
-  /// The request may have been executed by this attempt.
+  /// Records that this attempt may have executed the request.
   void recordPossibleExecution(ActiveRequest& active, const InFlightAttempt& attempt) const;
-  /// The request's class.
+  /// Returns the request's class.
   const RequestClass& classOf(const ActiveRequest& active) const {
     return context_.options.settings.classes[active.request.requestClass];
   }
-  /// The counts of violations.
+  /// Rule checks, with the numbers of violations.
   const RuleGuard& guard() const { return guard_; }
 
  private:
--- a/src/routing/rule_guard.cpp
+++ b/src/routing/rule_guard.cpp
@@ -5,11 +5,12 @@
 namespace garnethook::routing {
 namespace {
 
-bool isInScope(DeduplicationScope scope, const EndpointLocation& first, const EndpointLocation& target) {
+bool isInScope(DeduplicationScope scope, const EndpointLocation& firstLocation,
+               const EndpointLocation& target) {
   switch (scope) {
     case DeduplicationScope::fleet: return true;
-    case DeduplicationScope::zone: return first.zone == target.zone;
-    case DeduplicationScope::cell: return first.cell == target.cell;
+    case DeduplicationScope::zone: return firstLocation.zone == target.zone;
+    case DeduplicationScope::cell: return firstLocation.cell == target.cell;
   }
   return false;
 }
@@ -34,7 +35,7 @@
   if (context.isFinished) return Violation::attemptAfterCompletion;
   if (context.hasAttemptInFlight) return Violation::concurrentAttempt;
   const RequestClass& requestClass = context.requestClass;
-  // A prefill has no effect, so only attempts that generate an answer may repeat work.
+  // A prefill has no effect that could be repeated, so only decode and combined attempts are restricted.
   if (!context.history.possiblyExecuted || requestClass.idempotency == Idempotency::idempotent ||
       context.phase == Phase::prefill)
     return std::nullopt;
--- a/src/routing/stream_guard.h
+++ b/src/routing/stream_guard.h
@@ -1,7 +1,7 @@
-/// When the router ends an answer that has begun: no tokens come any more, or the client's deadline is near.
-/// Free of I/O and clocks.
+/// Determines when the router ends a response that has started: when no more tokens arrive, or when the
+/// client's deadline is near. Performs no I/O and reads no clock.
 ///
-/// The policy's timeouts end with the first token; from there on the router itself watches the stream.
+/// The policy's timeouts apply until the first token; after it, the router itself monitors the stream.
 #pragma once
 
 #include <algorithm>
@@ -11,54 +11,58 @@
 
 namespace garnethook::routing {
 
-/// Judges streams; holds no state of one.
+/// Checks streams; stores no state of individual streams.
 class StreamGuard {
  public:
   /// Times in microseconds.
   struct Options {
-    Micros stallTimeout = 10'000'000;  ///< Longest time between two tokens.
+    Micros stallTimeout = 10'000'000;  ///< Maximum time between two tokens.
     Micros deadlineMargin = 50'000;    ///< A completion is sent this long before the client's deadline.
-    bool enforcesDeadline = true;  ///< False: an answer that has begun is no longer bound by the deadline.
+    bool enforcesDeadline = true;      ///< False: the deadline does not apply once the response has started.
   };
-  /// What is to be done about a stream.
+  /// The action to take on a stream.
   enum class Verdict {
-    proceed,         ///< It goes on.
-    stalled,         ///< It ends: no token came for too long.
-    deadlineReached  ///< It ends: the deadline has come.
+    proceed,         ///< Continue it.
+    stalled,         ///< End it: no token arrived for too long.
+    deadlineReached  ///< End it: the deadline has been reached.
   };
   /// The result of a check.
   struct Check {
-    Verdict verdict = Verdict::proceed;  ///< What is to be done.
-    Micros nextCheckAt = 0;              ///< Of a stream that goes on: when to check again, at the latest.
+    Verdict verdict = Verdict::proceed;  ///< The action to take.
+    Micros nextCheckAt = 0;              ///< With proceed: latest time of the next check.
   };
-  /// Streams are judged by these options.
+  /// Creates a guard that checks streams against `options`.
   explicit StreamGuard(const Options& options) : options_(options) {}
 
-  /// The part of `remaining` that may be used: the margin, or a quarter of a very short time, is kept back.
+  /// Returns the part of `remaining` that the router may use: all but deadlineMargin, or all but a quarter if
+  /// `remaining` is very short.
   Micros usableTime(Micros remaining) const {
-    return remaining - std::min(options_.deadlineMargin, remaining / kMarginPart);
+    return remaining - std::min(options_.deadlineMargin, remaining / kMarginDivisor);
   }
 
-  /// Whether a stream that ends at the deadline had stalled by its own rhythm, so that its engine is to
-  /// blame; one that still generated is merely long. `tokens` came between `firstTokenAt` and `lastTokenAt`.
+  /// Returns whether a stream that ends at the deadline had stalled in comparison with its own average token
+  /// interval, which indicates a fault of its engine; otherwise the response was merely long. `tokens` is the
+  /// number of tokens that arrived from `firstTokenAt` to `lastTokenAt`.
   bool hasStalledByTokenInterval(Micros now, Micros firstTokenAt, Micros lastTokenAt,
                                  std::uint32_t tokens) const {
     const Micros interval = tokens > 1 ? (lastTokenAt - firstTokenAt) / (tokens - 1) : 0;
-    return now - lastTokenAt > std::max(kStalledIntervals * interval, options_.stallTimeout / kStalledPart);
+    return now - lastTokenAt >
+           std::max(kStalledIntervals * interval, options_.stallTimeout / kMinStallDivisor);
   }
 
-  /// Checks a stream. `usableUntil`: its arrival plus usableTime().
-  Check check(Micros now, Micros lastTokenAt, Micros usableUntil) const {
-    if (options_.enforcesDeadline && now >= usableUntil) return {Verdict::deadlineReached, 0};
+  /// Checks a stream. `completionDeadline`: arrival time of its request plus usableTime().
+  Check check(Micros now, Micros lastTokenAt, Micros completionDeadline) const {
+    if (options_.enforcesDeadline && now >= completionDeadline) return {Verdict::deadlineReached, 0};
     const Micros stalledAt = lastTokenAt + options_.stallTimeout;
     if (now >= stalledAt) return {Verdict::stalled, 0};
-    return {Verdict::proceed, options_.enforcesDeadline ? std::min(usableUntil, stalledAt) : stalledAt};
+    return {Verdict::proceed,
+            options_.enforcesDeadline ? std::min(completionDeadline, stalledAt) : stalledAt};
   }
 
  private:
-  static constexpr Micros kMarginPart = 4;
+  static constexpr Micros kMarginDivisor = 4;
   static constexpr Micros kStalledIntervals = 8;
-  static constexpr Micros kStalledPart = 20;
+  static constexpr Micros kMinStallDivisor = 20;
   Options options_;
 };
 
--- a/src/routing/token_relay.cpp
+++ b/src/routing/token_relay.cpp
@@ -8,7 +8,7 @@
 
 void TokenRelay::onTokens(AttemptId id, std::string_view text, std::uint32_t count,
                           std::span<const std::uint32_t> ids) {
-  ActiveRequest* active = findReceiving(id);
+  ActiveRequest* active = findPendingInFlight(id);
   if (active == nullptr) {
     ++context_.counters.lateEvents;
     return;
@@ -26,36 +26,36 @@
   active->client->onTokens(tokens);
 }
 
-// The request, where this attempt is in flight and a client waits for its answer.
-ActiveRequest* TokenRelay::findReceiving(AttemptId id) {
-  ActiveRequest* active = parts_.requests.findInFlight(id);
+// Returns the request if it is pending and this attempt of it is in flight, null otherwise.
+ActiveRequest* TokenRelay::findPendingInFlight(AttemptId id) {
+  ActiveRequest* active = deps_.requests.findInFlight(id);
   return active != nullptr && !active->isFinished() ? active : nullptr;
 }
 
-// Null where the request ended while the policy was told, or by its deadline.
+// Returns null if the request ended while the policy processed the event, or because of its deadline.
 ActiveRequest* TokenRelay::startStream(AttemptId id, ActiveRequest& active) {
   InFlightAttempt& attempt = *active.attempt;
   attempt.hasStarted = true;
   attempt.firstTokenAt = attempt.lastTokenAt;
   context_.timers.cancel(attempt.timeoutTimer);
   if (attempt.phase == Phase::decode && active.kvEndpoint) {
-    parts_.reservations.tracker().onTransferred(id.request, *active.kvEndpoint, attempt.lastTokenAt);
+    deps_.reservations.tracker().onTransferred(id.request, *active.kvEndpoint, attempt.lastTokenAt);
     active.kvEndpoint.reset();
   }
-  parts_.rules.recordPossibleExecution(active, attempt);
-  parts_.events.enqueue(StreamStarted{id.request, id.number});
-  if (findReceiving(id) == nullptr) return nullptr;
+  deps_.rules.recordPossibleExecution(active, attempt);
+  deps_.events.enqueue(StreamStarted{id.request, id.number});
+  if (findPendingInFlight(id) == nullptr) return nullptr;
   checkStream(id.request);
-  ActiveRequest* remaining = parts_.requests.find(id.request);
-  return remaining != nullptr && !remaining->isFinished() ? remaining : nullptr;
+  ActiveRequest* stillActive = deps_.requests.find(id.request);
+  return stillActive != nullptr && !stillActive->isFinished() ? stillActive : nullptr;
 }
 
 void TokenRelay::checkStream(RequestId id) {
-  ActiveRequest* active = parts_.requests.find(id);
+  ActiveRequest* active = deps_.requests.find(id);
   if (active == nullptr || !active->attempt || !active->attempt->hasStarted) return;
   const InFlightAttempt& attempt = *active->attempt;
   const Micros now = context_.timers.now();
-  const auto check = guard_.check(now, attempt.lastTokenAt, active->usableUntil);
+  const auto check = guard_.check(now, attempt.lastTokenAt, active->completionDeadline);
   switch (check.verdict) {
     case StreamGuard::Verdict::proceed:
       active->streamTimer = context_.timers.after(check.nextCheckAt - now, [this, id] { checkStream(id); });
@@ -73,9 +73,10 @@
 
 void TokenRelay::endStream(ActiveRequest& active, Completion completion, Outcome outcome) {
   const AttemptId id{active.id, active.attempt->number};
-  parts_.completer.complete(active, std::move(completion));
-  // The client may have called the router from within its callback, which may have ended the attempt already.
-  if (ActiveRequest* remaining = parts_.requests.findInFlight(id)) attempts_.end(*remaining, outcome, true);
+  deps_.completer.complete(active, std::move(completion));
+  // The client may have called the router from its callback, which may already have ended the attempt.
+  if (ActiveRequest* stillActive = deps_.requests.findInFlight(id))
+    attempts_.end(*stillActive, outcome, true);
 }
 
 }  // namespace garnethook::routing
--- a/src/routing/token_relay.h
+++ b/src/routing/token_relay.h
@@ -1,4 +1,4 @@
-/// Passes answers on to clients, and watches those that have begun.
+/// Forwards responses to clients and monitors those that have started.
 #pragma once
 
 #include <cstdint>
@@ -10,24 +10,24 @@
 
 namespace garnethook::routing {
 
-/// Relays tokens from attempts to clients.
+/// Forwards tokens from attempts to clients.
 class TokenRelay {
  public:
-  /// All arguments are referred to, `parts` excepted.
-  TokenRelay(const RouterContext& context, const AttemptRunner::Parts& parts, AttemptRunner& attempts,
+  /// All arguments must outlive this object, except `deps`, which is copied.
+  TokenRelay(const RouterContext& context, const AttemptRunner::Dependencies& deps, AttemptRunner& attempts,
              const StreamGuard& guard)
-      : context_(context), parts_(parts), attempts_(attempts), guard_(guard) {}
-  /// Tokens of an attempt, as EngineClientEvents::onTokens.
+      : context_(context), deps_(deps), attempts_(attempts), guard_(guard) {}
+  /// Handles tokens of an attempt; see EngineClientEvents::onTokens().
   void onTokens(AttemptId id, std::string_view text, std::uint32_t count, std::span<const std::uint32_t> ids);
 
  private:
-  ActiveRequest* findReceiving(AttemptId id);
+  ActiveRequest* findPendingInFlight(AttemptId id);
   ActiveRequest* startStream(AttemptId id, ActiveRequest& active);
   void checkStream(RequestId id);
   void endStream(ActiveRequest& active, Completion completion, Outcome outcome);
 
   const RouterContext& context_;
-  AttemptRunner::Parts parts_;
+  AttemptRunner::Dependencies deps_;
   AttemptRunner& attempts_;
   const StreamGuard& guard_;
 };
