--- a/src/engine/attempt_exchange.h
+++ b/src/engine/attempt_exchange.h
@@ -21,7 +21,7 @@
     finish(outcome, text);
   }
   void onNotSent(const std::string& text) override {
-    result_.leftRouter = false;
+    result_.anyBytesSent = false;
     finish(Outcome::rejected, text);
   }
   void detach() override { isFinished_ = true; }
--- a/src/engine/pooled_engine_client.cpp
+++ b/src/engine/pooled_engine_client.cpp
@@ -11,9 +11,9 @@
   const bool isFull = spec != nullptr;
   const std::string_view text = isFull ? fullText : "no address of the engine";
   pool_.post([this, id = attempt.attempt, isFull, text = std::string(text)] {
-    events_->onAttemptEnded(
-        id,
-        {.outcome = isFull ? Outcome::rejected : Outcome::connectFailed, .leftRouter = false, .text = text});
+    events_->onAttemptEnded(id, {.outcome = isFull ? Outcome::rejected : Outcome::connectFailed,
+                                 .anyBytesSent = false,
+                                 .text = text});
   });
   return nullptr;
 }
--- a/src/routing/attempt_runner.cpp
+++ b/src/routing/attempt_runner.cpp
@@ -152,7 +152,7 @@
   }
   const InFlightAttempt attempt = takeAttempt(*active);
   const bool wasDelivered =
-      result.leftRouter && result.outcome != Outcome::connectFailed && !result.reusedConnection;
+      result.anyBytesSent && result.outcome != Outcome::connectFailed && !result.reusedConnection;
   if (wasDelivered) deps_.reservations.tracker().onAttemptEnded(id.request, context_.timers.now());
   if (mayContinueAtEngine(attempt, result)) deps_.reservations.onAttemptAbandoned(id.request, attempt);
   ++context_.counters.outcomes[result.outcome];
--- a/src/routing/stream_guard.h
+++ b/src/routing/stream_guard.h
@@ -21,15 +21,15 @@
     bool enforcesDeadline = true;      ///< False: the deadline does not apply once the response has started.
   };
   /// The action to take on a stream.
-  enum class Verdict {
+  enum class Decision {
     proceed,         ///< Continue it.
     stalled,         ///< End it: no token arrived for too long.
     deadlineReached  ///< End it: the deadline has been reached.
   };
   /// The result of a check.
   struct Check {
-    Verdict verdict = Verdict::proceed;  ///< The action to take.
-    Micros nextCheckAt = 0;              ///< With proceed: latest time of the next check.
+    Decision decision = Decision::proceed;  ///< The action to take.
+    Micros nextCheckAt = 0;                 ///< With proceed: latest time of the next check.
   };
   /// Creates a guard that checks streams against `options`.
   explicit StreamGuard(const Options& options) : options_(options) {}
@@ -52,10 +52,10 @@
 
   /// Checks a stream. `completionDeadline`: arrival time of its request plus usableTime().
   Check check(Micros now, Micros lastTokenAt, Micros completionDeadline) const {
-    if (options_.enforcesDeadline && now >= completionDeadline) return {Verdict::deadlineReached, 0};
+    if (options_.enforcesDeadline && now >= completionDeadline) return {Decision::deadlineReached, 0};
     const Micros stalledAt = lastTokenAt + options_.stallTimeout;
-    if (now >= stalledAt) return {Verdict::stalled, 0};
-    return {Verdict::proceed,
+    if (now >= stalledAt) return {Decision::stalled, 0};
+    return {Decision::proceed,
             options_.enforcesDeadline ? std::min(completionDeadline, stalledAt) : stalledAt};
   }
 
--- a/src/routing/token_relay.cpp
+++ b/src/routing/token_relay.cpp
@@ -56,13 +56,13 @@
   const InFlightAttempt& attempt = *active->attempt;
   const Micros now = context_.timers.now();
   const auto check = guard_.check(now, attempt.lastTokenAt, active->completionDeadline);
-  switch (check.verdict) {
-    case StreamGuard::Verdict::proceed:
+  switch (check.decision) {
+    case StreamGuard::Decision::proceed:
       active->streamTimer = context_.timers.after(check.nextCheckAt - now, [this, id] { checkStream(id); });
       return;
-    case StreamGuard::Verdict::stalled:
+    case StreamGuard::Decision::stalled:
       return endStream(*active, streamStalledCompletion(), Outcome::connectionReset);
-    case StreamGuard::Verdict::deadlineReached: {
+    case StreamGuard::Decision::deadlineReached: {
       const bool hasStalled =
           guard_.hasStalledByTokenInterval(now, attempt.firstTokenAt, attempt.lastTokenAt, attempt.tokens);
       return endStream(*active, streamDeadlineCompletion(),
--- a/tests/engine/connection_pool_test.cpp
+++ b/tests/engine/connection_pool_test.cpp
@@ -289,7 +289,7 @@
       {.attempt = {{2}, 0}, .endpoint = {7}, .request = &request, .traceId = "y", .timeout = 1'000'000});
   ASSERT_TRUE(w.until([&] { return !ends.ends.empty(); }, 1'000'000));
   EXPECT_EQ(ends.ends[0].outcome, Outcome::rejected);
-  EXPECT_FALSE(ends.ends[0].leftRouter);
+  EXPECT_FALSE(ends.ends[0].anyBytesSent);
   engines.cancel({{1}, 0});
 }
 
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -261,7 +261,7 @@
     for (Micros elapsed = 0; elapsed < kAttemptDuration && engines.released.empty(); elapsed += 1'000)
       timers.advance(1'000);
     if (latestAttempt.phase == Phase::decode)
-      router.onAttemptEnded(latestAttempt.attempt, {.outcome = Outcome::rejected, .leftRouter = false});
+      router.onAttemptEnded(latestAttempt.attempt, {.outcome = Outcome::rejected, .anyBytesSent = false});
   }
   ASSERT_FALSE(engines.released.empty());
   EXPECT_LE(timers.time - prefilledAt, 510'000);
--- a/tests/routing/stream_guard_test.cpp
+++ b/tests/routing/stream_guard_test.cpp
@@ -11,8 +11,8 @@
   EXPECT_EQ(guard.usableTime(10'000), 9'900);
   EXPECT_EQ(guard.usableTime(40), 30);
   EXPECT_EQ(guard.check(500, 0, 9'000).nextCheckAt, 1000);
-  EXPECT_EQ(guard.check(1000, 0, 9'000).verdict, StreamGuard::Verdict::stalled);
-  EXPECT_EQ(guard.check(900, 800, 900).verdict, StreamGuard::Verdict::deadlineReached);
+  EXPECT_EQ(guard.check(1000, 0, 9'000).decision, StreamGuard::Decision::stalled);
+  EXPECT_EQ(guard.check(900, 800, 900).decision, StreamGuard::Decision::deadlineReached);
   EXPECT_FALSE(guard.hasStalledByTokenInterval(1030, 0, 1000, 101));
   EXPECT_TRUE(guard.hasStalledByTokenInterval(1100, 0, 1000, 101));
 }
