--- a/src/routing/attempt_runner.cpp
+++ b/src/routing/attempt_runner.cpp
@@ -75,8 +75,8 @@
 
 // Rule 5: the request's reservations are due for release, and the attempt in flight may not have reached its
 // endpoint.
-// - If it is not fully written on an established connection, it ends; a prefill's request then has all its
-//   reservations released.
+// - If it is not fully written on an established connection, it ends. Before a prefill ends, all reservations
+//   of the request are released.
 // - If it may be on a dead connection, it continues, and the state that it does not wait for is released.
 // - If it is on a connection established for it, the engine's liveness is checked first.
 //
--- a/src/routing/kv_reservation_tracker.h
+++ b/src/routing/kv_reservation_tracker.h
@@ -10,9 +10,9 @@
 ///
 /// Engines may continue to work on an abandoned attempt: the close of its connection can arrive late or
 /// never, and engines often finish a prefill that has started. As long as this is possible, a confirmed
-/// release is not final: the call may have arrived before the state existed, or may have skipped the state
-/// because a decode still waited for it. The release is therefore called again, at increasing intervals, and
-/// once more when the abandoned attempt can no longer have an effect.
+/// release is not final: the call may have arrived before the state existed, or the engine may have skipped
+/// the state because a decode still waited for it. The release is therefore called again, at increasing
+/// intervals, and once more when the abandoned attempt can no longer have an effect.
 #pragma once
 
 #include <cstddef>
