--- a/src/platform/engine/platform_engine_client.cpp
+++ b/src/platform/engine/platform_engine_client.cpp
@@ -9,9 +9,10 @@
 namespace garnethook::platform {
 namespace {
 
-// A response takes a few milliseconds; the time for a release is 300 ms longer than the settings say.
+// A response takes a few milliseconds. The time limit of a release is 300 ms longer than the configured
+// value.
 constexpr Micros kLivenessTimeout = 120'000;
-// Before a probe that gave way to releases tries again.
+// Delay before a probe that was deferred in favour of releases is tried again.
 constexpr Micros kProbeRetryDelay = 20'000;
 
 bool isSuccess(int status) { return status >= 200 && status < 300; }
@@ -27,8 +28,8 @@
       canProbe_(canProbe),
       timers_(loop),
       releases_(loop, connections(), kvReleaseTimeout > 0 ? kvReleaseTimeout : options.controlTimeout,
-                std::move(ownZone), [this](const routing::ReleaseCall& call, bool taken) {
-                  events().onReleaseEnded(call, taken);
+                std::move(ownZone), [this](const routing::ReleaseCall& call, bool accepted) {
+                  events().onReleaseEnded(call, accepted);
                 }) {}
 
 void PlatformEngineClient::begin(const routing::AttemptSpec& attempt) {
@@ -37,9 +38,9 @@
   auto writer =
       [this, endpoint = attempt.endpoint,
        request = makeAttemptRequest(*spec, attempt, loop_.now())](Micros now) -> std::optional<std::string> {
-    // A draining endpoint may get nothing new, though it was chosen before it was known to drain.
-    const bool isTooLate = request.sendBy > 0 && now > request.sendBy;
-    if (isTooLate || !connections().isRunning(endpoint)) return std::nullopt;
+    // A draining endpoint must not receive new work, even if it was selected before it started draining.
+    const bool isPastSendDeadline = request.sendDeadline > 0 && now > request.sendDeadline;
+    if (isPastSendDeadline || !connections().isRunning(endpoint)) return std::nullopt;
     return formatAttemptRequest(request, now);
   };
   connections().start(attempt.attempt, attempt.endpoint,
@@ -51,7 +52,7 @@
   releases_.start(call, traceId);
 }
 
-// Any response shows that the endpoint is alive, whatever its status.
+// Any response proves that the endpoint is alive, whatever its status.
 void PlatformEngineClient::checkLiveness(routing::AttemptId attempt, EndpointId endpoint) {
   const auto* const spec = connections().find(endpoint);
   if (spec == nullptr)
@@ -64,9 +65,9 @@
                       kLivenessTimeout);
 }
 
-// Releases have a time to keep, and go first.
+// Releases have a deadline, so they take precedence over probes.
 void PlatformEngineClient::probe(EndpointId endpoint) {
-  if (releases_.waitingCalls() > 0 || connections().isControlFull()) {
+  if (releases_.waitingCallCount() > 0 || connections().isControlFull()) {
     timers_.after(kProbeRetryDelay, [this, endpoint] { probe(endpoint); });
     return;
   }
--- a/src/platform/engine/platform_engine_client.h
+++ b/src/platform/engine/platform_engine_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// Engines that speak the platform's protocol.
+/// Engine client for the platform's HTTP protocol.
 #pragma once
 
 #include <memory>
@@ -14,33 +14,35 @@
 
 namespace garnethook::platform {
 
-/// Sends attempts, releases and probes to engines. A release is tried at several endpoints.
+/// Sends attempts, releases, liveness checks and probes to engines. A release may be sent to several
+/// endpoints.
 class PlatformEngineClient final : public engine::PooledEngineClient {
  public:
-  /// @param loop runs everything; must outlive the client
+  /// @param loop event loop that runs all I/O and callbacks; must outlive the client
   /// @param options limits and timeouts
-  /// @param meanings what the values of load reports mean
-  /// @param kvReleaseTimeout time for a release, in microseconds; 0: no limit is configured
-  /// @param ownZone this router's zone, as the endpoint list names it
-  /// @param canProbe whether probes are allowed
+  /// @param meanings interpretation of the values in load reports
+  /// @param kvReleaseTimeout time limit for a release, in microseconds; 0: the timeout of control requests
+  /// applies
+  /// @param ownZone name of this router's zone in the endpoint list
+  /// @param canProbe whether probes may be sent as liveness checks
   PlatformEngineClient(net::Loop& loop, const engine::Options& options,
                        deployment_config::ReportMeanings meanings, Micros kvReleaseTimeout,
                        std::string ownZone, bool canProbe = false);
 
-  /// Applies changes to the list of endpoints; those that are not among them stay as they are.
+  /// Applies changes to the endpoint list; endpoints without a change keep their state.
   void apply(const membership::EndpointMap& changes) { connections().apply(changes); }
 
-  /// Sends an attempt; its result is reported later.
+  /// Sends an attempt; its result is reported asynchronously.
   void begin(const routing::AttemptSpec& attempt) override;
-  /// Frees the KV cache of a request; the result is reported later.
+  /// Releases the KV state of a request; the result is reported asynchronously.
   void release(const routing::ReleaseCall& call, const std::string& traceId) override;
-  /// Probes an endpoint; the result is reported later.
+  /// Requests the health and load of an endpoint; the result is reported asynchronously.
   void probe(EndpointId endpoint) override;
-  /// Whether checkLiveness() may be called.
+  /// Whether checkLiveness() is available.
   bool canCheckLiveness() const override { return canProbe_; }
-  /// Releases that wait for a connection.
-  std::size_t waitingReleases() const { return releases_.waitingCalls(); }
-  /// Asks the endpoint of an attempt for any sign of life; the result is reported later.
+  /// Number of releases that wait for a connection.
+  std::size_t waitingReleases() const { return releases_.waitingCallCount(); }
+  /// Checks whether the endpoint of an attempt responds at all; the result is reported asynchronously.
   void checkLiveness(routing::AttemptId attempt, EndpointId endpoint) override;
 
  private:
--- a/src/platform/engine/protocol.cpp
+++ b/src/platform/engine/protocol.cpp
@@ -15,9 +15,9 @@
   return text.substr(first, text.find_last_not_of(" \t\r\n") - first + 1);
 }
 
-// Ends the request line and appends the Host field.
-void appendVersionAndHost(std::string& out, std::string_view host, std::uint16_t port) {
-  out.append(" HTTP/1.1\r\nHost: ").append(host).append(":").append(std::to_string(port)).append("\r\n");
+// Appends the rest of the request line and the Host field.
+void appendVersionAndHost(std::string& message, std::string_view host, std::uint16_t port) {
+  message.append(" HTTP/1.1\r\nHost: ").append(host).append(":").append(std::to_string(port)).append("\r\n");
 }
 
 }  // namespace
@@ -30,31 +30,31 @@
           .traceId = std::string(attempt.traceId),
           .fields = attempt.request->fields,
           .body = attempt.request->body,
-          .answerBy = now + attempt.timeout,
-          .sendBy = attempt.sendBy};
+          .responseDeadline = now + attempt.timeout,
+          .sendDeadline = attempt.sendBy};
 }
 
 std::string formatAttemptRequest(const AttemptRequest& request, Micros now) {
   const std::string_view body = request.body ? std::string_view(*request.body) : std::string_view();
-  const Micros remainingMs = std::max<Micros>(1, (request.answerBy - now) / 1000);
-  std::string out;
-  out.reserve(body.size() + request.target.size() + request.fields.size() + 256);
-  out.append("POST ").append(request.target);
-  appendVersionAndHost(out, request.host, request.port);
-  out.append("X-Trace-Id: ").append(request.traceId);
-  out.append("\r\nX-Expires-In-Ms: ").append(std::to_string(remainingMs));
-  out.append("\r\n").append(request.fields);
-  out.append("Content-Length: ").append(std::to_string(body.size()));
-  return out.append("\r\n\r\n").append(body);
+  const Micros remainingMs = std::max<Micros>(1, (request.responseDeadline - now) / 1000);
+  std::string message;
+  message.reserve(body.size() + request.target.size() + request.fields.size() + 256);
+  message.append("POST ").append(request.target);
+  appendVersionAndHost(message, request.host, request.port);
+  message.append("X-Trace-Id: ").append(request.traceId);
+  message.append("\r\nX-Expires-In-Ms: ").append(std::to_string(remainingMs));
+  message.append("\r\n").append(request.fields);
+  message.append("Content-Length: ").append(std::to_string(body.size()));
+  return message.append("\r\n\r\n").append(body);
 }
 
 std::string formatControlRequest(const membership::EndpointSpec& endpoint, std::string_view method,
                                  std::string_view target) {
-  std::string out(method);
-  out.append(" ").append(target);
-  appendVersionAndHost(out, endpoint.host, endpoint.port);
-  if (method != "GET") out.append("Content-Length: 0\r\n");
-  return out.append("\r\n");
+  std::string message(method);
+  message.append(" ").append(target);
+  appendVersionAndHost(message, endpoint.host, endpoint.port);
+  if (method != "GET") message.append("Content-Length: 0\r\n");
+  return message.append("\r\n");
 }
 
 std::string releasePath(std::string_view traceId) { return "/v1/holds/" + std::string(traceId); }
@@ -65,16 +65,16 @@
   if (!text.starts_with("TEXT ")) return std::nullopt;
   text.remove_prefix(5);
   LoadReport report;
-  for (auto part : deployment_config::split(text, ',')) {
-    part = trim(part);
-    const auto equals = part.find('=');
-    if (equals == std::string_view::npos) return std::nullopt;
-    const auto digits = trim(part.substr(equals + 1));
+  for (auto entry : deployment_config::split(text, ',')) {
+    entry = trim(entry);
+    const auto equalsSign = entry.find('=');
+    if (equalsSign == std::string_view::npos) return std::nullopt;
+    const auto digits = trim(entry.substr(equalsSign + 1));
     double value = 0;
     const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
     if (error != std::errc() || end != digits.data() + digits.size() || !std::isfinite(value) || value < 0)
       return std::nullopt;
-    deployment_config::addReportValue(report, meanings, trim(part.substr(0, equals)), value);
+    deployment_config::addReportValue(report, meanings, trim(entry.substr(0, equalsSign)), value);
   }
   if (!report.memoryShare && !report.queuedKiloTokens && !report.queuedRequests) return std::nullopt;
   return report;
@@ -83,8 +83,8 @@
 ResponseKind classifyResponse(const http1::Head& head, routing::Phase phase) {
   if (head.status == 202 && phase == routing::Phase::prefill) return ResponseKind::prefillDone;
   if (head.status == 200 && phase != routing::Phase::prefill) return ResponseKind::stream;
-  const auto notExecuted = http1::find(head.fields, "x-never-ran");
-  if (notExecuted && trim(*notExecuted) == "1")
+  const auto notExecutedField = http1::find(head.fields, "x-never-ran");
+  if (notExecutedField && trim(*notExecutedField) == "1")
     return head.status == 410 ? ResponseKind::kvStateMissing : ResponseKind::rejected;
   return ResponseKind::failed;
 }
--- a/src/platform/engine/protocol.h
+++ b/src/platform/engine/protocol.h
@@ -1,6 +1,6 @@
 /// @file
-/// The platform's protocol towards engines: what is written, and what a response says about an attempt. Free
-/// of I/O.
+/// The platform's HTTP protocol between router and engines: formatting of requests and interpretation of
+/// responses. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,57 +16,59 @@
 
 namespace garnethook::platform {
 
-/// The request of an attempt, as it is kept until it is written.
+/// Contents of an attempt's request, kept until the request is written.
 struct AttemptRequest {
-  std::string host;                         ///< Host of the endpoint.
-  std::uint16_t port = 0;                   ///< Port of the endpoint.
-  std::string target;                       ///< Path and query, as the client sent them.
-  std::string traceId;                      ///< Id of the request.
-  std::string fields;                       ///< The client's own header fields, each a line with its CRLF.
+  std::string host;        ///< Host of the endpoint.
+  std::uint16_t port = 0;  ///< Port of the endpoint.
+  std::string target;      ///< Path and query as received from the client.
+  std::string traceId;     ///< Trace id of the request.
+  std::string fields;      ///< Header fields forwarded from the client, one line with CRLF each.
   std::shared_ptr<const std::string> body;  ///< The client's body; may be null.
-  Micros answerBy = 0;                      ///< When the router stops waiting.
-  Micros sendBy = 0;                        ///< When it is too late to send; 0: never.
+  Micros responseDeadline = 0;              ///< Monotonic time at which the router stops waiting.
+  Micros sendDeadline = 0;                  ///< Latest monotonic time for sending; 0: no limit.
 };
 
-/// The request of an attempt that starts now.
-/// @param endpoint where it is sent
-/// @param attempt the client's request, and the time for an answer
-/// @param now the current time
+/// Returns the request of an attempt that starts at `now`.
+/// @param endpoint destination
+/// @param attempt the client's request and the timeout of the response
+/// @param now current monotonic time, in microseconds
 AttemptRequest makeAttemptRequest(const membership::EndpointSpec& endpoint,
                                   const routing::AttemptSpec& attempt, Micros now);
 
-/// The bytes of an attempt's request: the client's as it came, with its id and the time that is left for an
-/// answer at the time of writing.
+/// Serializes an attempt's request: the client's request unchanged, with its trace id and the time remaining
+/// for the response.
+/// @param request contents of the request
+/// @param now monotonic time of writing, in microseconds
 std::string formatAttemptRequest(const AttemptRequest& request, Micros now);
 
-/// The bytes of a request without a body.
-/// @param endpoint where it is sent
+/// Serializes a request without a body.
+/// @param endpoint destination
 /// @param method HTTP method
 /// @param target path and query
 std::string formatControlRequest(const membership::EndpointSpec& endpoint, std::string_view method,
                                  std::string_view target);
 
-/// The path at which an endpoint is asked to release the KV cache of a request.
+/// Returns the path of the resource that is deleted to release the KV state of a request.
 std::string releasePath(std::string_view traceId);
 
 /// Parses a load report: `TEXT name=value, ...`.
-/// @return nothing where it can't be read completely, or names no known value
+/// @return std::nullopt if any part is malformed or no known value is present
 std::optional<LoadReport> parseLoadReport(std::string_view text,
                                           const deployment_config::ReportMeanings& meanings);
 
-/// What the head of a response means for the attempt.
+/// Meaning of a response's status and header fields for the attempt.
 enum class ResponseKind {
-  prefillDone,     ///< The prefill is done; the body names the tokens that were cached.
-  stream,          ///< Events follow.
+  prefillDone,     ///< The prefill has completed; the body reports the number of cached tokens.
+  stream,          ///< An event stream follows.
   rejected,        ///< The request was not executed.
-  kvStateMissing,  ///< The request was not executed: there was no KV cache to fetch.
-  failed           ///< The request failed and may have been executed.
+  kvStateMissing,  ///< The request was not executed because the KV state to transfer was missing.
+  failed           ///< The request failed and was possibly executed.
 };
-/// Classifies a response by its status and fields.
+/// Classifies a response by its status and header fields.
 ResponseKind classifyResponse(const http1::Head& head, routing::Phase phase);
 
-/// Tokens found in the prefix cache, by the response to a prefill or an event's usage; 0 where none are
-/// named.
+/// Returns the number of prompt tokens found in the prefix cache, from the response to a prefill or the usage
+/// of an event; 0 if none is reported.
 double parseCachedTokens(std::string_view json);
 
 }  // namespace garnethook::platform
--- a/src/platform/engine/relay_exchange.cpp
+++ b/src/platform/engine/relay_exchange.cpp
@@ -7,7 +7,7 @@
 namespace garnethook::platform {
 namespace {
 
-// Whether the text starts with the prefix, which is in lower case; upper-case letters count as equal.
+// Whether the text starts with the lower-case prefix, ignoring case.
 bool startsWithIgnoringCase(std::string_view text, std::string_view prefix) {
   if (text.size() < prefix.size()) return false;
   for (std::size_t i = 0; i < prefix.size(); ++i)
@@ -30,8 +30,8 @@
   status_ = head.status;
   kind_ = classifyResponse(head, phase_);
   hasFraming_ = http1::find(head.fields, "transfer-encoding") || http1::find(head.fields, "content-length");
-  if (const auto load = http1::find(head.fields, "endpoint-load-metrics"))
-    result().report = parseLoadReport(*load, meanings_);
+  if (const auto loadField = http1::find(head.fields, "endpoint-load-metrics"))
+    result().report = parseLoadReport(*loadField, meanings_);
   return true;
 }
 
@@ -49,10 +49,10 @@
 bool RelayExchange::onStreamBytes(std::string_view bytes) {
   const bool isValid = parser_.receive(bytes);
   if (pendingEvents_ > 0) {
-    const auto count = std::exchange(pendingEvents_, 0);
-    eventCount_ += count;
+    const auto completedEvents = std::exchange(pendingEvents_, 0);
+    eventCount_ += completedEvents;
     const std::string text = std::exchange(pendingText_, {});
-    reportTokens(text, count, {});
+    reportTokens(text, completedEvents, {});
   }
   if (!isValid) finish(Outcome::error, "an event of the answer is too large");
   return !isFinished();
@@ -73,7 +73,7 @@
     if (const double cached = parseCachedTokens(event.data); cached > 0) result().cachedTokens = cached;
 }
 
-// Load reports come as comments of the stream.
+// Engines send load reports as comments of the event stream.
 void RelayExchange::onComment(std::string_view text) {
   constexpr std::string_view kName = "endpoint-load-metrics:";
   while (text.starts_with(' ')) text.remove_prefix(1);
--- a/src/platform/engine/relay_exchange.h
+++ b/src/platform/engine/relay_exchange.h
@@ -1,5 +1,5 @@
 /// @file
-/// The exchange of one attempt in the platform's protocol.
+/// HTTP exchange of one attempt in the platform's protocol.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,19 @@
 
 namespace garnethook::platform {
 
-/// Carries one attempt: the short response to a prefill, or a stream whose events are passed on unchanged as
-/// they arrive.
+/// Handles the response to one attempt: the short response to a prefill, or an event stream whose events are
+/// forwarded unchanged as they arrive.
 class RelayExchange final : public engine::AttemptExchange {
  public:
-  /// Longest event in bytes.
+  /// Maximum size of an event, in bytes.
   static constexpr std::size_t kMaxEventBytes = std::size_t{64} * 1024;
-  /// Longest response that is not streamed, in bytes.
+  /// Maximum size of a response body that is not streamed, in bytes.
   static constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
 
-  /// @param events notified of tokens and of the result; must outlive the exchange
-  /// @param id the attempt
-  /// @param phase decides which form of response is expected
-  /// @param meanings what the values of load reports mean; must outlive the exchange
+  /// @param events receives the tokens and the result; must outlive the exchange
+  /// @param id id of the attempt
+  /// @param phase determines the expected form of the response
+  /// @param meanings interpretation of the values in load reports; must outlive the exchange
   RelayExchange(routing::EngineClientEvents& events, routing::AttemptId id, routing::Phase phase,
                 const deployment_config::ReportMeanings& meanings);
   bool onHead(const http1::Head& head) override;
@@ -41,9 +41,9 @@
   http1::EventStreamParser parser_;
   ResponseKind kind_ = ResponseKind::failed;
   int status_ = 0;
-  bool hasFraming_ = false;  // a response that ends with its connection may have been cut short
+  bool hasFraming_ = false;  // a body that is delimited only by the end of the connection may be truncated
   std::string body_;
-  // The complete events of the bytes that are being parsed, as they are passed on to the client.
+  // Complete events in the bytes being parsed, in the form in which they are forwarded to the client.
   std::string pendingText_;
   std::uint32_t pendingEvents_ = 0;
   std::uint64_t eventCount_ = 0;
--- a/src/platform/engine/release_dispatcher.cpp
+++ b/src/platform/engine/release_dispatcher.cpp
@@ -9,25 +9,27 @@
 namespace garnethook::platform {
 namespace {
 
-// How often calls that wait for a connection look for one: probes and other exchanges free some as well.
-constexpr Micros kWaitInterval = 10'000;
-// How often a route is followed. The second time finds endpoints that were out of reach for a moment.
-constexpr std::size_t kPasses = 2;
-// An endpoint that does not answer may keep one in this many of the connections for releases.
-constexpr std::size_t kShareOfOneEndpoint = 3;
+// Interval at which waiting calls check for a free connection, since probes and other exchanges free
+// connections too.
+constexpr Micros kWaitingCallPollInterval = 10'000;
+// Number of passes over a route. The second pass reaches endpoints that were briefly unreachable.
+constexpr std::size_t kRoutePasses = 2;
+// An endpoint that does not respond may occupy at most 1/kConnectionShareDivisor of the control connections.
+constexpr std::size_t kConnectionShareDivisor = 3;
 
 bool isSuccess(int status) { return status >= 200 && status < 300; }
 
 }  // namespace
 
 ReleaseDispatcher::ReleaseDispatcher(net::Loop& loop, engine::ConnectionPool& connections,
-                                     Micros kvReleaseTimeout, std::string ownZone, Done done)
+                                     Micros kvReleaseTimeout, std::string ownZone,
+                                     CompletionCallback onCompleted)
     : loop_(loop),
       connections_(connections),
       hedgeDelay_(releaseHedgeDelay(kvReleaseTimeout)),
       ownZone_(std::move(ownZone)),
-      done_(std::move(done)),
-      waitAlarm_(loop),
+      onCompleted_(std::move(onCompleted)),
+      waitingCallAlarm_(loop),
       timers_(loop) {}
 
 void ReleaseDispatcher::start(const routing::ReleaseCall& call, const std::string& traceId) {
@@ -46,9 +48,11 @@
   sendWaiting();
 }
 
-std::size_t ReleaseDispatcher::triesOf(const PendingCall& pending) { return kPasses * pending.route.size(); }
+std::size_t ReleaseDispatcher::maxTries(const PendingCall& pending) {
+  return kRoutePasses * pending.route.size();
+}
 
-// ---- calls that wait for a connection: the first come, first served ----
+// ---- calls that wait for a connection, in FIFO order ----
 
 void ReleaseDispatcher::enqueue(const PendingCallPointer& pending) {
   if (!std::exchange(pending->isWaiting, true)) waiting_.push_back(pending);
@@ -65,49 +69,51 @@
     pending->isWaiting = false;
     if (!pending->isFinished) send(pending);
   }
-  if (!waiting_.empty()) waitAlarm_.start(kWaitInterval, [this] { sendWaiting(); });
+  if (!waiting_.empty()) waitingCallAlarm_.start(kWaitingCallPollInterval, [this] { sendWaiting(); });
 }
 
-// Whether the call's next target may be tried now. One at which too many calls wait for an answer gives way
-// to others of this pass: in a cut all calls would wait for the same silent endpoint.
+// Whether the call's next target may be tried now. A target with too many outstanding tries
+// yields to the next available endpoint of this pass; otherwise, in a network partition, all calls would wait
+// for the same unresponsive endpoint.
 bool ReleaseDispatcher::canSend(PendingCall& pending) {
-  if (pending.nextTry >= triesOf(pending)) return true;
-  const std::size_t position = pending.nextTry % pending.route.size();
+  if (pending.nextTryIndex >= maxTries(pending)) return true;
+  const std::size_t position = pending.nextTryIndex % pending.route.size();
   const auto next = pending.route.begin() + static_cast<std::ptrdiff_t>(position);
-  const auto idle = std::find_if(next, pending.route.end(), [this](EndpointId id) { return !isTooBusy(id); });
-  if (idle == pending.route.end()) return false;
-  std::rotate(next, idle, idle + 1);
+  const auto available =
+      std::find_if(next, pending.route.end(), [this](EndpointId id) { return !isAtOutstandingLimit(id); });
+  if (available == pending.route.end()) return false;
+  std::rotate(next, available, available + 1);
   return true;
 }
 
-std::size_t ReleaseDispatcher::maxOutstandingAt() const {
-  return std::max<std::size_t>(1, connections_.options().controlConnections / kShareOfOneEndpoint);
+std::size_t ReleaseDispatcher::maxOutstandingPerEndpoint() const {
+  return std::max<std::size_t>(1, connections_.options().controlConnections / kConnectionShareDivisor);
 }
 
-bool ReleaseDispatcher::isTooBusy(EndpointId endpoint) const {
+bool ReleaseDispatcher::isAtOutstandingLimit(EndpointId endpoint) const {
   if (connections_.options().controlConnections == 0) return false;
-  const auto found = outstandingAt_.find(endpoint.value);
-  return found != outstandingAt_.end() && found->second >= maxOutstandingAt();
+  const auto found = outstandingByEndpoint_.find(endpoint.value);
+  return found != outstandingByEndpoint_.end() && found->second >= maxOutstandingPerEndpoint();
 }
 
 // ---- one call ----
 
-// A release may be sent any number of times, so the next endpoint is tried while another is still waited for.
+// A release is idempotent, so the next endpoint is tried while a response from another is outstanding.
 void ReleaseDispatcher::send(const PendingCallPointer& pending) {
-  while (pending->nextTry < triesOf(*pending) &&
-         connections_.find(pending->route[pending->nextTry % pending->route.size()]) == nullptr)
-    ++pending->nextTry;
-  if (pending->nextTry >= triesOf(*pending)) {
+  while (pending->nextTryIndex < maxTries(*pending) &&
+         connections_.find(pending->route[pending->nextTryIndex % pending->route.size()]) == nullptr)
+    ++pending->nextTryIndex;
+  if (pending->nextTryIndex >= maxTries(*pending)) {
     if (pending->outstanding == 0) finish(pending, false);
     return;
   }
-  const EndpointId target = pending->route[pending->nextTry % pending->route.size()];
-  // Kept connections may be dead without a sign, all of them at once: only the first try is made on one.
-  const bool mayReuse = pending->nextTry == 0 && !pending->call.isRetry;
-  ++pending->nextTry;
+  const EndpointId target = pending->route[pending->nextTryIndex % pending->route.size()];
+  // Idle connections may all be dead without any indication, so only the first try reuses one.
+  const bool mayReuse = pending->nextTryIndex == 0 && !pending->call.isRetry;
+  ++pending->nextTryIndex;
   scheduleNextTry(pending);
   auto done = [this, pending, target](int status, const std::optional<LoadReport>&) {
-    onAnswer(pending, target, status);
+    onResponse(pending, target, status);
   };
   connections_.start(
       target, std::make_unique<engine::ControlExchange>(std::move(done)),
@@ -115,30 +121,31 @@
       connections_.options().controlTimeout,
       mayReuse ? engine::ConnectionReuse::allowed : engine::ConnectionReuse::never);
   ++pending->outstanding;
-  ++outstandingAt_[target.value];
+  ++outstandingByEndpoint_[target.value];
 }
 
 void ReleaseDispatcher::scheduleNextTry(const PendingCallPointer& pending) {
-  if (pending->nextTry >= triesOf(*pending)) return;
-  timers_.after(hedgeDelay_, [this, pending, expected = pending->nextTry] {
-    if (pending->isFinished || pending->nextTry != expected) return;
+  if (pending->nextTryIndex >= maxTries(*pending)) return;
+  timers_.after(hedgeDelay_, [this, pending, expected = pending->nextTryIndex] {
+    if (pending->isFinished || pending->nextTryIndex != expected) return;
     enqueue(pending);
     sendWaiting();
   });
 }
 
-// The exchange still counts as under way, so calls that wait are sent in the next turn.
-void ReleaseDispatcher::onAnswer(const PendingCallPointer& pending, EndpointId target, int status) {
+// The exchange still counts as active, so waiting calls are sent in the next iteration of the event loop.
+void ReleaseDispatcher::onResponse(const PendingCallPointer& pending, EndpointId target, int status) {
   --pending->outstanding;
-  if (const auto found = outstandingAt_.find(target.value); --found->second == 0) outstandingAt_.erase(found);
+  if (const auto found = outstandingByEndpoint_.find(target.value); --found->second == 0)
+    outstandingByEndpoint_.erase(found);
   if (isSuccess(status)) finish(pending, true);
   if (!pending->isFinished) enqueue(pending);
-  if (!waiting_.empty()) waitAlarm_.start(0, [this] { sendWaiting(); });
+  if (!waiting_.empty()) waitingCallAlarm_.start(0, [this] { sendWaiting(); });
 }
 
-void ReleaseDispatcher::finish(const PendingCallPointer& pending, bool taken) {
+void ReleaseDispatcher::finish(const PendingCallPointer& pending, bool accepted) {
   if (std::exchange(pending->isFinished, true)) return;
-  connections_.post([this, call = pending->call, taken] { done_(call, taken); });
+  connections_.post([this, call = pending->call, accepted] { onCompleted_(call, accepted); });
 }
 
 }  // namespace garnethook::platform
--- a/src/platform/engine/release_dispatcher.h
+++ b/src/platform/engine/release_dispatcher.h
@@ -1,6 +1,6 @@
 /// @file
-/// Carries KV release calls to endpoints: where each is tried, when the next endpoint is tried as well, and
-/// how the calls share the connections that are kept for them.
+/// Sends KV release calls to endpoints: selects the endpoints of each call, hedges the call over further
+/// endpoints, and shares the connections reserved for control requests between calls.
 #pragma once
 
 #include <cstddef>
@@ -18,58 +18,61 @@
 
 namespace garnethook::platform {
 
-/// Sends each release call along its route, and along it once more, until an endpoint has taken it. Lives on
-/// the loop's thread.
+/// Sends each release call to the endpoints of its route in order, in up to two passes, until an endpoint has
+/// accepted it. Runs on the event loop's thread.
 class ReleaseDispatcher {
  public:
-  /// Told how a call ended: `taken`: an endpoint has taken it.
-  using Done = std::function<void(const routing::ReleaseCall& call, bool taken)>;
+  /// Reports the result of a call; `accepted` is true if an endpoint accepted it.
+  using CompletionCallback = std::function<void(const routing::ReleaseCall& call, bool accepted)>;
 
-  /// @param loop runs everything; must outlive the dispatcher
-  /// @param connections to the endpoints; must outlive the dispatcher
-  /// @param kvReleaseTimeout time for a release, in microseconds
-  /// @param ownZone this router's zone, as the endpoint list names it
-  /// @param done called once for each call, in a later turn of the loop
+  /// @param loop event loop that runs all I/O and callbacks; must outlive the dispatcher
+  /// @param connections connections to the endpoints; must outlive the dispatcher
+  /// @param kvReleaseTimeout time limit for a release, in microseconds
+  /// @param ownZone name of this router's zone in the endpoint list
+  /// @param onCompleted called once for each call, in a later iteration of the event loop
   ReleaseDispatcher(net::Loop& loop, engine::ConnectionPool& connections, Micros kvReleaseTimeout,
-                    std::string ownZone, Done done);
+                    std::string ownZone, CompletionCallback onCompleted);
 
-  /// Starts a call. `traceId`: by which endpoints know the request.
+  /// Starts a call.
+  /// @param call the release call
+  /// @param traceId trace id by which endpoints identify the request
   void start(const routing::ReleaseCall& call, const std::string& traceId);
-  /// Calls that wait for a connection. Probes have to let them go first.
-  std::size_t waitingCalls() const { return waiting_.size(); }
+  /// Number of calls that wait for a connection. Probes must be deferred while there are any.
+  std::size_t waitingCallCount() const { return waiting_.size(); }
 
  private:
-  // A call that is under way at one endpoint or several.
+  // A call in progress at one or more endpoints.
   struct PendingCall {
     routing::ReleaseCall call;
     std::string traceId;
     std::vector<EndpointId> route;
-    std::size_t nextTry = 0;      // counts on through the passes
-    std::size_t outstanding = 0;  // tries without an answer
-    bool isWaiting = false;       // for a connection
+    std::size_t nextTryIndex = 0;  // keeps counting across passes
+    std::size_t outstanding = 0;   // tries without a response
+    bool isWaiting = false;        // queued for a connection
     bool isFinished = false;
   };
   using PendingCallPointer = std::shared_ptr<PendingCall>;
 
-  static std::size_t triesOf(const PendingCall& pending);
-  std::size_t maxOutstandingAt() const;
+  static std::size_t maxTries(const PendingCall& pending);
+  std::size_t maxOutstandingPerEndpoint() const;
   void enqueue(const PendingCallPointer& pending);
   void sendWaiting();
   bool canSend(PendingCall& pending);
-  bool isTooBusy(EndpointId endpoint) const;
+  bool isAtOutstandingLimit(EndpointId endpoint) const;
   void send(const PendingCallPointer& pending);
   void scheduleNextTry(const PendingCallPointer& pending);
-  void onAnswer(const PendingCallPointer& pending, EndpointId target, int status);
-  void finish(const PendingCallPointer& pending, bool taken);
+  void onResponse(const PendingCallPointer& pending, EndpointId target, int status);
+  void finish(const PendingCallPointer& pending, bool accepted);
 
   net::Loop& loop_;
   engine::ConnectionPool& connections_;
   Micros hedgeDelay_;
   std::string ownZone_;
-  Done done_;
+  CompletionCallback onCompleted_;
   std::deque<PendingCallPointer> waiting_;
-  std::unordered_map<std::uint64_t, std::size_t> outstandingAt_;  // tries without an answer, by endpoint
-  timing::Alarm waitAlarm_;
+  // Tries without a response, by endpoint id.
+  std::unordered_map<std::uint64_t, std::size_t> outstandingByEndpoint_;
+  timing::Alarm waitingCallAlarm_;
   timing::OwnedTimers timers_;
 };
 
--- a/src/platform/engine/release_route.cpp
+++ b/src/platform/engine/release_route.cpp
@@ -10,7 +10,7 @@
 
 using engine::Responsiveness;
 
-// Sorts by preference; which of equal candidates comes first differs between requests.
+// Sorts by preference; the order of equal candidates differs between requests.
 void sortByPreference(std::vector<ReleaseCandidate>& candidates, EndpointId holder, std::uint64_t request) {
   const auto holderEntry = std::find_if(candidates.begin(), candidates.end(),
                                         [&](const auto& candidate) { return candidate.endpoint == holder; });
@@ -39,32 +39,34 @@
 std::vector<EndpointId> selectReleaseCandidates(const std::vector<EndpointId>& listed, EndpointId holder,
                                                 std::uint64_t request) {
   if (listed.size() <= kMaxReleaseCandidates) return listed;
-  std::vector<EndpointId> out;
-  out.reserve(kMaxReleaseCandidates + 1);
-  // Requests are numbered consecutively: this way they consider different parts.
+  std::vector<EndpointId> selected;
+  selected.reserve(kMaxReleaseCandidates + 1);
+  // Requests are numbered consecutively, so successive requests consider different windows of the fleet.
   const std::size_t first = request * kMaxReleaseCandidates % listed.size();
-  for (std::size_t i = 0; i < kMaxReleaseCandidates; ++i) out.push_back(listed[(first + i) % listed.size()]);
+  for (std::size_t i = 0; i < kMaxReleaseCandidates; ++i)
+    selected.push_back(listed[(first + i) % listed.size()]);
   if (std::binary_search(listed.begin(), listed.end(), holder) &&
-      std::find(out.begin(), out.end(), holder) == out.end())
-    out.push_back(holder);
-  return out;
+      std::find(selected.begin(), selected.end(), holder) == selected.end())
+    selected.push_back(holder);
+  return selected;
 }
 
 std::vector<EndpointId> releaseRoute(EndpointId holder, std::string_view ownZone,
                                      std::vector<ReleaseCandidate> candidates, std::uint64_t request) {
   sortByPreference(candidates, holder, request);
   std::vector<EndpointId> route;
-  const auto hasRoom = [&] { return route.size() < kMaxReleaseTargets; };
-  std::map<std::pair<bool, std::string_view>, std::vector<EndpointId>> zones;  // the own zone is first
+  const auto hasCapacity = [&] { return route.size() < kMaxReleaseTargets; };
+  // The key sorts this router's own zone first.
+  std::map<std::pair<bool, std::string_view>, std::vector<EndpointId>> zones;
   for (const auto& candidate : candidates) {
     if (candidate.endpoint == holder && candidate.responsiveness == Responsiveness::responsive)
       route.push_back(candidate.endpoint);
     else
       zones[{candidate.zone != ownZone, candidate.zone}].push_back(candidate.endpoint);
   }
-  for (std::size_t turn = 0; hasRoom() && turn < candidates.size(); ++turn)
+  for (std::size_t position = 0; hasCapacity() && position < candidates.size(); ++position)
     for (const auto& [zone, endpoints] : zones)
-      if (turn < endpoints.size() && hasRoom()) route.push_back(endpoints[turn]);
+      if (position < endpoints.size() && hasCapacity()) route.push_back(endpoints[position]);
   return route;
 }
 
--- a/src/platform/engine/release_route.h
+++ b/src/platform/engine/release_route.h
@@ -1,14 +1,15 @@
 /// @file
-/// At which endpoints a release is tried, and when the next one is. Free of I/O.
+/// Selection and order of the endpoints to which a release is sent, and the delay between them. Performs no
+/// I/O.
 ///
-/// Any endpoint accepts a release and frees what all of them hold for the request, so one that can't be
-/// reached need not be waited for: after the endpoint that holds the KV cache, others are tried, one of each
-/// zone in turn, this router's own zone first. That covers a zone that is lost or partitioned, whose
-/// endpoints are all silent although they were responsive a moment ago. Within a zone responsive endpoints
-/// come first, then those that were never tried, then unresponsive ones, so that each further round of the
-/// same release reaches other endpoints; among equal ones those of the holder's cell come first. Which of
-/// equal ones is first differs between requests, so that the releases for a lost endpoint don't all go to the
-/// same one.
+/// Any endpoint accepts a release and frees the KV state that any endpoint holds for the request, so the
+/// router does not depend on an unreachable endpoint. After the endpoint that holds the KV state, it tries
+/// one endpoint of each zone in turn, starting with its own zone. This covers a zone outage or partition, in
+/// which all endpoints of a zone stop responding although they were responsive a moment before. Within a
+/// zone, responsive endpoints come first, then those never tried, then unresponsive ones, so that each
+/// further round of the same release reaches other endpoints. Among otherwise equal endpoints, those in the
+/// holder's cell come first. Ties are broken differently for each request, so that the releases for a lost
+/// endpoint do not all go to the same endpoint.
 #pragma once
 
 #include <cstddef>
@@ -21,37 +22,40 @@
 
 namespace garnethook::platform {
 
-/// An endpoint at which a release may be tried.
+/// An endpoint to which a release may be sent.
 struct ReleaseCandidate {
-  EndpointId endpoint;    ///< Which endpoint.
-  std::string_view cell;  ///< Its cell.
-  std::string_view zone;  ///< Its zone.
-  bool running = true;    ///< The endpoint list calls it running.
-  engine::Responsiveness responsiveness = engine::Responsiveness::responsive;  ///< The latest news of it.
+  EndpointId endpoint;    ///< Id of the endpoint.
+  std::string_view cell;  ///< Cell of the endpoint.
+  std::string_view zone;  ///< Zone of the endpoint.
+  bool running = true;    ///< Whether the endpoint list reports it as running.
+  /// Latest observed responsiveness.
+  engine::Responsiveness responsiveness = engine::Responsiveness::responsive;
 };
 
-/// Most endpoints at which one release is tried.
+/// Maximum number of endpoints to which one release is sent.
 inline constexpr std::size_t kMaxReleaseTargets = 8;
 
-/// Of a large fleet so many endpoints are considered for a release, those next to each other by id, starting
-/// at a place that differs between requests.
+/// Number of endpoints of a large fleet that are considered for a release: consecutive ones by id, starting
+/// at a position that differs between requests.
 inline constexpr std::size_t kMaxReleaseCandidates = 128;
 
-/// How long one endpoint is waited for before the next is tried as well, in microseconds. A response takes a
-/// few milliseconds, and all endpoints must have been tried within the time for a release.
-/// @param kvReleaseTimeout time for a release, in microseconds
+/// Returns the delay after which the next endpoint is tried while a response is outstanding, in microseconds.
+/// A response takes a few milliseconds, and all endpoints must have been tried within the time limit of a
+/// release.
+/// @param kvReleaseTimeout time limit for a release, in microseconds
 Micros releaseHedgeDelay(Micros kvReleaseTimeout);
 
-/// The endpoints that are considered for a release: all of a small fleet, otherwise kMaxReleaseCandidates and
-/// the holder where it is listed.
-/// @param listed all listed endpoints, in order of ids
-/// @param holder endpoint that holds the KV cache
+/// Returns the endpoints that are considered for a release: all endpoints of a small fleet, otherwise
+/// kMaxReleaseCandidates of them and the holder if it is listed.
+/// @param listed all listed endpoints, sorted by id
+/// @param holder endpoint that holds the KV state
 /// @param request number of the request
 std::vector<EndpointId> selectReleaseCandidates(const std::vector<EndpointId>& listed, EndpointId holder,
                                                 std::uint64_t request);
 
-/// The endpoints at which a release is tried, in this order, each once and at most kMaxReleaseTargets.
-/// @param holder endpoint that holds the KV cache
+/// Returns the endpoints to which a release is sent, in order, without duplicates and at most
+/// kMaxReleaseTargets.
+/// @param holder endpoint that holds the KV state
 /// @param ownZone zone of this router
 /// @param candidates endpoints to choose from
 /// @param request number of the request
