--- a/src/platform/discovery/endpoint_list.cpp
+++ b/src/platform/discovery/endpoint_list.cpp
@@ -23,7 +23,7 @@
       endpoints_[endpoint.name] = endpoint;
     if (!update.isComplete) change.entries[endpoint.name] = endpoint;
   }
-  if (update.version >= version_) buryMissing(previous, update.version);
+  if (update.version >= version_) addTombstonesForMissing(previous, update.version);
   if (update.isComplete) change.entries = endpoints_;
   version_ = update.version;
   evictOldestTombstones();
@@ -35,13 +35,13 @@
     tombstones_.erase(endpoint.name);
     return;
   }
-  const auto known = endpoints_.find(endpoint.name);  // the report itself may lack the start time
+  const auto known = endpoints_.find(endpoint.name);  // the update itself may omit the start time
   const bool usesReportedStart = endpoint.startedAt.isKnown() || known == endpoints_.end();
   const timing::UnixTime startedAt = usesReportedStart ? endpoint.startedAt : known->second.startedAt;
   tombstones_[endpoint.name] = {version, startedAt, endpoint.state == EndpointState::removed};
 }
 
-void EndpointList::buryMissing(const membership::EndpointMap& previous, std::int64_t version) {
+void EndpointList::addTombstonesForMissing(const membership::EndpointMap& previous, std::int64_t version) {
   for (const auto& [name, endpoint] : previous)
     if (!endpoints_.contains(name)) tombstones_[name] = {version, endpoint.startedAt, true};
 }
@@ -56,9 +56,9 @@
 
 void EndpointList::evictOldestTombstones() {
   while (tombstones_.size() > kMaxTombstones)
-    tombstones_.erase(
-        std::min_element(tombstones_.begin(), tombstones_.end(),
-                         [](const auto& a, const auto& b) { return a.second.version < b.second.version; }));
+    tombstones_.erase(std::min_element(
+        tombstones_.begin(), tombstones_.end(),
+        [](const auto& left, const auto& right) { return left.second.version < right.second.version; }));
 }
 
 void EndpointList::restore(const membership::EndpointMap& endpoints, std::int64_t version) {
--- a/src/platform/discovery/endpoint_list_parser.cpp
+++ b/src/platform/discovery/endpoint_list_parser.cpp
@@ -12,18 +12,19 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMaxTextBytes = 200;
+constexpr std::size_t kMaxStringBytes = 200;
 constexpr double kMaxWeight = 1e9;
-constexpr double kMaxInteger =
-    1e15;  // still exact as a double, also as microseconds of a time in milliseconds
+// Exactly representable as a double, and a time in milliseconds of this size does not overflow 64 bits when
+// converted to microseconds.
+constexpr double kMaxInteger = 1e15;
 constexpr int kMaxPort = 65'535;
 constexpr std::int64_t kMicrosPerMillisecond = 1000;
 
-// Carries the error of one entry out of the functions that read its fields.
+// Propagates the error of one entry out of the functions that read its fields.
 class EntryFailure : public std::exception {
  public:
   explicit EntryFailure(EntryError error) : error_(std::move(error)) {}
-  const char* what() const noexcept override { return "list entry cannot be used"; }
+  const char* what() const noexcept override { return "invalid list entry"; }
   const EntryError& error() const { return error_; }
 
  private:
@@ -34,15 +35,15 @@
   throw EntryFailure({code, key, maximum});
 }
 
-std::string readText(const json& entry, const char* key, bool isRequired) {
+std::string readString(const json& entry, const char* key, bool isRequired) {
   const auto found = entry.find(key);
   if (found == entry.end() || found->is_null()) {
     if (isRequired) fail(EntryErrorCode::missing, key);
     return {};
   }
-  if (!found->is_string()) fail(EntryErrorCode::notText, key);
+  if (!found->is_string()) fail(EntryErrorCode::notAString, key);
   auto text = found->get<std::string>();
-  if (text.size() > kMaxTextBytes || (isRequired && text.empty())) fail(EntryErrorCode::badLength, key);
+  if (text.size() > kMaxStringBytes || (isRequired && text.empty())) fail(EntryErrorCode::invalidLength, key);
   return text;
 }
 
@@ -54,17 +55,17 @@
   return value;
 }
 
-// A phase that is not known yet guarantees nothing, so the endpoint gets no new requests.
+// An unknown phase gives no guarantee that the endpoint accepts requests, so the endpoint gets no new ones.
 EndpointState toEndpointState(const std::string& phase) {
   if (phase == "ready") return EndpointState::running;
   if (phase == "gone") return EndpointState::removed;
   return EndpointState::draining;
 }
 
-// The address may be absent only for an endpoint that is removed.
+// The address may be absent only for a removed endpoint.
 void readAddress(const json& entry, membership::EndpointSpec& endpoint) {
   constexpr const char* kKey = "host_port";
-  const std::string address = readText(entry, kKey, endpoint.state != EndpointState::removed);
+  const std::string address = readString(entry, kKey, endpoint.state != EndpointState::removed);
   if (address.empty()) return;
   const auto colon = address.rfind(':');
   if (colon == std::string::npos || colon == 0) fail(EntryErrorCode::invalidAddress, kKey);
@@ -76,23 +77,23 @@
   endpoint.port = static_cast<std::uint16_t>(port);
 }
 
-// Cells are named by numbers or by texts.
+// A cell is identified by a number or a string.
 std::string readCell(const json& entry) {
   const auto cell = entry.find("cell");
   if (cell == entry.end() || cell->is_null()) return {};
-  if (cell->is_string()) return readText(entry, "cell", false);
+  if (cell->is_string()) return readString(entry, "cell", false);
   return std::to_string(static_cast<std::int64_t>(readNumber(entry, "cell", 0, kMaxInteger)));
 }
 
 membership::EndpointSpec readEntry(const json& entry) {
   if (!entry.is_object()) fail(EntryErrorCode::notAnObject, "");
   membership::EndpointSpec endpoint;
-  endpoint.name = readText(entry, "id", true);
+  endpoint.name = readString(entry, "id", true);
   endpoint.id = membership::endpointId(endpoint.name);
-  endpoint.state = toEndpointState(readText(entry, "phase", true));
+  endpoint.state = toEndpointState(readString(entry, "phase", true));
   readAddress(entry, endpoint);
-  endpoint.kind = readText(entry, "flavor", false);
-  endpoint.zone = readText(entry, "locality", false);
+  endpoint.kind = readString(entry, "flavor", false);
+  endpoint.zone = readString(entry, "locality", false);
   endpoint.cell = readCell(entry);
   endpoint.weight = readNumber(entry, "size", 1, kMaxWeight);
   endpoint.startedAt = {static_cast<std::int64_t>(readNumber(entry, "up_since_ms", 0, kMaxInteger)) *
@@ -107,9 +108,9 @@
   switch (code) {
     case EntryErrorCode::notAnObject: return "an object is expected";
     case EntryErrorCode::missing: return prefix + "is missing";
-    case EntryErrorCode::notText: return prefix + "a string is expected";
-    case EntryErrorCode::badLength: return prefix + "empty or too long";
-    case EntryErrorCode::outOfRange: return prefix + "no number from 0 to " + std::to_string(maximum);
+    case EntryErrorCode::notAString: return prefix + "a string is expected";
+    case EntryErrorCode::invalidLength: return prefix + "empty or too long";
+    case EntryErrorCode::outOfRange: return prefix + "must be a number from 0 to " + std::to_string(maximum);
     case EntryErrorCode::invalidAddress: return prefix + "HOST:PORT is expected";
   }
   return prefix + "unknown error";
@@ -118,7 +119,7 @@
 EndpointListUpdate parseEndpointList(std::string_view text) {
   if (config::jsonDepth(text) > config::kDeepest) throw EndpointListError("nested too deep");
   const json root = json::parse(text, nullptr, false);
-  if (!root.is_object()) throw EndpointListError("no JSON object");
+  if (!root.is_object()) throw EndpointListError("not a JSON object");
   EndpointListUpdate update;
   const auto version = root.find("revision");
   if (version == root.end() || !version->is_number_integer()) throw EndpointListError("revision: is missing");
--- a/src/platform/discovery/endpoint_list_parser.h
+++ b/src/platform/discovery/endpoint_list_parser.h
@@ -1,6 +1,7 @@
-/// Decodes discovery's lists: one JSON object each, a snapshot of all endpoints or a delta. The keys of the
-/// operators' page ("revision", "members", "host_port", "flavor", ...) are translated here and nowhere else.
-/// Free of I/O and clocks.
+/// @file
+/// Parses discovery's endpoint lists. Each list is one JSON object: a snapshot of all endpoints or a delta.
+/// The keys of discovery's protocol ("revision", "members", "host_port", "flavor", ...) are mapped here and
+/// nowhere else. Performs no I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -13,41 +14,41 @@
 
 namespace garnethook::platform {
 
-/// What is wrong with one entry of a list.
+/// Kind of error in one entry of a list.
 enum class EntryErrorCode {
-  notAnObject,     ///< The entry is no JSON object.
+  notAnObject,     ///< The entry is not a JSON object.
   missing,         ///< A required field is absent or null.
-  notText,         ///< The field is not a string.
-  badLength,       ///< The string is empty where it may not be, or too long.
-  outOfRange,      ///< The field is no number within its bounds.
+  notAString,      ///< The field is not a string.
+  invalidLength,   ///< The string is too long, or empty although it is required.
+  outOfRange,      ///< The field is not a number within its bounds.
   invalidAddress,  ///< The address is not HOST:PORT.
 };
 
-/// An entry that cannot be used, and why.
+/// Error of an entry that cannot be used.
 struct EntryError {
-  EntryErrorCode code = EntryErrorCode::notAnObject;  ///< The kind of error.
-  std::string field;                                  ///< Key of the field; empty where the entry is none.
-  double maximum = 0;                                 ///< `outOfRange`: the largest number that is accepted.
+  EntryErrorCode code = EntryErrorCode::notAnObject;  ///< Kind of error.
+  std::string field;   ///< Key of the field; empty if the entry is not an object.
+  double maximum = 0;  ///< For `outOfRange`: the largest accepted number.
 
-  /// The error as a text for logs.
+  /// Returns the error as text for logs.
   std::string message() const;
 };
 
-/// One list of discovery, decoded.
+/// One parsed list from discovery.
 struct EndpointListUpdate {
-  std::int64_t version = 0;                         ///< The list's revision.
+  std::int64_t version = 0;                         ///< Revision of the list.
   bool isComplete = false;                          ///< A snapshot of all endpoints; otherwise a delta.
-  std::vector<membership::EndpointSpec> endpoints;  ///< The entries that can be used, in the list's order.
-  std::vector<EntryError> errors;                   ///< The entries that cannot be used; they are left out.
+  std::vector<membership::EndpointSpec> endpoints;  ///< Valid entries, in list order.
+  std::vector<EntryError> errors;                   ///< Errors of the invalid entries, which are skipped.
 };
 
-/// The text is no list at all; `what()` says why.
+/// Thrown for a text that is not an endpoint list; `what()` describes the reason.
 class EndpointListError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// Decodes one list. Throws EndpointListError where the text is no list.
+/// Parses one list. Throws EndpointListError if the text is not an endpoint list.
 EndpointListUpdate parseEndpointList(std::string_view text);
 
 }  // namespace garnethook::platform
--- a/src/platform/discovery/json_object_splitter.h
+++ b/src/platform/discovery/json_object_splitter.h
@@ -1,7 +1,8 @@
-/// Splits a byte stream into the JSON objects that it contains, with a bounded buffer. Free of I/O.
+/// @file
+/// Splits a byte stream into JSON objects, with a bounded buffer. Performs no I/O.
 ///
-/// Discovery sends its lists one per line or indented over many lines, with blank lines as keep-alives in
-/// between. The end of a list is therefore found by counting braces, not by looking for line breaks.
+/// Discovery sends its lists on a single line or indented over several lines, with blank lines as keep-alives
+/// in between. The end of a list is therefore found by matching braces instead of line breaks.
 #pragma once
 
 #include <cstddef>
@@ -10,35 +11,35 @@
 
 namespace garnethook::platform {
 
-/// Incremental splitter: feed it bytes in pieces of any size, and it reports every complete object.
+/// Incremental splitter: accepts the stream in pieces of any size and reports every complete object.
 class JsonObjectSplitter {
  public:
-  /// `maxObjectBytes`: the longest object that is accepted, in bytes.
+  /// @param maxObjectBytes maximum size of an object, in bytes
   explicit JsonObjectSplitter(std::size_t maxObjectBytes) : maxObjectBytes_(maxObjectBytes) {}
 
-  /// Calls `onObject(std::string_view)` for each object that is complete, from its first brace to its last.
-  /// Text that does not begin an object is reported as it stands, up to the end of its line. White space
-  /// between objects is skipped. Returns false where an object is longer than the bound.
+  /// Calls `onObject(std::string_view)` for each complete object, from its opening to its closing brace. Text
+  /// that does not start with a brace is reported unchanged, up to the end of its line. White space between
+  /// objects is skipped. Returns false if an object exceeds the maximum size.
   template <class OnObject>
   [[nodiscard]] bool receive(std::string_view bytes, OnObject onObject) {
-    for (const char c : bytes) {
-      if (buffer_.empty() && isWhiteSpace(c)) continue;
+    for (const char character : bytes) {
+      if (buffer_.empty() && isWhiteSpace(character)) continue;
       if (buffer_.size() >= maxObjectBytes_) return false;
-      if (buffer_.empty()) isStrayText_ = c != '{';
-      if (isStrayText_ && c == '\n') {
+      if (buffer_.empty()) isStrayText_ = character != '{';
+      if (isStrayText_ && character == '\n') {
         emit(onObject);
         continue;
       }
-      buffer_.push_back(c);
-      if (!isStrayText_ && closesObject(c)) emit(onObject);
+      buffer_.push_back(character);
+      if (!isStrayText_ && closesObject(character)) emit(onObject);
     }
     return true;
   }
 
-  /// Whether an object has begun and not ended yet.
+  /// Whether an object has started but is not complete.
   bool isInsideObject() const { return !buffer_.empty(); }
 
-  /// Forgets an object that has begun.
+  /// Discards an incomplete object.
   void reset() {
     buffer_.clear();
     depth_ = 0;
@@ -46,7 +47,9 @@
   }
 
  private:
-  static bool isWhiteSpace(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
+  static bool isWhiteSpace(char character) {
+    return character == ' ' || character == '\t' || character == '\r' || character == '\n';
+  }
 
   template <class OnObject>
   void emit(OnObject& onObject) {
@@ -56,17 +59,17 @@
     onObject(std::string_view(object));
   }
 
-  bool closesObject(char c) {
+  bool closesObject(char character) {
     if (isEscaped_) {
       isEscaped_ = false;
     } else if (isInString_) {
-      isEscaped_ = c == '\\';
-      isInString_ = c != '"';
-    } else if (c == '"') {
+      isEscaped_ = character == '\\';
+      isInString_ = character != '"';
+    } else if (character == '"') {
       isInString_ = true;
-    } else if (c == '{') {
+    } else if (character == '{') {
       ++depth_;
-    } else if (c == '}') {
+    } else if (character == '}') {
       return --depth_ == 0;
     }
     return false;
@@ -74,7 +77,7 @@
 
   std::size_t maxObjectBytes_;
   std::string buffer_;
-  std::size_t depth_ = 0;  // of open braces
+  std::size_t depth_ = 0;  // number of open braces
   bool isInString_ = false;
   bool isEscaped_ = false;
   bool isStrayText_ = false;
--- a/src/platform/discovery/watch.cpp
+++ b/src/platform/discovery/watch.cpp
@@ -14,7 +14,7 @@
 
 void Watch::changeAddress(const std::string& address) {
   if (address == address_) return;
-  static_cast<void>(Poco::Net::SocketAddress(address));  // throws where it is none
+  static_cast<void>(Poco::Net::SocketAddress(address));  // throws if the address is invalid
   address_ = address;
   policy_.onAddressChanged();
   discardLateSessions();
@@ -31,13 +31,13 @@
   const bool isInsideMessage = current_ && current_->isInsideMessage();
   listener_.onWatchError(address_,
                          {isInsideMessage ? WatchErrorCode::messageTimedOut : WatchErrorCode::silent});
-  setCurrentAside();
+  keepCurrentAsLate();
   policy_.onClosed(loop_.now());
   scheduleNextStep();
 }
 
-// A silent session that has brought lists before is broken; one that never did may only be late.
-void Watch::setCurrentAside() {
+// A silent session that has delivered lists before is broken; one that has not may only be slow to respond.
+void Watch::keepCurrentAsLate() {
   if (!current_) return;
   if (current_->hasReceivedMessage()) return discard(std::move(current_));
   lateSessions_.push_back(std::move(current_));
@@ -46,7 +46,7 @@
   lateSessions_.pop_front();
 }
 
-// The session may be the caller, so it is destroyed in the loop's next turn.
+// The session may be the caller, so it is destroyed in the next iteration of the event loop.
 void Watch::discard(SessionPointer session) {
   session->close();
   loop_.post([owned = std::shared_ptr<WatchSession>(std::move(session))] {});
@@ -71,7 +71,7 @@
     listener_.onListUpdate(parseEndpointList(text));
     return true;
   } catch (const std::runtime_error& error) {
-    // The list is requested again from the known revision: later deltas would skip what it contained.
+    // The list is requested again from the known revision, since later deltas would not repeat its contents.
     listener_.onWatchError(address_, {WatchErrorCode::invalidMessage, error.what()});
     policy_.onInvalidMessage();
     return false;
@@ -90,7 +90,7 @@
   scheduleNextStep();
 }
 
-// A late session has brought its list: it is the current one from now on, and all others end.
+// A late session has delivered its list: it becomes the current session, and all others are closed.
 void Watch::promote(const WatchSession& session) {
   if (current_) discard(std::move(current_));
   const auto found = std::find_if(lateSessions_.begin(), lateSessions_.end(),
--- a/src/platform/discovery/watch.h
+++ b/src/platform/discovery/watch.h
@@ -1,8 +1,10 @@
-/// The watch of discovery: a chunked response that stays open and carries one list after another. Whenever it
-/// ends it is requested again, from the revision that is known by then.
+/// @file
+/// Watch on discovery: a chunked response that stays open and delivers one list after another. When the
+/// response ends, it is requested again from the revision known at that time.
 ///
-/// A slow or crowded discovery may answer only after a silent session has timed out. A session that has not
-/// brought a list yet is therefore kept beside the next one, and the first that brings a list goes on alone.
+/// A slow or overloaded discovery may respond only after a silent session has timed out. A session that has
+/// not delivered a list yet is therefore kept open alongside the next one; the first session that delivers a
+/// list becomes the current one, and the others are closed.
 #pragma once
 
 #include <cstdint>
@@ -18,33 +20,36 @@
 
 namespace garnethook::platform {
 
-/// Keeps one watch alive for as long as it exists. Runs on the loop's thread.
+/// Maintains one watch during its lifetime. Runs on the event loop's thread.
 class Watch final : private WatchSession::Listener {
  public:
-  /// Receives what the watch learns.
+  /// Receives the lists and errors of a watch.
   class Listener {
    public:
     virtual ~Listener() = default;
-    /// A list came.
+    /// A list was received.
     virtual void onListUpdate(const EndpointListUpdate& update) = 0;
-    /// A session with discovery failed, or a list could not be used.
+    /// A session with discovery failed, or a list was invalid.
     virtual void onWatchError(const std::string& address, const WatchError& error) = 0;
-    /// The list's revision that is known; the next session begins from it.
+    /// Returns the known revision of the list, from which the next session starts.
     virtual std::int64_t currentListVersion() const = 0;
-    /// Bytes came on a session that has brought a list, and no list is unfinished: what is known is current.
+    /// Data was received on a session that has delivered a list, and no list is incomplete: the known list is
+    /// current.
     virtual void onWatchAlive() = 0;
   };
 
-  /// Connects at once. `address`: HOST:PORT; throws Poco::Exception where it is none. The listener must
-  /// outlive the watch.
+  /// Connects immediately.
+  /// @param loop event loop that runs all I/O and callbacks; must outlive the watch
+  /// @param address HOST:PORT; Poco::Exception is thrown if it is not a valid address
+  /// @param listener receives lists and errors; must outlive the watch
   Watch(net::Loop& loop, const std::string& address, Listener& listener);
   ~Watch() override;
 
-  /// Watches another address from now on. Throws Poco::Exception where it is no address; the old one is
-  /// watched on then.
+  /// Switches the watch to another address. Throws Poco::Exception if the address is invalid; the watch on
+  /// the previous address then continues.
   void changeAddress(const std::string& address);
 
-  /// Connections to discovery, those that are still coming up among them.
+  /// Number of connections to discovery, including those still being established.
   std::size_t sessionCount() const { return lateSessions_.size() + (current_ ? 1 : 0); }
 
  private:
@@ -54,7 +59,7 @@
   void connect();
   void scheduleNextStep();
   void runNextStep();
-  void setCurrentAside();
+  void keepCurrentAsLate();
   void promote(const WatchSession& session);
   void discard(SessionPointer session);
   void discardLateSessions();
@@ -68,7 +73,7 @@
   WatchPolicy policy_;
   timing::Alarm alarm_;
   SessionPointer current_;
-  std::deque<SessionPointer> lateSessions_;  // timed out without a list, which may still come; oldest first
+  std::deque<SessionPointer> lateSessions_;  // timed out before delivering a list; oldest first
 };
 
 }  // namespace garnethook::platform
--- a/src/platform/discovery/watch_error.cpp
+++ b/src/platform/discovery/watch_error.cpp
@@ -9,15 +9,15 @@
   switch (code) {
     case WatchErrorCode::connectionRefused: return "connection refused";
     case WatchErrorCode::connectTimedOut: return "connect timed out";
-    case WatchErrorCode::resourcesUnavailable: return "this machine can't connect at the moment";
+    case WatchErrorCode::resourcesUnavailable: return "no local descriptor, port or memory available";
     case WatchErrorCode::connectionClosed: return "connection closed";
     case WatchErrorCode::malformedHttp: return "malformed HTTP";
     case WatchErrorCode::unexpectedStatus: return "unexpected status";
-    case WatchErrorCode::responseEnded: return "the response ended";
-    case WatchErrorCode::messageTooLong: return "a list is too long";
-    case WatchErrorCode::invalidMessage: return "a list can't be used";
+    case WatchErrorCode::responseEnded: return "response ended unexpectedly";
+    case WatchErrorCode::messageTooLong: return "list exceeds the maximum size";
+    case WatchErrorCode::invalidMessage: return "invalid list";
     case WatchErrorCode::silent: return "silent";
-    case WatchErrorCode::messageTimedOut: return "a list did not end in time";
+    case WatchErrorCode::messageTimedOut: return "list not completed in time";
   }
   return "unknown error";
 }
--- a/src/platform/discovery/watch_error.h
+++ b/src/platform/discovery/watch_error.h
@@ -1,4 +1,5 @@
-/// What can end a watch of discovery, or make one of its messages useless.
+/// @file
+/// Errors that end a watch session or invalidate one of its messages.
 #pragma once
 
 #include <cstdint>
@@ -6,27 +7,27 @@
 
 namespace garnethook::platform {
 
-/// The kind of failure.
+/// Kind of failure.
 enum class WatchErrorCode : std::uint8_t {
   connectionRefused,     ///< Discovery refused the connection.
-  connectTimedOut,       ///< The connection did not come up in time.
-  resourcesUnavailable,  ///< This machine cannot connect at the moment: no descriptor, port or memory.
+  connectTimedOut,       ///< The connection was not established in time.
+  resourcesUnavailable,  ///< This host lacks a descriptor, port or memory for a connection.
   connectionClosed,      ///< Discovery closed or reset the connection.
-  malformedHttp,         ///< What came is no HTTP response; the detail says why.
-  unexpectedStatus,      ///< The response has another status than 200; the detail names it.
-  responseEnded,         ///< The response, which should never end, ended.
-  messageTooLong,        ///< A list is longer than the bound.
-  invalidMessage,        ///< A list cannot be used; the detail may say why.
-  silent,                ///< No byte came for longer than the keep-alive interval.
-  messageTimedOut,       ///< A list began and did not end in time.
+  malformedHttp,         ///< The data is not a valid HTTP response; the detail gives the reason.
+  unexpectedStatus,      ///< The status of the response is not 200; the detail contains it.
+  responseEnded,         ///< The response ended, although it is expected to stay open.
+  messageTooLong,        ///< A list exceeds the maximum size.
+  invalidMessage,        ///< A list is invalid; the detail may give the reason.
+  silent,                ///< No data was received for longer than the keep-alive interval.
+  messageTimedOut,       ///< A list started but was not completed in time.
 };
 
 /// One failure of a watch.
 struct WatchError {
-  WatchErrorCode code = WatchErrorCode::connectionClosed;  ///< The kind of failure.
-  std::string detail{};                                    ///< Further text for logs; may be empty.
+  WatchErrorCode code = WatchErrorCode::connectionClosed;  ///< Kind of failure.
+  std::string detail{};                                    ///< Additional text for logs; may be empty.
 
-  /// The failure as a text for logs.
+  /// Returns the failure as text for logs.
   std::string message() const;
 };
 
--- a/src/platform/discovery/watch_policy.cpp
+++ b/src/platform/discovery/watch_policy.cpp
@@ -6,24 +6,24 @@
 namespace garnethook::platform {
 namespace {
 
-constexpr int kMaxDoublings = 10;  // keeps the shift in range; the pause is at its bound long before
+constexpr int kMaxDoublings = 10;  // keeps the shift in range; the backoff reaches its maximum much earlier
 
 }  // namespace
 
 void WatchPolicy::onConnecting(Micros now) {
   isConnected_ = true;
-  messageBeganAt_.reset();
+  messageStartedAt_.reset();
   nextStepAt_ = now + options_.silenceTimeout;
 }
 
 void WatchPolicy::onDataReceived(Micros now, bool isInsideMessage) {
   consecutiveFailures_ = 0;
   if (!isInsideMessage)
-    messageBeganAt_.reset();
-  else if (!messageBeganAt_)
-    messageBeganAt_ = now;
+    messageStartedAt_.reset();
+  else if (!messageStartedAt_)
+    messageStartedAt_ = now;
   nextStepAt_ = now + options_.silenceTimeout;
-  if (messageBeganAt_) nextStepAt_ = std::min(nextStepAt_, *messageBeganAt_ + options_.messageTimeout);
+  if (messageStartedAt_) nextStepAt_ = std::min(nextStepAt_, *messageStartedAt_ + options_.messageTimeout);
 }
 
 void WatchPolicy::onClosed(Micros now) {
--- a/src/platform/discovery/watch_policy.h
+++ b/src/platform/discovery/watch_policy.h
@@ -1,9 +1,10 @@
-/// When a watch of discovery is closed and when it is connected again: backoff and timeouts. Free of I/O and
-/// clocks. tests/platform/discovery/watch_policy_test.cpp plays it against sequences of silence, refusal,
-/// reset and recovery.
+/// @file
+/// Timeouts and reconnect backoff of a watch on discovery. Performs no I/O and reads no clock.
+/// tests/platform/discovery/watch_policy_test.cpp simulates sequences of silence, refused and reset
+/// connections, and recovery.
 ///
-/// The bound that it has to keep: a change has to reach the router within 6 s of the moment at which
-/// discovery had it and was reachable, whatever happened to the watch before.
+/// Required bound: a change must reach the router within 6 s of the time at which discovery has it and is
+/// reachable, regardless of earlier failures of the watch.
 #pragma once
 
 #include <optional>
@@ -12,29 +13,30 @@
 
 namespace garnethook::platform {
 
-/// A state machine over one watch at a time. All times are microseconds of one monotonic clock.
+/// State machine for one connection at a time. All times are in microseconds of one monotonic clock.
 class WatchPolicy {
  public:
-  /// Timeouts and backoff.
+  /// Timeouts and backoff, in microseconds.
   struct Options {
-    Micros connectTimeout = 1'000'000;  ///< For a connection to come up.
-    Micros initialBackoff = 50'000;     ///< Pause before the first reconnect.
-    Micros maxBackoff = 500'000;        ///< The pause doubles up to this while no data is received.
-    /// A live watch sends an empty line every 2 s. One that has missed it is dead, or discovery is down. A
-    /// reconnect is cheap: one connection to an agent on this machine, which answers with all it has.
+    Micros connectTimeout = 1'000'000;  ///< Limit for establishing a connection.
+    Micros initialBackoff = 50'000;     ///< Delay before the first reconnect.
+    Micros maxBackoff = 500'000;        ///< Limit of the delay, which doubles while no data is received.
+    /// Maximum time without data. A live watch receives an empty line every 2 s; if it is missing, the
+    /// connection is dead or discovery is down. A reconnect is cheap: one connection to an agent on this
+    /// host, which responds with its complete list.
     Micros silenceTimeout = 2'400'000;
-    /// A list that has begun must end within this. One that was cut short would swallow those behind it for
-    /// as long as keep-alives go on.
+    /// Maximum time from the start of a list to its end. A truncated list would absorb the lists that follow
+    /// it for as long as keep-alives arrive.
     Micros messageTimeout = 4'800'000;
   };
 
-  /// What has to be done at `nextStepAt`.
+  /// Action to take at `nextStepAt`.
   enum class Step {
     connect,  ///< Open a connection.
-    close,    ///< Give up the present one.
+    close,    ///< Close the current connection.
   };
 
-  /// Uses the given timeouts.
+  /// @param options timeouts and backoff
   explicit WatchPolicy(const Options& options) : options_(options) {}
   /// Uses the default timeouts.
   WatchPolicy() : WatchPolicy(Options{}) {}
@@ -42,33 +44,35 @@
   /// The timeouts in use.
   const Options& options() const { return options_; }
 
-  /// A connection attempt begins, whatever was open before.
+  /// A connection attempt starts, regardless of any connection open before.
   void onConnecting(Micros now);
 
-  /// Data came. `isInsideMessage`: a list has begun and not ended yet.
+  /// Data was received.
+  /// @param now current time
+  /// @param isInsideMessage whether a list has started but is not complete
   void onDataReceived(Micros now, bool isInsideMessage);
 
-  /// The connection ended, or was given up.
+  /// The connection ended or was closed by the router.
   void onClosed(Micros now);
 
-  /// A list could not be used. The next connection waits for the longest pause, as it may bring the same list
-  /// again.
+  /// A list was invalid. The next connection is delayed by the maximum backoff, since it may deliver the same
+  /// list again.
   void onInvalidMessage() { receivedInvalidMessage_ = true; }
 
-  /// Another address is to be watched, which has not failed yet.
+  /// The address has changed; the new address has not failed yet.
   void onAddressChanged() { consecutiveFailures_ = 0; }
 
-  /// What has to be done next, unless another event comes before.
+  /// Returns the next action, unless another event occurs first.
   Step nextStep() const { return isConnected_ ? Step::close : Step::connect; }
 
-  /// When it has to be done.
+  /// Returns the time of the next action.
   Micros nextStepAt() const { return nextStepAt_; }
 
  private:
   Options options_;
   bool isConnected_ = false;  // connecting or connected
   Micros nextStepAt_ = 0;
-  std::optional<Micros> messageBeganAt_;
+  std::optional<Micros> messageStartedAt_;
   int consecutiveFailures_ = 0;
   bool receivedInvalidMessage_ = false;
 };
--- a/src/platform/discovery/watch_session.cpp
+++ b/src/platform/discovery/watch_session.cpp
@@ -7,9 +7,9 @@
 
 constexpr std::size_t kMaxListBytes = 4u << 20;
 constexpr int kStatusOk = 200;
-// The response has no end, so its body is not bounded; each list in it is.
-constexpr http1::MessageLimits kLimits{.headBytes = std::size_t{16} * 1024,
-                                       .bodyBytes = std::size_t{1} << 60};
+// The response stays open, so its body is effectively unlimited; the size of each list is limited.
+constexpr http1::MessageLimits kMessageLimits{.headBytes = std::size_t{16} * 1024,
+                                              .bodyBytes = std::size_t{1} << 60};
 
 WatchErrorCode toErrorCode(net::CloseCause cause) {
   if (cause == net::CloseCause::refused) return WatchErrorCode::connectionRefused;
@@ -26,7 +26,8 @@
       version_(version),
       listener_(listener),
       splitter_(kMaxListBytes),
-      parser_(http1::MessageParser::Kind::response, kLimits, static_cast<http1::MessageEvents&>(*this)),
+      parser_(http1::MessageParser::Kind::response, kMessageLimits,
+              static_cast<http1::MessageEvents&>(*this)),
       stream_(loop, Poco::Net::SocketAddress(address), std::string(), connectTimeout,
               static_cast<net::StreamEvents&>(*this)) {}
 
@@ -64,14 +65,14 @@
 
 void WatchSession::onBody(std::string_view bytes) {
   if (error_ || isClosed_) return;
-  const bool isBounded = splitter_.receive(bytes, [this](std::string_view text) {
+  const bool isWithinLimit = splitter_.receive(bytes, [this](std::string_view text) {
     if (error_ || isClosed_) return;
     if (listener_.onMessage(*this, text))
       hasReceivedMessage_ = true;
     else
       error_ = WatchError{WatchErrorCode::invalidMessage};
   });
-  if (!isBounded) error_ = WatchError{WatchErrorCode::messageTooLong};
+  if (!isWithinLimit) error_ = WatchError{WatchErrorCode::messageTooLong};
   if (error_) parser_.stop();
 }
 
--- a/src/platform/discovery/watch_session.h
+++ b/src/platform/discovery/watch_session.h
@@ -1,5 +1,6 @@
-/// One connection of the watch: requests the list and its changes from a revision on, and reports the JSON
-/// objects that arrive.
+/// @file
+/// One connection of a watch: requests the list and its changes since a revision, and reports the JSON
+/// objects received.
 #pragma once
 
 #include <cstdint>
@@ -14,34 +15,38 @@
 
 namespace garnethook::platform {
 
-/// A connection with one request whose response has no end. Runs on the loop's thread.
+/// Connection with a single request whose response stays open. Runs on the event loop's thread.
 class WatchSession final : private net::StreamEvents, private http1::MessageEvents {
  public:
-  /// Receives what happens on a session.
+  /// Receives the events of a session.
   class Listener {
    public:
     virtual ~Listener() = default;
-    /// A complete object came. Returns false where it cannot be used; the session ends then.
+    /// A complete object was received. Returns false if it is invalid, which ends the session.
     virtual bool onMessage(WatchSession& session, std::string_view text) = 0;
-    /// Bytes came; called after `onMessage` for the objects in them.
+    /// Data was received; called after `onMessage` for the objects that it completes.
     virtual void onDataReceived(WatchSession& session) = 0;
-    /// The session has ended by itself. It may be closed from within, and destroyed in a later turn of the
-    /// loop.
+    /// The session ended other than by `close`. The listener may close it during the call, but may destroy it
+    /// only in a later iteration of the event loop.
     virtual void onFailed(WatchSession& session, const WatchError& error) = 0;
   };
 
-  /// Connects at once. `address`: HOST:PORT; throws Poco::Exception where it is none. `version`: the list's
-  /// revision that is known already. The listener must outlive the session.
+  /// Connects immediately.
+  /// @param loop event loop that runs all I/O and callbacks; must outlive the session
+  /// @param address HOST:PORT; Poco::Exception is thrown if it is not a valid address
+  /// @param version known revision of the list
+  /// @param connectTimeout limit for establishing the connection, in microseconds
+  /// @param listener receives the events of the session; must outlive it
   WatchSession(net::Loop& loop, const std::string& address, std::int64_t version, net::Micros connectTimeout,
                Listener& listener);
 
-  /// Closes the connection; the listener is not called any more.
+  /// Closes the connection; the listener is no longer called.
   void close();
 
-  /// Whether an object has begun and not ended yet.
+  /// Whether an object has started but is not complete.
   bool isInsideMessage() const { return splitter_.isInsideObject(); }
 
-  /// Whether a usable object has come.
+  /// Whether a valid object has been received.
   bool hasReceivedMessage() const { return hasReceivedMessage_; }
 
  private:
@@ -58,7 +63,7 @@
   Listener& listener_;
   JsonObjectSplitter splitter_;
   http1::MessageParser parser_;
-  std::optional<WatchError> error_;  // found while parsing; reported once the parser has returned
+  std::optional<WatchError> error_;  // detected during parsing; reported after the parser returns
   bool hasReceivedMessage_ = false;
   bool isClosed_ = false;
   net::Stream stream_;
--- a/tests/platform/discovery/endpoint_list_test.cpp
+++ b/tests/platform/discovery/endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// Discovery's lists: how they are decoded, and how snapshots and deltas build up the list of endpoints.
+// Tests the parsing of discovery's lists and the application of snapshots and deltas to the endpoint list.
 #include "platform/discovery/endpoint_list.h"
 
 #include <gtest/gtest.h>
@@ -26,8 +26,8 @@
   return parseEndpointList(listText(revision, false, members));
 }
 
-// Golden: every key that the decoder reads, and the field that it gives.
-TEST(EndpointListParser, EachKeyGivesItsField) {
+// Covers every key that the parser reads and the field to which it is mapped.
+TEST(EndpointListParser, MapsEachKeyToItsField) {
   const auto update =
       parseEndpointList(R"({"revision":41,"complete":true,"later":[],"members":[)"
                         R"({"id":"s-1","host_port":"10.1.2.3:9000","locality":"b","flavor":"m1","cell":3,)"
@@ -66,7 +66,7 @@
   EXPECT_EQ(update.endpoints[2].port, 0);
 }
 
-TEST(EndpointListParser, NamesTheErrorOfEachUnusableEntry) {
+TEST(EndpointListParser, ReportsTheErrorOfEachInvalidEntry) {
   const std::string valid = R"("id":"e","host_port":"h:1","phase":"ready")";
   const auto update =
       delta(1, R"(3,{"host_port":"h:1","phase":"ready"},{"id":7,"host_port":"h:1","phase":"ready"},)"
@@ -79,8 +79,8 @@
   EXPECT_EQ(update.errors[0].message(), "an object is expected");
   EXPECT_EQ(update.errors[1].code, EntryErrorCode::missing);
   EXPECT_EQ(update.errors[1].message(), "id: is missing");
-  EXPECT_EQ(update.errors[2].code, EntryErrorCode::notText);
-  EXPECT_EQ(update.errors[3].code, EntryErrorCode::badLength);
+  EXPECT_EQ(update.errors[2].code, EntryErrorCode::notAString);
+  EXPECT_EQ(update.errors[3].code, EntryErrorCode::invalidLength);
   EXPECT_EQ(update.errors[4].code, EntryErrorCode::invalidAddress);
   EXPECT_EQ(update.errors[4].message(), "host_port: HOST:PORT is expected");
   EXPECT_EQ(update.errors[5].code, EntryErrorCode::invalidAddress);
@@ -90,12 +90,12 @@
   EXPECT_EQ(update.errors[7].field, "up_since_ms");
 }
 
-TEST(EndpointListParser, LeavesOutUnusableEntriesAndRejectsWhatIsNoList) {
+TEST(EndpointListParser, SkipsInvalidEntriesAndThrowsOnTextThatIsNotAList) {
   const auto update =
       snapshot(1, entryText("a", "ready") + R"(,{"id":"b","phase":"ready"},3,)" + entryText("c", "resting"));
   EXPECT_EQ(update.endpoints.size(), 2u);
   EXPECT_EQ(update.errors.size(), 2u);
-  EXPECT_EQ(update.endpoints[1].state, EndpointState::draining);  // an unknown phase guarantees nothing
+  EXPECT_EQ(update.endpoints[1].state, EndpointState::draining);  // an unknown phase gives no guarantee
   for (const char* text :
        {"", "[]", "{", R"({"revision":1})", R"({"members":[]})", R"({"revision":"x","members":[]})"})
     EXPECT_THROW(parseEndpointList(text), EndpointListError) << text;
@@ -127,8 +127,9 @@
   EXPECT_FALSE(list.endpoints().contains("a"));
 }
 
-// A discovery that lags behind the previous one, as after a reload, may still call an endpoint ready.
-TEST(EndpointList, BringsNoDrainingEndpointBackByAnOlderSnapshot) {
+// Prevents new requests to an endpoint that is draining or removed: a discovery replica that lags behind the
+// previous one, such as after a reload, may still report the endpoint as ready.
+TEST(EndpointList, AnOlderSnapshotDoesNotReturnADrainingEndpointToService) {
   EndpointList list;
   const std::string allReady =
       entryText("a", "ready") + "," + entryText("b", "ready") + "," + entryText("c", "ready");
@@ -140,7 +141,7 @@
   EXPECT_EQ(list.endpoints().at("c").state, EndpointState::running);
 }
 
-TEST(EndpointList, BringsAnEndpointBackByANewerReportOrAnotherStart) {
+TEST(EndpointList, ANewerReportOrARestartReturnsAnEndpointToService) {
   EndpointList list;
   list.apply(snapshot(5, entryText("a", "ready", 1) + "," + entryText("b", "ready", 1)));
   list.apply(delta(7, entryText("a", "draining", 1) + "," + entryText("b", "gone", 1)));
@@ -151,7 +152,7 @@
   EXPECT_EQ(list.endpoints().at("a").state, EndpointState::running);
 }
 
-TEST(EndpointList, KeepsAnEndpointRemovedThatANewerSnapshotLacked) {
+TEST(EndpointList, KeepsAnEndpointRemovedThatWasAbsentFromANewerSnapshot) {
   EndpointList list;
   list.apply(snapshot(5, entryText("a", "ready") + "," + entryText("b", "ready")));
   list.apply(snapshot(9, entryText("a", "ready")));
@@ -159,7 +160,7 @@
   EXPECT_FALSE(list.endpoints().contains("b"));
 }
 
-TEST(EndpointList, BeginsWithARestoredCopy) {
+TEST(EndpointList, StartsFromARestoredCopy) {
   EndpointList first;
   first.apply(snapshot(5, entryText("a", "ready")));
   EndpointList second;
--- a/tests/platform/discovery/json_object_splitter_test.cpp
+++ b/tests/platform/discovery/json_object_splitter_test.cpp
@@ -1,4 +1,4 @@
-// JSON objects cut out of a stream of bytes.
+// Tests the splitting of a byte stream into JSON objects.
 #include "platform/discovery/json_object_splitter.h"
 
 #include <gtest/gtest.h>
@@ -11,19 +11,19 @@
 namespace garnethook::platform {
 namespace {
 
-// Feeds the text in pieces of `pieceBytes` and collects the objects.
+// Feeds the text in pieces of `pieceBytes` bytes and returns the objects.
 std::vector<std::string> splitInPieces(const std::string& text, std::size_t pieceBytes,
                                        std::size_t maxObjectBytes = 1000) {
   JsonObjectSplitter splitter(maxObjectBytes);
   std::vector<std::string> objects;
-  for (std::size_t at = 0; at < text.size(); at += pieceBytes)
-    EXPECT_TRUE(splitter.receive(std::string_view(text).substr(at, pieceBytes),
+  for (std::size_t offset = 0; offset < text.size(); offset += pieceBytes)
+    EXPECT_TRUE(splitter.receive(std::string_view(text).substr(offset, pieceBytes),
                                  [&](std::string_view object) { objects.emplace_back(object); }));
   EXPECT_FALSE(splitter.isInsideObject());
   return objects;
 }
 
-TEST(JsonObjectSplitter, FindsTheSameObjectsWhateverThePieces) {
+TEST(JsonObjectSplitter, FindsTheSameObjectsForAnyPieceSize) {
   const std::string text = "{\"a\":1}\n\r\n\n{\"b\":{\"c\":[{},{\"d\":\"}{\\\"\\\\\"}]}}\n{}{}\n";
   const std::vector<std::string> objects{"{\"a\":1}", "{\"b\":{\"c\":[{},{\"d\":\"}{\\\"\\\\\"}]}}", "{}",
                                          "{}"};
@@ -31,8 +31,8 @@
     EXPECT_EQ(splitInPieces(text, pieceBytes), objects) << pieceBytes;
 }
 
-// An indented list was read line by line once, and none of its lines was a list.
-TEST(JsonObjectSplitter, TakesAnIndentedListAsOneObject) {
+// Prevents an indented list from being parsed line by line, which found no valid list in any of its lines.
+TEST(JsonObjectSplitter, ReportsAnIndentedListAsOneObject) {
   const std::string list =
       "{\n  \"revision\": 4,\n  \"complete\": true,\n\n  \"members\": [\n    {\n      \"id\": \"e\",\n"
       "      \"host_port\": \"h:1\",\n      \"phase\": \"ready\"\n    }\n  ]\n}";
@@ -46,7 +46,7 @@
   }
 }
 
-TEST(JsonObjectSplitter, LosesOneLineToStrayTextAndBoundsAnObject) {
+TEST(JsonObjectSplitter, DiscardsOnlyOneLineOfStrayTextAndLimitsTheObjectSize) {
   EXPECT_EQ(splitInPieces("stray }{ text\n{\"a\":1}\n", 3),
             (std::vector<std::string>{"stray }{ text", "{\"a\":1}"}));
   JsonObjectSplitter splitter(10);
--- a/tests/platform/discovery/watch_policy_test.cpp
+++ b/tests/platform/discovery/watch_policy_test.cpp
@@ -1,4 +1,4 @@
-// When a watch of discovery is closed and connected again, without sockets.
+// Tests when a watch on discovery is closed and reconnected, without sockets.
 #include "platform/discovery/watch_policy.h"
 
 #include <gtest/gtest.h>
@@ -14,9 +14,9 @@
 
 constexpr Micros kMillisecond = 1000;
 constexpr Micros kSecond = 1'000'000;
-constexpr Micros kKeepAliveInterval = 2 * kSecond;  // of discovery
+constexpr Micros kKeepAliveInterval = 2 * kSecond;  // of the stream from discovery
 
-TEST(WatchPolicy, GrowsItsBackoffAndResetsItOnceDataCame) {
+TEST(WatchPolicy, IncreasesTheBackoffAndResetsItWhenDataIsReceived) {
   WatchPolicy policy;
   const auto backoff = [&] {
     policy.onClosed(0);
@@ -33,8 +33,8 @@
   EXPECT_EQ(backoff(), first);
 }
 
-// The same list may come again at once: it is requested again, but not in a tight loop.
-TEST(WatchPolicy, WaitsForTheLongestPauseAfterAnInvalidMessage) {
+// Prevents a tight reconnect loop: discovery may deliver the same invalid list again immediately.
+TEST(WatchPolicy, UsesTheMaximumBackoffAfterAnInvalidMessage) {
   WatchPolicy policy;
   policy.onConnecting(0);
   policy.onDataReceived(1000, false);
@@ -48,7 +48,7 @@
   EXPECT_EQ(policy.nextStepAt(), 2'000'000 + policy.options().initialBackoff);
 }
 
-TEST(WatchPolicy, ClosesAWatchWhoseListDoesNotEndWhateverElseComes) {
+TEST(WatchPolicy, ClosesAWatchWhoseListIsNotCompletedDespiteFurtherData) {
   WatchPolicy policy;
   policy.onConnecting(0);
   policy.onDataReceived(100 * kMillisecond, true);
@@ -57,43 +57,42 @@
     policy.onDataReceived(now += kSecond, true);
   EXPECT_EQ(policy.nextStep(), WatchPolicy::Step::close);
   EXPECT_LE(policy.nextStepAt(), 5 * kSecond);
-  policy.onDataReceived(now, false);  // the list ended after all
+  policy.onDataReceived(now, false);  // the list is complete now
   EXPECT_EQ(policy.nextStepAt(), now + policy.options().silenceTimeout);
 }
 
-// The states of a simulated discovery: what becomes of connections begun in a state, and of those that are
-// open.
+// States of the simulated discovery, which determine the behaviour of new and of open connections.
 enum class DiscoveryState {
-  serving,     // a new connection gets at once what there is, and a keep-alive every 2 s
-  silent,      // new connections come up but get no data; open ones get none any more
-  blackholed,  // new connections never come up; open ones get no data any more
+  serving,     // new connections receive the list immediately and a keep-alive every 2 s
+  silent,      // new connections are established but receive no data; open ones receive no more
+  blackholed,  // new connections are never established; open ones receive no more data
   refusing,    // new connections are refused; open ones are reset
-  resetting    // new connections are reset after a moment; open ones too
+  resetting    // new connections are reset shortly after being established; open ones are reset
 };
 
-struct Stretch {
+struct StatePeriod {
   DiscoveryState state;
   Micros duration;
 };
 
-// Plays the policy against a discovery that passes through stretches of states and then serves for good.
+// Simulates the policy with a discovery that passes through a sequence of states and then serves permanently.
 class WatchSimulation {
  public:
-  explicit WatchSimulation(const std::vector<Stretch>& stretches) : stretches_(stretches) {
-    for (const auto& stretch : stretches_) recoveredAt_ += stretch.duration;
+  explicit WatchSimulation(const std::vector<StatePeriod>& periods) : periods_(periods) {
+    for (const auto& period : periods_) recoveredAt_ += period.duration;
   }
 
-  // How long after discovery's recovery the first data came.
+  // Returns the time from discovery's recovery to the first data received.
   Micros timeToFirstData() {
     connect();
     while (now_ < recoveredAt_ + 20 * kSecond) {
-      now_ = std::min({policy_.nextStepAt(), nextStateChangeAt(), dataAt_, connectFailsAt_});
-      applyState();
+      now_ = std::min({policy_.nextStepAt(), nextStateChangeAt(), nextDataAt_, connectFailsAt_});
+      applyDiscoveryState();
       failConnect();
-      if (isOpen_ && now_ == dataAt_) {
+      if (isOpen_ && now_ == nextDataAt_) {
         if (stateAt(now_) == DiscoveryState::serving && now_ >= recoveredAt_) return now_ - recoveredAt_;
         policy_.onDataReceived(now_, false);
-        dataAt_ = now_ + kKeepAliveInterval;
+        nextDataAt_ = now_ + kKeepAliveInterval;
       }
       if (now_ >= policy_.nextStepAt()) runNextStep();
     }
@@ -105,34 +104,34 @@
 
   DiscoveryState stateAt(Micros at) const {
     Micros end = 0;
-    for (const auto& stretch : stretches_)
-      if (at < (end += stretch.duration)) return stretch.state;
+    for (const auto& period : periods_)
+      if (at < (end += period.duration)) return period.state;
     return DiscoveryState::serving;
   }
   Micros nextStateChangeAt() const {
     Micros end = 0;
-    for (const auto& stretch : stretches_)
-      if ((end += stretch.duration) > now_) return end;
+    for (const auto& period : periods_)
+      if ((end += period.duration) > now_) return end;
     return kNever;
   }
   void connect() {
     policy_.onConnecting(now_);
     const DiscoveryState state = stateAt(now_);
-    const bool isMute = state == DiscoveryState::silent || state == DiscoveryState::blackholed;
+    const bool receivesNoData = state == DiscoveryState::silent || state == DiscoveryState::blackholed;
     isOpen_ = true;
     connectFailsAt_ = state == DiscoveryState::blackholed ? now_ + policy_.options().connectTimeout : kNever;
-    dataAt_ = isMute ? kNever : now_ + kMillisecond;
+    nextDataAt_ = receivesNoData ? kNever : now_ + kMillisecond;
   }
   void close() {
     isOpen_ = false;
-    dataAt_ = connectFailsAt_ = kNever;
+    nextDataAt_ = connectFailsAt_ = kNever;
     policy_.onClosed(now_);
   }
-  void applyState() {
+  void applyDiscoveryState() {
     const DiscoveryState state = stateAt(now_);
     if (!isOpen_) return;
     if (state == DiscoveryState::refusing || state == DiscoveryState::resetting) return close();
-    if (state == DiscoveryState::silent || state == DiscoveryState::blackholed) dataAt_ = kNever;
+    if (state == DiscoveryState::silent || state == DiscoveryState::blackholed) nextDataAt_ = kNever;
   }
   void failConnect() {
     if (now_ != connectFailsAt_) return;
@@ -147,33 +146,33 @@
       close();
   }
 
-  std::vector<Stretch> stretches_;
+  std::vector<StatePeriod> periods_;
   WatchPolicy policy_;
   Micros now_ = 0;
   Micros recoveredAt_ = 0;
-  bool isOpen_ = false;             // a connection is up, or coming up
-  Micros connectFailsAt_ = kNever;  // where it never comes up
-  Micros dataAt_ = kNever;          // when data comes on it
+  bool isOpen_ = false;             // a connection is established or being established
+  Micros connectFailsAt_ = kNever;  // when an attempt that is never established fails
+  Micros nextDataAt_ = kNever;      // when the connection receives data
 };
 
-TEST(WatchPolicy, GetsDataWithinSixSecondsOfDiscoverysRecoveryWhateverHappenedBefore) {
-  std::vector<Stretch> stretches;
+TEST(WatchPolicy, ReceivesDataWithinSixSecondsOfDiscoveryRecoveryAfterAnyFailures) {
+  std::vector<StatePeriod> periods;
   for (const DiscoveryState state :
        {DiscoveryState::serving, DiscoveryState::silent, DiscoveryState::blackholed, DiscoveryState::refusing,
         DiscoveryState::resetting})
     for (const Micros duration : {1 * kMillisecond, 700 * kMillisecond, 2'300 * kMillisecond,
                                   3'100 * kMillisecond, 8'000 * kMillisecond})
-      stretches.push_back({state, duration});
+      periods.push_back({state, duration});
   Micros longest = 0;
-  for (const auto& first : stretches)
-    for (const auto& second : stretches)
-      for (const auto& third : stretches)
+  for (const auto& first : periods)
+    for (const auto& second : periods)
+      for (const auto& third : periods)
         longest = std::max(longest, WatchSimulation({first, second, third}).timeToFirstData());
-  EXPECT_LE(longest, 5 * kSecond);  // which leaves a second for the transfer
-  EXPECT_GE(longest, 2 * kSecond);  // the simulation does contain watches that were found silent
+  EXPECT_LE(longest, 5 * kSecond);  // leaves one second for the transfer
+  EXPECT_GE(longest, 2 * kSecond);  // proves that the simulation contains watches that timed out
 }
 
-// A watch that falls silent while new ones are served: from its first second, or late.
+// Covers a watch that becomes silent while new connections are served, immediately or after a longer time.
 TEST(WatchPolicy, ReplacesASilentWatchSoonAfterAMissedKeepAlive) {
   for (const Micros silentFrom : {0 * kMillisecond, 1 * kMillisecond, 900 * kMillisecond,
                                   13'000 * kMillisecond, 60'000 * kMillisecond}) {
@@ -183,14 +182,15 @@
     for (Micros at = kMillisecond; at <= silentFrom; at += kKeepAliveInterval)
       policy.onDataReceived(lastDataAt = at, false);
     EXPECT_EQ(policy.nextStep(), WatchPolicy::Step::close);
-    EXPECT_GT(policy.nextStepAt(), lastDataAt + kKeepAliveInterval);  // one keep-alive is waited for
+    // The watch is not closed before a keep-alive is overdue.
+    EXPECT_GT(policy.nextStepAt(), lastDataAt + kKeepAliveInterval);
     policy.onClosed(policy.nextStepAt());
     EXPECT_EQ(policy.nextStep(), WatchPolicy::Step::connect);
     EXPECT_LE(policy.nextStepAt(), std::max(silentFrom, kMillisecond) + 3 * kSecond);
   }
 }
 
-TEST(WatchError, DescribesItselfWithItsDetail) {
+TEST(WatchError, IncludesTheDetailInItsMessage) {
   EXPECT_EQ((WatchError{WatchErrorCode::silent}).message(), "silent");
   EXPECT_EQ((WatchError{WatchErrorCode::unexpectedStatus, "500"}).message(), "unexpected status: 500");
 }
