--- a/tests/platform/engine_protocol_test.cpp
+++ b/tests/platform/engine_protocol_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of the platform's protocol towards engines, and what its responses mean.
+// Tests the serialization of requests in the platform's engine protocol and the interpretation of responses.
 #include <gtest/gtest.h>
 
 #include "platform/engine/protocol.h"
@@ -25,25 +25,26 @@
             ResponseKind::rejected);
   EXPECT_EQ(classifyResponse(responseHead(410, {{"x-never-ran", "1"}}), Phase::decode),
             ResponseKind::kvStateMissing);
-  EXPECT_EQ(classifyResponse(responseHead(503), Phase::decode), ResponseKind::failed);  // no proof
+  // Without the field there is no proof that the request was not executed.
+  EXPECT_EQ(classifyResponse(responseHead(503), Phase::decode), ResponseKind::failed);
   EXPECT_EQ(classifyResponse(responseHead(410), Phase::decode), ResponseKind::failed);
   EXPECT_EQ(classifyResponse(responseHead(500), Phase::prefill), ResponseKind::failed);
 }
 
-TEST(EngineProtocol, IgnoresLoadReportsThatCannotBeReadCompletely) {
+TEST(EngineProtocol, IgnoresMalformedLoadReports) {
   const deployment_config::ReportMeanings meanings{"share_of_memory_that_is_held",
                                                    "thousands_of_prompt_tokens_waiting"};
   const auto report = parseLoadReport(" TEXT latency_ms=41.378, x0=0.25, x1=3\r\n", meanings);
   ASSERT_TRUE(report);
   EXPECT_DOUBLE_EQ(*report->memoryShare, 0.25);
   EXPECT_DOUBLE_EQ(*report->queuedKiloTokens, 3);
-  for (const char* bad : {"", "TEXT ", "TEXT x0", "TEXT x0=", "TEXT x0=0.2, x1=zz", "JSON {}", "TEXT x0=-1",
-                          "TEXT x0=nan", "TEXT x0=1e999", "TEXT other=1", "\x01\xff"})
-    EXPECT_FALSE(parseLoadReport(bad, meanings)) << bad;
+  for (const char* malformed : {"", "TEXT ", "TEXT x0", "TEXT x0=", "TEXT x0=0.2, x1=zz", "JSON {}",
+                                "TEXT x0=-1", "TEXT x0=nan", "TEXT x0=1e999", "TEXT other=1", "\x01\xff"})
+    EXPECT_FALSE(parseLoadReport(malformed, meanings)) << malformed;
 }
 
-// Engines read these bytes: every request that the platform's protocol writes.
-TEST(EngineProtocol, WritesRequestsByteForByte) {
+// Covers every kind of request in the platform's protocol. Engines parse exactly these bytes.
+TEST(EngineProtocol, SerializesRequestsByteForByte) {
   routing::Request request;
   request.target = "/v1/chat/completions?a=b";
   request.body = std::make_shared<const std::string>(R"({"stream":true})");
@@ -52,14 +53,16 @@
   endpoint.host = "127.0.0.9";
   endpoint.port = 90;
   routing::AttemptSpec attempt{.request = &request, .traceId = "9b1f", .timeout = 1'234'567};
-  const AttemptRequest sent = makeAttemptRequest(endpoint, attempt, 5'000'000);
-  EXPECT_EQ(formatAttemptRequest(sent, 5'000'000),
+  const AttemptRequest attemptRequest = makeAttemptRequest(endpoint, attempt, 5'000'000);
+  EXPECT_EQ(formatAttemptRequest(attemptRequest, 5'000'000),
             "POST /v1/chat/completions?a=b HTTP/1.1\r\nHost: 127.0.0.9:90\r\nX-Trace-Id: 9b1f\r\n"
             "X-Expires-In-Ms: 1234\r\nidempotency-key: f1b8\r\nContent-Length: "
             "15\r\n\r\n{\"stream\":true}");
-  // The time that is left is that at the time of writing, however late the connection was established.
-  EXPECT_NE(formatAttemptRequest(sent, 5'900'000).find("X-Expires-In-Ms: 334\r\n"), std::string::npos);
-  EXPECT_NE(formatAttemptRequest(sent, 9'000'000).find("X-Expires-In-Ms: 1\r\n"), std::string::npos);
+  // The remaining time is computed when the request is written, however late the connection was established.
+  EXPECT_NE(formatAttemptRequest(attemptRequest, 5'900'000).find("X-Expires-In-Ms: 334\r\n"),
+            std::string::npos);
+  EXPECT_NE(formatAttemptRequest(attemptRequest, 9'000'000).find("X-Expires-In-Ms: 1\r\n"),
+            std::string::npos);
   EXPECT_EQ(formatControlRequest(endpoint, "DELETE", releasePath("9b1f")),
             "DELETE /v1/holds/9b1f HTTP/1.1\r\nHost: 127.0.0.9:90\r\nContent-Length: 0\r\n\r\n");
   EXPECT_EQ(formatControlRequest(endpoint, "GET", "/health"),
@@ -71,12 +74,12 @@
             "X-Expires-In-Ms: 1234\r\nContent-Length: 0\r\n\r\n");
 }
 
-TEST(EngineProtocol, FindsCachedTokensInAnyJson) {
+TEST(EngineProtocol, ParsesCachedTokensFromAnyJson) {
   EXPECT_DOUBLE_EQ(parseCachedTokens(R"({"cached_tokens":4096})"), 4096);
   EXPECT_DOUBLE_EQ(parseCachedTokens(R"({"usage":{"prompt_tokens_details":{"cached_tokens" : 12}}})"), 12);
-  for (const char* none :
+  for (const char* json :
        {"", "{}", R"({"cached_tokens")", R"({"cached_tokens":"x"})", R"({"cached_tokens":-1})"})
-    EXPECT_DOUBLE_EQ(parseCachedTokens(none), 0) << none;
+    EXPECT_DOUBLE_EQ(parseCachedTokens(json), 0) << json;
 }
 
 }  // namespace
