--- a/src/platform/engine/platform_engine_client.cpp
+++ b/src/platform/engine/platform_engine_client.cpp
@@ -9,10 +9,9 @@
 namespace garnethook::platform {
 namespace {
 
-// A response takes a few milliseconds. The time limit of a release is 300 ms longer than the configured
-// value.
+// A response takes a few milliseconds. The time limit of a release is 300 ms longer than configured.
 constexpr Micros kLivenessTimeout = 120'000;
-// Delay before a probe that was deferred in favour of releases is tried again.
+// Delay before a probe that was deferred in favour of releases is retried.
 constexpr Micros kProbeRetryDelay = 20'000;
 
 bool isSuccess(int status) { return status >= 200 && status < 300; }
--- a/src/platform/engine/release_dispatcher.cpp
+++ b/src/platform/engine/release_dispatcher.cpp
@@ -72,9 +72,9 @@
   if (!waiting_.empty()) waitingCallAlarm_.start(kWaitingCallPollInterval, [this] { sendWaiting(); });
 }
 
-// Whether the call's next target may be tried now. A target with too many outstanding tries
-// yields to the next available endpoint of this pass; otherwise, in a network partition, all calls would wait
-// for the same unresponsive endpoint.
+// Whether the call's next target may be tried now. A target with too many outstanding tries yields to the
+// next available endpoint of this pass; otherwise, in a network partition, all calls would wait for the same
+// unresponsive endpoint.
 bool ReleaseDispatcher::canSend(PendingCall& pending) {
   if (pending.nextTryIndex >= maxTries(pending)) return true;
   const std::size_t position = pending.nextTryIndex % pending.route.size();
@@ -108,7 +108,7 @@
     return;
   }
   const EndpointId target = pending->route[pending->nextTryIndex % pending->route.size()];
-  // Idle connections may all be dead without any indication, so only the first try reuses one.
+  // Idle connections may all be dead without any indication, so only the first try of a call may reuse one.
   const bool mayReuse = pending->nextTryIndex == 0 && !pending->call.isRetry;
   ++pending->nextTryIndex;
   scheduleNextTry(pending);
