--- a/src/platform/process/endpoint_publisher.cpp
+++ b/src/platform/process/endpoint_publisher.cpp
@@ -7,9 +7,9 @@
 namespace garnethook::platform {
 
 EndpointPublisher::EndpointPublisher(const net::Loop& loop, membership::KindAndZoneNames names,
-                                     PlatformEngineClient& engines, routing::Router& router,
+                                     PlatformEngineClient& engineClient, routing::Router& router,
                                      RouterLogger& logger)
-    : loop_(loop), names_(std::move(names)), engines_(engines), router_(router), logger_(logger) {}
+    : loop_(loop), names_(std::move(names)), engineClient_(engineClient), router_(router), logger_(logger) {}
 
 void EndpointPublisher::restore(const membership::EndpointMap& endpoints, std::int64_t version) {
   list_.restore(endpoints, version);
@@ -28,13 +28,13 @@
 
 void EndpointPublisher::onWatchAlive() { startTimes_.recordContact(loop_.now()); }
 
-// The connections come first: the router may send requests at once.
+// Updates the engine client before the router, since the router may send requests immediately.
 void EndpointPublisher::publish(const EndpointListChange& change) {
   logger_.logEndpointList(change, list_);
   if (change.kind == EndpointUpdate::Kind::delta)
-    engines_.apply(change.entries);
+    engineClient_.apply(change.entries);
   else
-    engines_.update(list_.endpoints());
+    engineClient_.update(list_.endpoints());
   const auto source = change.kind == EndpointUpdate::Kind::staleCopy
                           ? membership::StartTimes::Source::persistedCopy
                           : membership::StartTimes::Source::discovery;
--- a/src/platform/process/endpoint_publisher.h
+++ b/src/platform/process/endpoint_publisher.h
@@ -1,5 +1,4 @@
-/// Carries discovery's list of endpoints to all who route by it: the connections to engines, the router core
-/// and the log.
+/// Publishes discovery's list of endpoints to its consumers: the engine client, the router core and the log.
 #pragma once
 
 #include "membership/start_times.h"
@@ -12,29 +11,29 @@
 
 namespace garnethook::platform {
 
-/// Owns the list of endpoints and publishes each change of it. Runs on the loop's thread.
+/// Owns the list of endpoints and publishes every change to it. Runs on the loop's thread.
 class EndpointPublisher final : public Watch::Listener {
  public:
-  /// `names`: kinds and zones of the settings. All references must outlive the publisher.
-  EndpointPublisher(const net::Loop& loop, membership::KindAndZoneNames names, PlatformEngineClient& engines,
-                    routing::Router& router, RouterLogger& logger);
+  /// `names`: kinds and zones from the settings. All references must outlive the publisher.
+  EndpointPublisher(const net::Loop& loop, membership::KindAndZoneNames names,
+                    PlatformEngineClient& engineClient, routing::Router& router, RouterLogger& logger);
 
-  /// Begins with a stored copy of an earlier list and publishes it.
+  /// Restores a stored copy of an earlier list and publishes it as stale.
   void restore(const membership::EndpointMap& endpoints, std::int64_t version);
 
-  /// The present list.
+  /// The current list.
   const EndpointList& list() const { return list_; }
 
-  /// Whether discovery has sent a list.
+  /// Whether discovery has sent a list since the start.
   bool hasReceivedList() const { return hasReceivedList_; }
 
-  /// Applies a list of discovery.
+  /// Applies a snapshot or delta from discovery and publishes the resulting change.
   void onListUpdate(const EndpointListUpdate& update) override;
-  /// Logs the failure; the list stays as it is.
+  /// Logs the error; the list is unchanged.
   void onWatchError(const std::string& address, const WatchError& error) override;
-  /// Revision of the present list.
+  /// Revision of the current list.
   std::int64_t currentListVersion() const override { return list_.version(); }
-  /// Dates the starts of endpoints that appear later.
+  /// Records contact with discovery, which bounds the start times of endpoints that are reported later.
   void onWatchAlive() override;
 
  private:
@@ -42,7 +41,7 @@
 
   const net::Loop& loop_;
   membership::KindAndZoneNames names_;
-  PlatformEngineClient& engines_;
+  PlatformEngineClient& engineClient_;
   routing::Router& router_;
   RouterLogger& logger_;
   EndpointList list_;
--- a/src/platform/process/graceful_shutdown.cpp
+++ b/src/platform/process/graceful_shutdown.cpp
@@ -12,8 +12,12 @@
 }  // namespace
 
 GracefulShutdown::GracefulShutdown(timing::Timers& timers, HttpFrontend& frontend,
-                                   const routing::Router& router, Micros repeatLimit)
-    : frontend_(frontend), router_(router), timers_(timers), repeatLimit_(repeatLimit), alarm_(timers) {}
+                                   const routing::Router& router, Micros releaseRepeatLimit)
+    : frontend_(frontend),
+      router_(router),
+      timers_(timers),
+      releaseRepeatLimit_(releaseRepeatLimit),
+      alarm_(timers) {}
 
 void GracefulShutdown::begin(std::function<void()> onFinished) {
   if (hasBegun()) return;
@@ -21,7 +25,7 @@
   begunAt_ = timers_.now();
   onFinished_ = std::move(onFinished);
   frontend_.drain();
-  alarm_.start(kAcceptAfterStop, [this] { stopAccepting(); });
+  alarm_.start(kAcceptTimeAfterStop, [this] { stopAccepting(); });
 }
 
 void GracefulShutdown::stopAccepting() {
@@ -40,14 +44,14 @@
   const bool hasRequests =
       router_.pendingRequests() > 0 || router_.activeRequests() > 0 || frontend_.openRequests() > 0;
   const bool hasConnections = frontend_.accepting() || frontend_.connections() > 0;
-  return !hasRequests && !hasConnections && !hasKvReservations();
+  return !hasRequests && !hasConnections && !isWaitingForReleases();
 }
 
-// State that an engine leaves after this process has ended would be released by nobody.
-bool GracefulShutdown::hasKvReservations() const {
+// KV state that an engine still keeps when this process exits would never be released.
+bool GracefulShutdown::isWaitingForReleases() const {
   const auto& reservations = router_.kvReservations();
   if (reservations.reservationCount() + reservations.unconfirmedReleaseCount() > 0) return true;
-  return reservations.pendingReleaseCount() > 0 && timers_.now() - begunAt_ < repeatLimit_;
+  return reservations.pendingReleaseCount() > 0 && timers_.now() - begunAt_ < releaseRepeatLimit_;
 }
 
 }  // namespace garnethook::platform
--- a/src/platform/process/graceful_shutdown.h
+++ b/src/platform/process/graceful_shutdown.h
@@ -1,5 +1,5 @@
-/// The graceful end of a router: it accepts connections a little longer, finishes what is open and then
-/// reports that the process may end.
+/// Graceful shutdown of a router: keeps accepting connections for a short time, finishes open requests and KV
+/// releases, then reports that the process may exit.
 #pragma once
 
 #include <cstdint>
@@ -11,45 +11,46 @@
 
 namespace garnethook::platform {
 
-/// A state machine that passes through its states once, in their order. Runs on the loop's thread.
+/// A state machine that passes through its states once, in the order of their declaration. Runs on the loop's
+/// thread.
 class GracefulShutdown {
  public:
-  /// The phases of a shutdown.
+  /// The states of a shutdown.
   enum class State : std::uint8_t {
-    serving,    ///< It has not begun.
-    accepting,  ///< The router says that it is not ready, but still accepts connections.
-    draining,   ///< No connection is accepted any more; open requests and KV releases are finished.
-    finished,   ///< Nothing is left.
+    serving,    ///< The shutdown has not begun.
+    accepting,  ///< The router reports not ready but still accepts connections.
+    draining,   ///< No new connections; waits for open requests and KV releases.
+    finished,   ///< All requests, connections and KV releases have ended.
   };
 
   /// The frontend and the router must outlive the shutdown.
-  /// @param timers runs everything
-  /// @param frontend is drained and closed
-  /// @param router whose requests and KV releases are waited for
-  /// @param repeatLimit repeats of confirmed KV releases are not waited for any longer than this after
-  ///        begin(), in microseconds
+  /// @param timers runs the timers of the shutdown
+  /// @param frontend the frontend to drain and close
+  /// @param router the router whose requests and KV releases must finish
+  /// @param releaseRepeatLimit longest time after begin() to wait for repeats of confirmed KV releases, in
+  ///        microseconds
   GracefulShutdown(timing::Timers& timers, HttpFrontend& frontend, const routing::Router& router,
-                   Micros repeatLimit);
+                   Micros releaseRepeatLimit);
 
-  /// Begins; calls `onFinished` in the end. A second call does nothing.
+  /// Begins the shutdown; `onFinished` is called once it has finished. A second call has no effect.
   void begin(std::function<void()> onFinished);
 
-  /// Whether it has begun.
+  /// Whether begin() has been called.
   bool hasBegun() const { return state_ != State::serving; }
 
-  /// The present state.
+  /// The current state.
   State state() const { return state_; }
 
  private:
   void stopAccepting();
   void finishWhenDrained();
   bool isDrained() const;
-  bool hasKvReservations() const;
+  bool isWaitingForReleases() const;
 
   HttpFrontend& frontend_;
   const routing::Router& router_;
   timing::Timers& timers_;
-  Micros repeatLimit_;
+  Micros releaseRepeatLimit_;
   Micros begunAt_ = 0;
   timing::Alarm alarm_;
   State state_ = State::serving;
--- a/src/platform/process/resource_budget.h
+++ b/src/platform/process/resource_budget.h
@@ -1,4 +1,4 @@
-/// How the process's resource limits are divided among its parts. Free of I/O and clocks.
+/// Divides the process's resource limits among its components. Free of I/O and clocks.
 #pragma once
 
 #include <cstddef>
@@ -7,19 +7,19 @@
 
 namespace garnethook::platform {
 
-/// Bounds for the parts of one router process.
+/// Bounds on the connections and buffers of one router process.
 struct ResourceBudget {
-  std::size_t clientConnections = 0;   ///< Open connections of clients.
-  std::size_t closingConnections = 0;  ///< Connections closed here whose clients have not closed theirs yet.
-  std::size_t attemptConnections = 0;  ///< Connections to engines that carry attempts, or are idle.
-  std::size_t controlConnections = 0;  ///< Connections to engines that carry KV releases and probes.
-  std::size_t requestBodyBytes = 0;    ///< Bodies of all open requests together.
+  std::size_t clientConnections = 0;   ///< Open client connections.
+  std::size_t closingConnections = 0;  ///< Connections closed by the router but not yet by the client.
+  std::size_t attemptConnections = 0;  ///< Engine connections that carry attempts or are idle.
+  std::size_t controlConnections = 0;  ///< Engine connections for KV releases and probes.
+  std::size_t requestBodyBytes = 0;    ///< Total size of the bodies of all open requests.
 };
 
-/// Divides the limits. Some descriptors are the process's own: the loop, logs, the listener, discovery. Of
-/// the rest clients get half, attempts a little over a third, and control connections a twelfth, since
-/// releases and probes have to go out even when all attempts are out. A twentieth is left for closing
-/// connections.
-ResourceBudget divideLimits(const Limits& limits);
+/// Divides the limits. Some descriptors are reserved for the process itself: the loop, logs, the listener and
+/// discovery. Of the rest, client connections get half, attempts a little over a third and control
+/// connections a twelfth, because releases and probes must be sent even when all attempt connections are in
+/// use. A twentieth is left for closing connections.
+ResourceBudget makeResourceBudget(const Limits& limits);
 
 }  // namespace garnethook::platform
--- a/src/platform/process/router_logger.cpp
+++ b/src/platform/process/router_logger.cpp
@@ -7,10 +7,10 @@
 namespace garnethook::platform {
 namespace {
 
-constexpr std::size_t kMaxRejectionCauses = 32;  // that are logged between two resets
+constexpr std::size_t kMaxLoggedRejectionCauses = 32;  // logged between two resets
 constexpr Micros kMicrosPerMillisecond = 1000;
 
-std::string_view stateMark(EndpointState state) {
+std::string_view stateSymbol(EndpointState state) {
   switch (state) {
     case EndpointState::running: return "+";
     case EndpointState::draining: return "~";
@@ -23,7 +23,7 @@
   std::string text;
   if (change.kind != EndpointUpdate::Kind::delta) return text;
   for (const auto& [name, endpoint] : change.entries)
-    text.append(text.empty() ? "" : " ").append(name).append(stateMark(endpoint.state));
+    text.append(text.empty() ? "" : " ").append(name).append(stateSymbol(endpoint.state));
   return text;
 }
 
@@ -66,13 +66,13 @@
 }
 
 void RouterLogger::logRejection(int status, std::string_view cause) {
-  if (loggedRejectionCauses_.size() >= kMaxRejectionCauses) return;
+  if (loggedRejectionCauses_.size() >= kMaxLoggedRejectionCauses) return;
   if (loggedRejectionCauses_.emplace(cause).second)
     log_.info("rejected", {{"status", status}, {"cause", cause}});
 }
 
-void RouterLogger::logConnectionClosed(CloseReason reason, std::string_view trace, bool wasResponseOwed) {
-  if (wasResponseOwed)
+void RouterLogger::logConnectionClosed(CloseReason reason, std::string_view trace, bool wasResponsePending) {
+  if (wasResponsePending)
     log_.error("rule-violation",
                {{"rule", "closed-without-response"}, {"reason", name(reason)}, {"trace", trace}});
   if (log_.debugs()) log_.debug("client-closed", {{"reason", name(reason)}, {"trace", trace}});
@@ -157,8 +157,8 @@
 void RouterLogger::onActionFailed(const std::string& what) { log_.error("internal", {{"error", what}}); }
 
 void RouterLogger::onPolicyLog(const std::string& text) {
-  const auto nameOf = [this](EndpointId id) { return endpointName(id); };
-  log_.info("policy", {{"text", routing::withNames(text, nameOf)}});
+  const auto resolveName = [this](EndpointId id) { return endpointName(id); };
+  log_.info("policy", {{"text", routing::withNames(text, resolveName)}});
 }
 
 }  // namespace garnethook::platform
--- a/src/platform/process/router_logger.h
+++ b/src/platform/process/router_logger.h
@@ -1,5 +1,5 @@
-/// Log lines of a running router: what happens to requests, attempts, connections and the endpoint list. The
-/// names of events and keys are listed in docs/on-call.md.
+/// Log lines of a running router about requests, attempts, connections and the endpoint list. The names of
+/// events and keys are listed in docs/on-call.md.
 #pragma once
 
 #include <cstddef>
@@ -17,33 +17,33 @@
 
 namespace garnethook::platform {
 
-/// Observes the router and writes a line for each event. Runs on the loop's thread.
+/// Observes the router and writes a log line for each event. Runs on the loop's thread.
 class RouterLogger final : public routing::Observer {
  public:
-  /// `classNames`: request classes, in the order of the settings.
+  /// `classNames`: names of the request classes, in the order of the settings.
   RouterLogger(log::Log log, std::vector<std::string> classNames);
 
-  /// Unusable entries of a list: one line for each cause, however many entries have it.
+  /// Logs the unusable entries of a list: one line per cause, with the number of entries.
   void logEntryErrors(const std::vector<EntryError>& errors);
 
-  /// The list of endpoints has changed. Also learns the names that later lines use.
+  /// Logs a change of the endpoint list, and stores the endpoint names for later lines.
   void logEndpointList(const EndpointListChange& change, const EndpointList& list);
 
-  /// A watch of discovery failed.
+  /// Logs an error of the discovery watch.
   void logWatchError(const std::string& address, const WatchError& error);
 
-  /// A client's request could not be read, or asked for nothing there is. One line for each cause between two
-  /// calls of `resetRejectionCauses`; the status line counts all.
+  /// Logs a request that could not be decoded or asked for an unknown resource. Writes one line per cause
+  /// between two calls of `resetRejectionCauses`; the status line counts all rejections.
   void logRejection(int status, std::string_view cause);
 
-  /// Lets each cause of rejections have its line again.
+  /// Allows each cause of rejections to be logged again.
   void resetRejectionCauses() { loggedRejectionCauses_.clear(); }
 
-  /// A client's connection ended. `trace`: of its open request; `wasResponseOwed`: that request still had a
-  /// response to get, which violates a rule.
-  void logConnectionClosed(CloseReason reason, std::string_view trace, bool wasResponseOwed);
+  /// Logs the end of a client's connection. `trace`: trace id of its open request; `wasResponsePending`: that
+  /// request had not received its response, which violates a rule.
+  void logConnectionClosed(CloseReason reason, std::string_view trace, bool wasResponsePending);
 
-  /// An action or a task of the loop threw. Implements routing::Observer.
+  /// Logs an exception from an action of the router or a task of the loop.
   void onActionFailed(const std::string& what) override;
 
  private:
@@ -64,7 +64,7 @@
   log::Log log_;
   std::vector<std::string> classNames_;
   std::map<std::uint64_t, std::string> endpointNames_;
-  std::set<std::string, std::less<>> loggedRejectionCauses_;  // since the latest reset
+  std::set<std::string, std::less<>> loggedRejectionCauses_;  // since the last reset
 };
 
 }  // namespace garnethook::platform
--- a/src/platform/process/router_options.h
+++ b/src/platform/process/router_options.h
@@ -1,4 +1,5 @@
-/// Translates the process's configuration into the options of its parts. Free of I/O and clocks.
+/// Derives the options of the router core, the engine client and the frontend from the configuration. Free of
+/// I/O and clocks.
 #pragma once
 
 #include <string>
@@ -14,13 +15,13 @@
 /// Options of the router core.
 routing::Options makeRoutingOptions(const PlatformConfig& config, const ResourceBudget& budget);
 
-/// Options of the connections to engines.
+/// Options of the engine client.
 engine::Options makeEngineOptions(const PlatformConfig& config, const ResourceBudget& budget);
 
 /// Options of the HTTP frontend.
 HttpFrontend::Options makeFrontendOptions(const ResourceBudget& budget);
 
-/// The name of the zone that this router is in; empty where the settings name none.
+/// The name of this router's zone; empty where the settings name none.
 std::string ownZoneName(const deployment_config::DeploymentConfig& deployment);
 
 }  // namespace garnethook::platform
--- a/src/platform/process/router_process.cpp
+++ b/src/platform/process/router_process.cpp
@@ -26,16 +26,16 @@
       config_(std::move(config)),
       log_(std::move(log)),
       logger_(log_, config_.deployment.classNames),
-      budget_(divideLimits(config_.limits)),
-      engines_(loop, makeEngineOptions(config_, budget_), config_.deployment.report,
-               config_.deployment.settings.kvReleaseTimeout, ownZoneName(config_.deployment),
-               config_.deployment.settings.canProbe),
+      budget_(makeResourceBudget(config_.limits)),
+      engineClient_(loop, makeEngineOptions(config_, budget_), config_.deployment.report,
+                    config_.deployment.settings.kvReleaseTimeout, ownZoneName(config_.deployment),
+                    config_.deployment.settings.canProbe),
       statusAlarm_(loop),
       startedAt_(loop.now()) {
   startRouting();
   startFrontend();
   loop_.onTaskFailed([this](const std::string& what) { logger_.onActionFailed(what); });
-  startStatusReports();
+  startStatusLogging();
 }
 
 RouterProcess::~RouterProcess() {
@@ -47,31 +47,31 @@
 
 void RouterProcess::startRouting() {
   logger_.logEntryErrors(config_.lastKnownErrors);
-  router_ = std::make_unique<routing::Router>(makeRoutingOptions(config_, budget_), loop_, engines_,
+  router_ = std::make_unique<routing::Router>(makeRoutingOptions(config_, budget_), loop_, engineClient_,
                                               static_cast<routing::Observer&>(logger_));
-  engines_.setEvents(*router_);
-  endpoints_ = std::make_unique<EndpointPublisher>(
+  engineClient_.setEvents(*router_);
+  endpointPublisher_ = std::make_unique<EndpointPublisher>(
       loop_, membership::KindAndZoneNames{config_.deployment.kindNames, config_.deployment.zoneNames},
-      engines_, *router_, logger_);
-  endpoints_->restore(config_.lastKnownEndpoints, config_.lastKnownVersion);
-  watch_ = std::make_unique<Watch>(loop_, config_.discoveryAddress, *endpoints_);
+      engineClient_, *router_, logger_);
+  endpointPublisher_->restore(config_.lastKnownEndpoints, config_.lastKnownVersion);
+  watch_ = std::make_unique<Watch>(loop_, config_.discoveryAddress, *endpointPublisher_);
 }
 
 void RouterProcess::startFrontend() {
   HttpFrontend::Events events;
   events.ready = [this] { return isReady(); };
   events.rejected = [this](int status, std::string_view cause) { logger_.logRejection(status, cause); };
-  events.closed = [this](CloseReason reason, std::string_view trace, bool wasResponseOwed) {
-    logger_.logConnectionClosed(reason, trace, wasResponseOwed);
+  events.closed = [this](CloseReason reason, std::string_view trace, bool wasResponsePending) {
+    logger_.logConnectionClosed(reason, trace, wasResponsePending);
   };
   frontend_ = std::make_unique<HttpFrontend>(loop_, Poco::Net::SocketAddress(config_.listenAddress),
                                              makeFrontendOptions(budget_), config_.deployment, *router_,
                                              std::move(events));
   shutdown_ = std::make_unique<GracefulShutdown>(
-      loop_, *frontend_, *router_, shutdownRepeatLimit(longestDeadline(config_.deployment.settings)));
+      loop_, *frontend_, *router_, shutdownReleaseRepeatLimit(longestDeadline(config_.deployment.settings)));
 }
 
-void RouterProcess::startStatusReports() {
+void RouterProcess::startStatusLogging() {
   log_.info("listening", {{"name", config_.name},
                           {"address", address().toString()},
                           {"discovery", config_.discoveryAddress},
@@ -87,10 +87,10 @@
   statusAlarm_.start(kStatusInterval, [this] { logStatus(); });
 }
 
-// With a stored list the router need not wait for discovery for long.
+// A router with a stored list becomes ready after kInitialListTimeout even without a list from discovery.
 bool RouterProcess::isReady() const {
   if (shutdown_->hasBegun() || endpointList().endpoints().empty()) return false;
-  return endpoints_->hasReceivedList() || loop_.now() - startedAt_ >= kInitialListTimeout;
+  return endpointPublisher_->hasReceivedList() || loop_.now() - startedAt_ >= kInitialListTimeout;
 }
 
 void RouterProcess::reload(const PlatformConfig& config) {
@@ -109,7 +109,7 @@
 }
 
 std::string RouterProcess::statusSummary() const {
-  return summarizeStatus({*router_, *frontend_, engines_, loop_.failedTasks(), loop_.now()});
+  return summarizeStatus({*router_, *frontend_, engineClient_, loop_.failedTasks(), loop_.now()});
 }
 
 }  // namespace garnethook::platform
--- a/src/platform/process/router_process.h
+++ b/src/platform/process/router_process.h
@@ -1,5 +1,5 @@
-/// One router on the platform, put together: configuration, discovery, connections to engines, the router
-/// core, the HTTP frontend; its reload and its shutdown.
+/// Assembles one router on the platform from its configuration, the discovery watch, the engine client, the
+/// router core and the HTTP frontend, and implements its reload and shutdown.
 #pragma once
 
 #include <functional>
@@ -19,36 +19,38 @@
 
 namespace garnethook::platform {
 
-/// A running router. Lives on one loop, on whose thread all of it is called.
+/// A running router. Bound to one loop; all members must be called on the loop's thread.
 class RouterProcess final {
  public:
-  /// Listens at once; throws Poco::Net::NetException where that fails. The loop must outlive the process.
+  /// Starts listening; throws Poco::Net::NetException if that fails. The loop must outlive the router
+  /// process.
   RouterProcess(net::Loop& loop, PlatformConfig config, log::Log log);
   ~RouterProcess();
   RouterProcess(const RouterProcess&) = delete;
   RouterProcess& operator=(const RouterProcess&) = delete;
 
-  /// Takes over what a new configuration may change under a running router: discovery's address.
+  /// Applies the part of a new configuration that can change at run time: discovery's address.
   void reload(const PlatformConfig& config);
 
-  /// Accepts requests a little longer, finishes the open ones, then calls `onFinished`.
+  /// Starts a graceful shutdown: accepts requests for a short time, finishes the open ones, then calls
+  /// `onFinished`.
   void shutDown(std::function<void()> onFinished);
 
-  /// The address that the frontend listens at.
+  /// The address that the frontend listens on.
   Poco::Net::SocketAddress address() const { return frontend_->address(); }
-  /// The router core, for its counters.
+  /// The router core, whose counters can be read.
   const routing::Router& router() const { return *router_; }
-  /// The frontend, for its counters.
+  /// The frontend, whose counters can be read.
   const HttpFrontend& frontend() const { return *frontend_; }
-  /// The present list of endpoints.
-  const EndpointList& endpointList() const { return endpoints_->list(); }
-  /// The counters as one line of text.
+  /// The current list of endpoints.
+  const EndpointList& endpointList() const { return endpointPublisher_->list(); }
+  /// The counters and gauges as one line of text.
   std::string statusSummary() const;
 
  private:
   void startRouting();
   void startFrontend();
-  void startStatusReports();
+  void startStatusLogging();
   void logStatus();
   bool isReady() const;
 
@@ -57,9 +59,9 @@
   log::Log log_;
   RouterLogger logger_;
   ResourceBudget budget_;
-  PlatformEngineClient engines_;
+  PlatformEngineClient engineClient_;
   std::unique_ptr<routing::Router> router_;
-  std::unique_ptr<EndpointPublisher> endpoints_;
+  std::unique_ptr<EndpointPublisher> endpointPublisher_;
   std::unique_ptr<HttpFrontend> frontend_;
   std::unique_ptr<GracefulShutdown> shutdown_;
   std::unique_ptr<Watch> watch_;
--- a/src/platform/process/status_summary.cpp
+++ b/src/platform/process/status_summary.cpp
@@ -10,7 +10,7 @@
 constexpr std::uint64_t kBytesPerKibibyte = 1024;
 constexpr Micros kMicrosPerMillisecond = 1000;
 
-// Resident memory in bytes, from proc(5) statm; 0 where that cannot be read.
+// Resident memory in bytes, from /proc/self/statm; 0 if it cannot be read.
 std::uint64_t residentBytes() {
   unsigned long long totalPages = 0;
   unsigned long long residentPages = 0;
@@ -21,21 +21,21 @@
   return residentPages * kPageBytes;
 }
 
-// Builds "first 1, second 2; third 3".
+// Builds text of the form "first 1, second 2; third 3".
 class SummaryText {
  public:
-  SummaryText& count(std::string_view label, std::uint64_t value) {
+  SummaryText& addCount(std::string_view label, std::uint64_t value) {
     text_.append(separator_).append(label).append(" ").append(std::to_string(value));
     separator_ = ", ";
     return *this;
   }
-  SummaryText& section(std::string_view title = {}) {
+  SummaryText& beginSection(std::string_view title = {}) {
     text_.append("; ").append(title);
     separator_ = title.empty() ? "" : " ";
     return *this;
   }
-  // Further counts of this section are separated by blanks alone.
-  SummaryText& item(std::string_view label, std::uint64_t value) {
+  // Adds a counter that is separated by a space instead of a comma.
+  SummaryText& addItem(std::string_view label, std::uint64_t value) {
     text_.append(" ").append(label).append(" ").append(std::to_string(value));
     return *this;
   }
@@ -48,59 +48,59 @@
 
 void addRequests(SummaryText& text, const routing::Router& router) {
   const auto& counters = router.counters();
-  text.count("received", counters.accepted)
-      .count("completed", counters.completed)
-      .count("rejected", counters.rejected)
-      .count("failed", counters.failed)
-      .count("cancelled", counters.cancelled)
-      .count("open", router.pendingRequests())
-      .count("attempts", counters.attempts);
-  text.section("causes");
-  for (const auto& [cause, count] : counters.failureReasons) text.item(name(cause), count);
-  text.section("outcomes");
-  for (const auto& [outcome, count] : counters.outcomes) text.item(routing::name(outcome), count);
+  text.addCount("received", counters.accepted)
+      .addCount("completed", counters.completed)
+      .addCount("rejected", counters.rejected)
+      .addCount("failed", counters.failed)
+      .addCount("cancelled", counters.cancelled)
+      .addCount("open", router.pendingRequests())
+      .addCount("attempts", counters.attempts);
+  text.beginSection("causes");
+  for (const auto& [cause, count] : counters.failureReasons) text.addItem(name(cause), count);
+  text.beginSection("outcomes");
+  for (const auto& [outcome, count] : counters.outcomes) text.addItem(routing::name(outcome), count);
 }
 
 void addKvReservations(SummaryText& text, const routing::KvReservationTracker& reservations, Micros now) {
-  text.section()
-      .count("kv reservations", reservations.reservationCount())
-      .count("releases in flight", reservations.unconfirmedReleaseCount())
-      .count("oldest ms",
-             static_cast<std::uint64_t>(reservations.oldestUnconfirmedRelease(now) / kMicrosPerMillisecond))
-      .count("repeating", reservations.pendingReleaseCount() - reservations.unconfirmedReleaseCount())
-      .count("repeated", reservations.repeatedCount())
-      .count("released", reservations.releasedCount())
-      .count("abandoned", reservations.abandonedCount())
-      .count("slowest release ms",
-             static_cast<std::uint64_t>(reservations.longestRelease() / kMicrosPerMillisecond));
+  text.beginSection()
+      .addCount("kv reservations", reservations.reservationCount())
+      .addCount("releases in flight", reservations.unconfirmedReleaseCount())
+      .addCount("oldest ms", static_cast<std::uint64_t>(reservations.oldestUnconfirmedRelease(now) /
+                                                        kMicrosPerMillisecond))
+      .addCount("repeating", reservations.pendingReleaseCount() - reservations.unconfirmedReleaseCount())
+      .addCount("repeated", reservations.repeatedCount())
+      .addCount("released", reservations.releasedCount())
+      .addCount("abandoned", reservations.abandonedCount())
+      .addCount("slowest release ms",
+                static_cast<std::uint64_t>(reservations.longestRelease() / kMicrosPerMillisecond));
 }
 
 void addClients(SummaryText& text, const HttpFrontend& frontend) {
   const auto& counters = frontend.counters();
-  text.section()
-      .count("clients", frontend.connections())
-      .item("of", counters.accepted)
-      .count("rejected", counters.rejected)
-      .count("timed out", counters.timedOut)
-      .count("evicted", counters.evicted)
-      .count("over capacity", counters.overfull)
-      .count("closed idle", counters.idled);
+  text.beginSection()
+      .addCount("clients", frontend.connections())
+      .addItem("of", counters.accepted)
+      .addCount("rejected", counters.rejected)
+      .addCount("timed out", counters.timedOut)
+      .addCount("evicted", counters.evicted)
+      .addCount("over capacity", counters.overfull)
+      .addCount("closed idle", counters.idled);
 }
 
-void addEngineConnections(SummaryText& text, const PlatformEngineClient& engines) {
-  const auto& pool = engines.pool();
-  text.section("engine connections")
-      .count("busy", pool.busyConnections())
-      .count("idle", pool.idleConnections())
-      .count("opened", pool.opened())
-      .count("releases waiting", engines.waitingReleases());
+void addEngineConnections(SummaryText& text, const PlatformEngineClient& engineClient) {
+  const auto& pool = engineClient.pool();
+  text.beginSection("engine connections")
+      .addCount("busy", pool.busyConnections())
+      .addCount("idle", pool.idleConnections())
+      .addCount("opened", pool.opened())
+      .addCount("releases waiting", engineClient.waitingReleases());
 }
 
 void addCloseReasons(SummaryText& text, const HttpFrontend& frontend) {
   const auto& closed = frontend.counters().closed;
-  text.section("closed");
+  text.beginSection("closed");
   for (std::size_t index = 0; index < closed.size(); ++index)
-    if (closed[index] > 0) text.item(name(static_cast<CloseReason>(index)), closed[index]);
+    if (closed[index] > 0) text.addItem(name(static_cast<CloseReason>(index)), closed[index]);
 }
 
 }  // namespace
@@ -110,12 +110,13 @@
   addRequests(text, sources.router);
   addKvReservations(text, sources.router.kvReservations(), sources.now);
   addClients(text, sources.frontend);
-  addEngineConnections(text, sources.engines);
+  addEngineConnections(text, sources.engineClient);
   addCloseReasons(text, sources.frontend);
-  text.section()
-      .count("violations", sources.router.ruleGuard().total() + sources.frontend.counters().closedUnanswered)
-      .count("internal failures", sources.router.counters().failedActions + sources.failedTasks);
-  text.section().count("resident KiB", residentBytes() / kBytesPerKibibyte);
+  text.beginSection()
+      .addCount("violations",
+                sources.router.ruleGuard().total() + sources.frontend.counters().closedUnanswered)
+      .addCount("internal failures", sources.router.counters().failedActions + sources.failedTasks);
+  text.beginSection().addCount("resident KiB", residentBytes() / kBytesPerKibibyte);
   return text.take();
 }
 
--- a/src/platform/process/status_summary.h
+++ b/src/platform/process/status_summary.h
@@ -1,4 +1,4 @@
-/// The counters of a router process as one line of text, for its log.
+/// Formats the counters of a router process as one line of text for its log.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,16 @@
 
 namespace garnethook::platform {
 
-/// What the summary is made of. The references must be valid for the call.
+/// Sources of the summary. The references must remain valid during the call.
 struct StatusSources {
-  const routing::Router& router;        ///< Requests, attempts, KV reservations, violations.
-  const HttpFrontend& frontend;         ///< Clients' connections.
-  const PlatformEngineClient& engines;  ///< Connections to engines.
-  std::uint64_t failedTasks = 0;        ///< Tasks of the loop that threw.
-  Micros now = 0;                       ///< The current time on the monotonic clock.
+  const routing::Router& router;             ///< Requests, attempts, KV reservations, violations.
+  const HttpFrontend& frontend;              ///< Client connections.
+  const PlatformEngineClient& engineClient;  ///< Engine connections.
+  std::uint64_t failedTasks = 0;             ///< Tasks of the loop that threw.
+  Micros now = 0;                            ///< The current time on the monotonic clock.
 };
 
-/// The counters since the start. docs/platform.md explains the words.
+/// Returns the counters since the start. The labels are explained in docs/platform.md.
 std::string summarizeStatus(const StatusSources& sources);
 
 }  // namespace garnethook::platform
--- a/src/platform/process/timeouts.h
+++ b/src/platform/process/timeouts.h
@@ -1,4 +1,5 @@
-/// Timeouts of a router process that no setting gives. All in microseconds.
+/// Timeouts of a router process that are not configurable, and defaults for those that are. All in
+/// microseconds.
 #pragma once
 
 #include <algorithm>
@@ -7,33 +8,33 @@
 
 namespace garnethook::platform {
 
-/// A router that begins with a stored list is ready without any word of discovery after this.
+/// A router that starts with a stored list becomes ready after this time even if discovery has sent no list.
 inline constexpr Micros kInitialListTimeout = 500'000;
 
-/// New connections are accepted for so long after the signal to stop, as the load balancer in front may not
-/// know of it yet.
-inline constexpr Micros kAcceptAfterStop = 600'000;
+/// How long new connections are accepted after the signal to stop, since the load balancer may still send
+/// some until it notices that the router is not ready.
+inline constexpr Micros kAcceptTimeAfterStop = 600'000;
 
-/// For how long a shutdown waits for repeats of confirmed KV releases. The platform kills a process that was
-/// told to stop after the longest deadline, or 3 s where that is longer, and 0.7 s.
-inline Micros shutdownRepeatLimit(Micros longestDeadline) {
-  constexpr Micros kMaxDeadline = 3'000'000;
-  constexpr Micros kBeforeKill = 500'000;
-  return std::min(longestDeadline, kMaxDeadline) + kBeforeKill;
+/// How long a shutdown waits for repeats of confirmed KV releases. After the signal to stop, the platform
+/// kills the process once the longest deadline, but at most 3 s, plus 0.7 s have passed.
+inline Micros shutdownReleaseRepeatLimit(Micros longestDeadline) {
+  constexpr Micros kMaxDeadlineWait = 3'000'000;
+  constexpr Micros kWaitAfterDeadline = 500'000;
+  return std::min(longestDeadline, kMaxDeadlineWait) + kWaitAfterDeadline;
 }
 
-/// Longest time between two events of a response. Clients are known to wait up to five seconds.
+/// Longest time between two events of a response. Clients wait up to five seconds.
 inline constexpr Micros kStreamSilenceTimeout = 4'500'000;
 
-/// Connect timeout to engines where the settings give none.
+/// Connect timeout for engines if none is configured.
 inline constexpr Micros kDefaultConnectTimeout = 250'000;
 
-/// KV release timeout where the settings give none.
+/// KV release timeout if none is configured.
 inline constexpr Micros kDefaultKvReleaseTimeout = 500'000;
 
-/// When this side closes an idle connection to an engine. `advertised`: when the engine does, 0 where that is
-/// not known. This side is well ahead, since a request that crosses the engine's close may have been
-/// executed.
+/// Idle time after which the router closes a connection to an engine. `advertised`: the engine's own idle
+/// timeout, 0 if unknown. The router closes well before the engine, since a request that is in flight when
+/// the engine closes the connection is possibly executed.
 inline Micros engineIdleTimeout(Micros advertised) {
   constexpr Micros kMaxIdleTimeout = 30'000'000;
   constexpr Micros kDefaultIdleTimeout = 10'000'000;
--- a/tests/platform/process/router_logger_test.cpp
+++ b/tests/platform/process/router_logger_test.cpp
@@ -1,4 +1,4 @@
-// Golden: the log lines of a running router, with the names of their events and keys (docs/on-call.md).
+// Golden test of the log lines of a running router: their event names and keys, as listed in docs/on-call.md.
 #include "platform/process/router_logger.h"
 
 #include <gtest/gtest.h>
@@ -36,7 +36,7 @@
   }
   ~RouterLoggerTest() override { std::filesystem::remove(path_); }
 
-  // The lines so far, without their time, level and router.
+  // All lines logged so far, without the keys `time`, `level` and `router`.
   std::vector<Line> lines() {
     log_.flush();
     std::ifstream file(path_);
@@ -50,7 +50,7 @@
     }
     return result;
   }
-  // The only line so far.
+  // The only line logged so far.
   std::string line() {
     const auto all = lines();
     EXPECT_EQ(all.size(), 1u);
@@ -75,7 +75,7 @@
             R"({"event":"endpoint-list","version":0,"endpoints":0,"stale_copy":false,"changes":"a+ b~ c-"})");
 }
 
-TEST_F(RouterLoggerTest, LogsOneLineForEachCauseOfEntryErrors) {
+TEST_F(RouterLoggerTest, LogsOneLinePerCauseOfEntryErrors) {
   const EntryError missing{EntryErrorCode::missing, "id"};
   logger_.logEntryErrors({missing, missing, {EntryErrorCode::notAnObject, ""}});
   const auto all = lines();
@@ -89,7 +89,7 @@
   EXPECT_EQ(line(), R"({"event":"discovery","error":"h:1: silent"})");
 }
 
-TEST_F(RouterLoggerTest, LogsEachCauseOfRejectionsOnceUntilItIsReset) {
+TEST_F(RouterLoggerTest, LogsEachRejectionCauseOnceUntilReset) {
   logger_.logRejection(400, "malformed");
   logger_.logRejection(400, "malformed");
   EXPECT_EQ(line(), R"({"event":"rejected","status":400,"cause":"malformed"})");
@@ -98,7 +98,7 @@
   EXPECT_EQ(lines().size(), 2u);
 }
 
-TEST_F(RouterLoggerTest, LogsAConnectionThatOwedAResponseAsAViolation) {
+TEST_F(RouterLoggerTest, LogsAConnectionClosedWithoutAResponseAsAViolation) {
   logger_.logConnectionClosed(CloseReason::unreadResponse, "trace", true);
   const auto all = lines();
   ASSERT_EQ(all.size(), 2u);
@@ -165,8 +165,8 @@
   EXPECT_EQ(all[5].dump(), R"({"event":"internal","error":"what"})");
 }
 
-// The routing policy knows endpoints by numbers; lines have their names.
-TEST_F(RouterLoggerTest, LogsThePolicysTextWithTheNamesOfEndpoints) {
+// The routing policy identifies endpoints by number; log lines contain their names.
+TEST_F(RouterLoggerTest, ReplacesEndpointNumbersByNamesInPolicyLogText) {
   const EndpointId id = membership::endpointId("engine-a");
   EndpointListChange change;
   change.kind = EndpointUpdate::Kind::snapshot;
