--- a/src/platform/config/platform_config.cpp
+++ b/src/platform/config/platform_config.cpp
@@ -18,7 +18,7 @@
 using nlohmann::json;
 
 constexpr std::uint64_t kDefaultSeed = 1;
-constexpr int kHexadecimal = 16;
+constexpr int kHexadecimalBase = 16;
 constexpr double kBytesPerMegabyte = 1024.0 * 1024.0;
 
 constexpr double kDefaultCores = 1;
@@ -36,7 +36,7 @@
   if (text.empty()) root.failAt(key, std::string("is missing, and ") + variable + " is not set");
   try {
     static_cast<void>(Poco::Net::SocketAddress(text));
-  } catch (const Poco::Exception& error) { root.failAt(key, "no address: " + error.displayText()); }
+  } catch (const Poco::Exception& error) { root.failAt(key, "not a valid address: " + error.displayText()); }
   return text;
 }
 
@@ -47,8 +47,8 @@
   const std::string text = root.text("seed");
   const char* const end = text.data() + text.size();
   std::uint64_t seed = 0;
-  const auto [parsedTo, error] = std::from_chars(text.data(), end, seed, kHexadecimal);
-  if (error != std::errc() || parsedTo != end) root.failAt("seed", "a hexadecimal number is wanted");
+  const auto [parseEnd, error] = std::from_chars(text.data(), end, seed, kHexadecimalBase);
+  if (error != std::errc() || parseEnd != end) root.failAt("seed", "must be a hexadecimal number");
   return seed;
 }
 
@@ -62,8 +62,8 @@
   return limits;
 }
 
-// A field's name as a JSON pointer, which finds the field's line in the file.
-std::string pointerOf(const deployment_config::FieldError& error) {
+// Converts a field name to a JSON pointer, by which the line of the field in the file is found.
+std::string toJsonPointer(const deployment_config::FieldError& error) {
   std::string pointer = "/settings/" + error.field();
   std::replace(pointer.begin(), pointer.end(), '.', '/');
   return pointer;
@@ -78,7 +78,7 @@
     static_cast<void>(RoutingPolicy(deployment.settings, kDefaultSeed));  // validates the settings
     return deployment;
   } catch (const deployment_config::FieldError& error) {
-    throw config::Error(file.name() + ":" + std::to_string(file.line(pointerOf(error))) + ": settings." +
+    throw config::Error(file.name() + ":" + std::to_string(file.line(toJsonPointer(error))) + ": settings." +
                         error.what());
   } catch (const std::invalid_argument& error) { settings.fail(error.what()); }
 }
@@ -122,7 +122,7 @@
 PlatformConfig loadPlatformConfig(const Environment& environment) {
   const auto path = environment("RELAY_CONFIG");
   if (!path || path->empty())
-    throw config::Error("RELAY_CONFIG: is not set; it names the configuration file");
+    throw config::Error("RELAY_CONFIG: is not set; it must name the configuration file");
   return readPlatformConfig(config::JsonFile::load(*path), environment);
 }
 
--- a/src/platform/config/platform_config.h
+++ b/src/platform/config/platform_config.h
@@ -1,5 +1,5 @@
-/// The configuration of a router on the platform: the environment and the file that it names. Errors name
-/// file, line and key.
+/// Configuration of a router on the platform, read from environment variables and the file named by
+/// RELAY_CONFIG. Error messages contain the file, line and key.
 #pragma once
 
 #include <cstdint>
@@ -23,32 +23,32 @@
   std::size_t descriptors = 0;    ///< Open file descriptors.
 };
 
-/// Everything that one router process is configured with.
+/// Complete configuration of one router process.
 struct PlatformConfig {
-  std::string path;                                ///< The file that was read.
-  std::string name;                                ///< The router's name, for logs and its instance id.
+  std::string path;                                ///< Path of the configuration file.
+  std::string name;                                ///< Router name, used in logs and as its instance id.
   std::string listenAddress;                       ///< HOST:PORT.
   std::string discoveryAddress;                    ///< HOST:PORT.
-  std::uint64_t seed = 0;                          ///< Of the random generator.
-  Limits limits;                                   ///< Resources of the process.
-  deployment_config::DeploymentConfig deployment;  ///< Settings of the routing policy, and names.
-  membership::EndpointMap lastKnownEndpoints;      ///< The router's latest list, which may be old.
-  std::int64_t lastKnownVersion = 0;               ///< Revision of that list.
-  std::vector<EntryError> lastKnownErrors;         ///< Entries of that list that cannot be used.
+  std::uint64_t seed = 0;                          ///< Seed of the random number generator.
+  Limits limits;                                   ///< Resource limits of the process.
+  deployment_config::DeploymentConfig deployment;  ///< Settings and names used by the routing policy.
+  membership::EndpointMap lastKnownEndpoints;  ///< Endpoints of the stored copy in the file; may be stale.
+  std::int64_t lastKnownVersion = 0;           ///< Revision of the stored copy.
+  std::vector<EntryError> lastKnownErrors;     ///< Unusable entries of the stored copy.
 };
 
-/// Looks up an environment variable; nothing where it is not set.
+/// Looks up an environment variable; std::nullopt if it is not set.
 using Environment = std::function<std::optional<std::string>(const char* name)>;
 
-/// The environment of this process.
+/// Looks up a variable in the environment of this process.
 std::optional<std::string> systemEnvironment(const char* name);
 
-/// Reads the file that RELAY_CONFIG names. Throws config::Error; config::UnavailableError where reading may
-/// succeed later.
+/// Loads the file named by RELAY_CONFIG. Throws config::Error, or config::UnavailableError if a later attempt
+/// may succeed.
 PlatformConfig loadPlatformConfig(const Environment& environment);
 
-/// Decodes a parsed file. The file's own values take precedence over those of the environment, so that a file
-/// that is replaced under a running router is effective. Throws config::Error.
+/// Decodes a parsed file. Values in the file take precedence over environment variables, so that replacing
+/// the file of a running router takes effect. Throws config::Error.
 PlatformConfig readPlatformConfig(const std::shared_ptr<const config::JsonFile>& file,
                                   const Environment& environment);
 
--- a/src/platform/config/settings_flattener.cpp
+++ b/src/platform/config/settings_flattener.cpp
@@ -12,11 +12,11 @@
   if (!value.is_string()) return value.is_null() ? std::string() : value.dump();
   std::string text = value.get<std::string>();
   std::replace_if(
-      text.begin(), text.end(), [](char c) { return c == ' ' || c == ','; }, '_');
+      text.begin(), text.end(), [](char character) { return character == ' ' || character == ','; }, '_');
   return text;
 }
 
-std::string pathBelow(const std::string& path, const std::string& key) {
+std::string childPath(const std::string& path, const std::string& key) {
   return path.empty() ? key : path + "." + key;
 }
 
@@ -31,7 +31,7 @@
 
 void FlattenedSettings::addValue(const json& value, const std::string& path) {
   if (value.is_object()) {
-    for (const auto& [key, member] : value.items()) addValue(member, pathBelow(path, key));
+    for (const auto& [key, member] : value.items()) addValue(member, childPath(path, key));
   } else if (value.is_array()) {
     addArray(value, path);
   } else if (!value.is_null()) {
@@ -43,9 +43,9 @@
   const bool isNested =
       std::any_of(array.begin(), array.end(), [](const json& item) { return item.is_structured(); });
   if (isNested) {
-    addField(pathBelow(path, "count"), std::to_string(array.size()));
+    addField(childPath(path, "count"), std::to_string(array.size()));
     for (std::size_t index = 0; index < array.size(); ++index)
-      addValue(array[index], pathBelow(path, std::to_string(index)));
+      addValue(array[index], childPath(path, std::to_string(index)));
     return;
   }
   std::string joined;
--- a/src/platform/config/settings_flattener.h
+++ b/src/platform/config/settings_flattener.h
@@ -1,5 +1,5 @@
-/// Translates the `settings` object of the configuration file into the flat fields of the simulator's wire,
-/// so that one reader serves both. Free of I/O.
+/// Converts the `settings` object of the configuration file to the flat fields of the simulator's wire
+/// format, so that one reader handles both. Free of I/O.
 #pragma once
 
 #include <deque>
@@ -10,16 +10,16 @@
 
 namespace garnethook::platform {
 
-/// The fields of one settings object: `a.b.2.c` for nested values; lists of plain values joined by commas;
-/// blanks and commas inside strings replaced by underscores, as the wire writes them.
+/// The fields of one settings object. Nested values have names such as `a.b.2.c`, lists of scalar values are
+/// joined by commas, and spaces and commas in strings are replaced by underscores, as in the wire format.
 class FlattenedSettings {
  public:
-  /// Flattens the object; it is not referred to afterwards.
+  /// Flattens the object, which need not outlive the constructor call.
   explicit FlattenedSettings(const nlohmann::json& root) { addValue(root, ""); }
   FlattenedSettings(const FlattenedSettings&) = delete;
   FlattenedSettings& operator=(const FlattenedSettings&) = delete;
 
-  /// The fields; valid for as long as this object.
+  /// The fields; valid for the lifetime of this object.
   const deployment_config::FieldReader& fields() const { return fields_; }
 
  private:
@@ -27,7 +27,7 @@
   void addValue(const nlohmann::json& value, const std::string& path);
   void addArray(const nlohmann::json& array, const std::string& path);
 
-  std::deque<std::string> texts_;  // names and values that `fields_` refers to; a deque keeps them in place
+  std::deque<std::string> texts_;  // backs the views in `fields_`; a deque keeps its elements in place
   deployment_config::FieldReader fields_;
 };
 
--- a/tests/platform/config/platform_config_test.cpp
+++ b/tests/platform/config/platform_config_test.cpp
@@ -1,4 +1,4 @@
-// The configuration file of a router on the platform: what it gives, and what its errors say.
+// Tests how the configuration file of a router on the platform is decoded, and its error messages.
 #include "platform/config/platform_config.h"
 
 #include <gtest/gtest.h>
@@ -14,21 +14,21 @@
 constexpr Micros kMillisecond = 1000;
 constexpr Micros kSecond = 1'000'000;
 
-std::string replaced(std::string_view part, std::string_view replacement = "") {
+std::string configTextReplacing(std::string_view part, std::string_view replacement = "") {
   std::string text(kPlatformConfigText);
-  const auto at = text.find(part);
-  EXPECT_NE(at, std::string::npos);
-  return text.replace(at, part.size(), replacement);
+  const auto position = text.find(part);
+  EXPECT_NE(position, std::string::npos);
+  return text.replace(position, part.size(), replacement);
 }
 
-std::string errorOf(const std::string& text) {
+std::string errorMessageFor(const std::string& text) {
   try {
     readTestConfig(text);
   } catch (const config::Error& error) { return error.what(); }
   return "none";
 }
 
-TEST(PlatformConfig, GivesTheSameSettingsAsTheSimulatorsWire) {
+TEST(PlatformConfig, DecodesTheSettingsOfTheSimulatorsWireFormat) {
   const auto config = readTestConfig();
   EXPECT_EQ(config.name, "n3");
   EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
@@ -49,48 +49,53 @@
   EXPECT_EQ(config.lastKnownVersion, 41);
 }
 
-// Golden: the keys of the file outside of its settings, and the field that each of them gives.
-TEST(PlatformConfig, EachKeyOfTheFileGivesItsField) {
+// Golden test of the keys outside `settings`, and the field that each of them sets.
+TEST(PlatformConfig, EachKeyOfTheFileSetsItsField) {
   const auto config = readTestConfig();
   EXPECT_EQ(config.path, "config.json");
   EXPECT_EQ(config.listenAddress, "127.0.0.4:9000");
   EXPECT_EQ(config.discoveryAddress, "127.0.0.1:8500");
   EXPECT_DOUBLE_EQ(config.limits.cores, 0.5);
   EXPECT_TRUE(config.lastKnownErrors.empty());
-  const auto defaults = readTestConfig(replaced(R"("cores": 0.5, "memory_mb": 64, "sockets": 512)"));
+  const auto defaults =
+      readTestConfig(configTextReplacing(R"("cores": 0.5, "memory_mb": 64, "sockets": 512)"));
   EXPECT_DOUBLE_EQ(defaults.limits.cores, 1);
   EXPECT_EQ(defaults.limits.memoryBytes, 1024u << 20);
   EXPECT_EQ(defaults.limits.descriptors, 1024u);
-  EXPECT_EQ(readTestConfig(replaced(R"("seed": "8c1f30d27a5be964",)")).seed, 1u);
-  EXPECT_EQ(readTestConfig(replaced(R"("8c1f30d27a5be964")", "17")).seed, 17u);
-  EXPECT_EQ(readTestConfig(replaced(R"("name": "n3",)")).name, "router");
+  EXPECT_EQ(readTestConfig(configTextReplacing(R"("seed": "8c1f30d27a5be964",)")).seed, 1u);
+  EXPECT_EQ(readTestConfig(configTextReplacing(R"("8c1f30d27a5be964")", "17")).seed, 17u);
+  EXPECT_EQ(readTestConfig(configTextReplacing(R"("name": "n3",)")).name, "router");
 }
 
-TEST(PlatformConfig, KeepsWhatIsUsableOfTheLastKnownList) {
-  const auto config = readTestConfig(replaced(R"("127.0.0.9:9000")", R"("nowhere")"));
+TEST(PlatformConfig, KeepsUsableEntriesOfTheLastKnownList) {
+  const auto config = readTestConfig(configTextReplacing(R"("127.0.0.9:9000")", R"("nowhere")"));
   EXPECT_TRUE(config.lastKnownEndpoints.empty());
   ASSERT_EQ(config.lastKnownErrors.size(), 1u);
   EXPECT_EQ(config.lastKnownErrors[0].code, EntryErrorCode::invalidAddress);
 }
 
-TEST(PlatformConfig, TakesValuesOfTheFileBeforeThoseOfTheEnvironment) {
+TEST(PlatformConfig, PrefersValuesOfTheFileToEnvironmentVariables) {
   const Environment environment = [](const char* name) -> std::optional<std::string> {
     return std::string(name) == "RELAY_DISCOVERY" ? std::optional<std::string>("127.0.0.2:1") : std::nullopt;
   };
   EXPECT_EQ(readTestConfig(kPlatformConfigText, environment).discoveryAddress, "127.0.0.1:8500");
-  EXPECT_EQ(readTestConfig(replaced(R"("discovery": "127.0.0.1:8500", )"), environment).discoveryAddress,
-            "127.0.0.2:1");
+  EXPECT_EQ(
+      readTestConfig(configTextReplacing(R"("discovery": "127.0.0.1:8500", )"), environment).discoveryAddress,
+      "127.0.0.2:1");
 }
 
-TEST(PlatformConfig, NamesFileLineAndKeyInErrors) {
-  EXPECT_NE(errorOf(replaced(R"("read_like")", R"("odd")"))
+TEST(PlatformConfig, ReportsFileLineAndKeyInErrors) {
+  EXPECT_NE(errorMessageFor(configTextReplacing(R"("read_like")", R"("odd")"))
                 .find("config.json:14: settings.field 'profiles.0.effect'"),
             std::string::npos)
-      << errorOf(replaced(R"("read_like")", R"("odd")"));
-  EXPECT_NE(errorOf(replaced("127.0.0.4:9000", "nowhere")).find("config.json:2: listen"), std::string::npos);
-  EXPECT_NE(errorOf(replaced(R"("memory_mb": 64)", R"("memory_mb": -1)")).find("limits.memory_mb"),
+      << errorMessageFor(configTextReplacing(R"("read_like")", R"("odd")"));
+  EXPECT_NE(errorMessageFor(configTextReplacing("127.0.0.4:9000", "nowhere")).find("config.json:2: listen"),
+            std::string::npos);
+  EXPECT_NE(errorMessageFor(configTextReplacing(R"("memory_mb": 64)", R"("memory_mb": -1)"))
+                .find("limits.memory_mb"),
+            std::string::npos);
+  EXPECT_NE(errorMessageFor(configTextReplacing(R"(["m1", "m2"])", "[]")).find("settings"),
             std::string::npos);
-  EXPECT_NE(errorOf(replaced(R"(["m1", "m2"])", "[]")).find("settings"), std::string::npos);
 }
 
 }  // namespace
