--- a/src/simulator_adapter/action_encoder.h
+++ b/src/simulator_adapter/action_encoder.h
@@ -1,6 +1,6 @@
 /// @file
-/// Encodes the policy's actions as lines of the simulator's reply. The words of those lines are known here
-/// only.
+/// Encodes the policy's actions as lines of the reply to the simulator. The verbs and field names of
+/// those lines are defined only here.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,16 @@
 
 namespace garnethook::simulator_adapter {
 
-/// Appends lines of one instance to a reply.
+/// Appends the lines of one policy instance to a reply.
 class ActionEncoder {
  public:
-  /// `instance`: its number; `reply` must outlive the encoder.
+  /// `instance`: number of the policy instance; `reply` must outlive the encoder.
   ActionEncoder(std::string& reply, std::uint64_t instance)
       : reply_(reply), instance_(std::to_string(instance)) {}
 
-  /// Appends an action.
+  /// Appends the line of an action.
   void append(const Action& action);
-  /// Appends that the instance has failed and is gone.
+  /// Appends the line that reports the failure and removal of the instance.
   void appendPanic(std::string_view error);
 
  private:
@@ -34,10 +34,10 @@
   void encode(const Subscribe& action);
   void encode(const Log& action);
 
-  void begin(std::string_view verb);
-  void beginForRequest(std::string_view verb, RequestId id);
-  void field(std::string_view name, std::string_view value);
-  void text(std::string_view verb, std::string_view value);
+  void beginLine(std::string_view verb);
+  void beginRequestLine(std::string_view verb, RequestId id);
+  void appendField(std::string_view name, std::string_view value);
+  void appendTextLine(std::string_view verb, std::string_view value);
 
   std::string& reply_;
   std::string instance_;
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -18,19 +18,19 @@
 constexpr std::string_view kBatchBegin = "BATCH";
 constexpr std::string_view kBatchEnd = "EOB";
 constexpr std::string_view kReplyEnd = "FINISHED\n";
-constexpr std::string_view kStartVerb = "PROVISION";
-constexpr std::string_view kStopVerb = "DOWN";
+constexpr std::string_view kInstanceStartVerb = "PROVISION";
+constexpr std::string_view kInstanceStopVerb = "DOWN";
 
-// An instance of the policy, with the names that its lines use.
+// A policy instance and the names that its lines refer to.
 struct Instance {
   DeploymentConfig deployment;
   std::unique_ptr<HostedPolicy> policy;
 };
 
-// Serves one stream of batches.
-class BatchServer {
+// Processes one stream of batches.
+class BatchProcessor {
  public:
-  BatchServer(std::istream& in, std::ostream& out, std::ostream& errors, const PolicyFactory& factory)
+  BatchProcessor(std::istream& in, std::ostream& out, std::ostream& errors, const PolicyFactory& factory)
       : in_(in), out_(out), errors_(errors), factory_(factory) {}
 
   int run() {
@@ -38,10 +38,10 @@
     std::string line;
     while (std::getline(in_, line)) {
       ++lineNumber_;
-      if (batch.empty() && !beginsBatch(line)) continue;
+      if (batch.empty() && !checkBatchBegin(line)) continue;
       batch.push_back(std::move(line));
       if (batch.back() != kBatchEnd) continue;
-      serveBatch(batch);
+      processBatch(batch);
       batch.clear();
     }
     if (batch.empty()) return 0;
@@ -50,82 +50,83 @@
   }
 
  private:
-  bool beginsBatch(std::string_view line) {
-    batchBeginsAt_ = lineNumber_;
-    const bool begins = line.starts_with(kBatchBegin);
-    if (!begins && !line.empty()) reportError(lineNumber_, "outside a batch");
-    return begins;
+  bool checkBatchBegin(std::string_view line) {
+    batchBeginLine_ = lineNumber_;
+    const bool isBatchBegin = line.starts_with(kBatchBegin);
+    if (!isBatchBegin && !line.empty()) reportError(lineNumber_, "outside a batch");
+    return isBatchBegin;
   }
 
-  void serveBatch(const std::vector<std::string>& batch) {
+  void processBatch(const std::vector<std::string>& batch) {
     reply_.clear();
-    const bool hasTime = reportsLineErrors(0, [&] { now_ = fieldsOf(batch[0]).duration("simTimeMs"); });
-    for (std::size_t at = 1; hasTime && at + 1 < batch.size();) {
-      const std::size_t start = at++;
-      while (at + 1 < batch.size() && isListEntry(batch[at])) ++at;
-      const auto entries = std::span(batch).subspan(start + 1, at - start - 1);
-      reportsLineErrors(start, [&] { serveLine(batch[start], entries); });
+    const bool hasValidTime =
+        runReportingLineErrors(0, [&] { now_ = parseFields(batch[0]).duration("simTimeMs"); });
+    for (std::size_t nextIndex = 1; hasValidTime && nextIndex + 1 < batch.size();) {
+      const std::size_t eventIndex = nextIndex++;
+      while (nextIndex + 1 < batch.size() && isListEntry(batch[nextIndex])) ++nextIndex;
+      const auto entries = std::span(batch).subspan(eventIndex + 1, nextIndex - eventIndex - 1);
+      runReportingLineErrors(eventIndex, [&] { processLine(batch[eventIndex], entries); });
     }
     reply_.append(kReplyEnd);
     out_.write(reply_.data(), static_cast<std::streamsize>(reply_.size()));
     out_.flush();
   }
 
-  void serveLine(const std::string& line, std::span<const std::string> entries) {
-    const std::string_view verb = verbOf(line);
-    if (verb == kStartVerb) return startInstance(line);
-    if (verb == kStopVerb) {
-      instances_.erase(fieldsOf(line).unsignedInteger("i"));
+  void processLine(const std::string& line, std::span<const std::string> entries) {
+    const std::string_view verb = parseVerb(line);
+    if (verb == kInstanceStartVerb) return startInstance(line);
+    if (verb == kInstanceStopVerb) {
+      instances_.erase(parseFields(line).unsignedInteger("i"));
       return;
     }
     if (!isEventVerb(verb)) return;
-    const FieldReader fields = fieldsOf(line);
-    const std::uint64_t number = fields.unsignedInteger("i");
-    const auto instance = instances_.find(number);
+    const FieldReader fields = parseFields(line);
+    const std::uint64_t instanceNumber = fields.unsignedInteger("i");
+    const auto instance = instances_.find(instanceNumber);
     if (instance == instances_.end()) throw LineError("i", "no such instance");
-    deliver(number, decodeEvent(verb, fields, entries, instance->second.deployment));
+    deliverEvent(instanceNumber, decodeEvent(verb, fields, entries, instance->second.deployment));
   }
 
   void startInstance(std::string_view line) {
-    const std::uint64_t number = fieldsOf(line).unsignedInteger("i");
+    const std::uint64_t instanceNumber = parseFields(line).unsignedInteger("i");
     InstanceConfig config = decodeInstanceConfig(line);
-    instances_.erase(number);
-    endsInstanceOnError(number, [&] {
+    instances_.erase(instanceNumber);
+    runTerminatingInstanceOnError(instanceNumber, [&] {
       auto policy = factory_(config.deployment.settings, config.seed);
-      instances_.emplace(number, Instance{std::move(config.deployment), std::move(policy)});
+      instances_.emplace(instanceNumber, Instance{std::move(config.deployment), std::move(policy)});
     });
   }
 
-  void deliver(std::uint64_t number, const Event& event) {
+  void deliverEvent(std::uint64_t instanceNumber, const Event& event) {
     actions_.clear();
-    const bool isServed =
-        endsInstanceOnError(number, [&] { instances_.at(number).policy->handle(now_, event, actions_); });
-    if (!isServed) return;
-    ActionEncoder encoder{reply_, number};
+    const bool isHandled = runTerminatingInstanceOnError(
+        instanceNumber, [&] { instances_.at(instanceNumber).policy->handle(now_, event, actions_); });
+    if (!isHandled) return;
+    ActionEncoder encoder{reply_, instanceNumber};
     for (const Action& action : actions_) encoder.append(action);
   }
 
-  // Runs a step; a line that can't be understood is reported. Returns whether the step succeeded.
+  // Runs a step and reports a malformed line. Returns whether the step succeeded.
   template <class Step>
-  bool reportsLineErrors(std::size_t offset, Step step) {
+  bool runReportingLineErrors(std::size_t offset, Step step) {
     try {
       step();
       return true;
     } catch (const LineError& error) {
-      reportError(batchBeginsAt_ + offset, error.what());
+      reportError(batchBeginLine_ + offset, error.what());
       return false;
     }
   }
 
-  // Runs a step of an instance; any exception ends the instance. Returns whether the step succeeded.
+  // Runs a step of an instance; an exception terminates the instance. Returns whether the step succeeded.
   template <class Step>
-  bool endsInstanceOnError(std::uint64_t number, Step step) {
+  bool runTerminatingInstanceOnError(std::uint64_t instanceNumber, Step step) {
     try {
       step();
       return true;
     } catch (const std::exception& error) {
-      ActionEncoder{reply_, number}.appendPanic(error.what());
-      instances_.erase(number);
+      ActionEncoder{reply_, instanceNumber}.appendPanic(error.what());
+      instances_.erase(instanceNumber);
       return false;
     }
   }
@@ -143,7 +144,7 @@
   std::string reply_;
   Micros now_ = 0;
   std::size_t lineNumber_ = 0;
-  std::size_t batchBeginsAt_ = 0;
+  std::size_t batchBeginLine_ = 0;
 };
 
 class HostedRoutingPolicy final : public HostedPolicy {
@@ -159,12 +160,12 @@
 
 }  // namespace
 
-std::unique_ptr<HostedPolicy> hostRoutingPolicy(const Settings& settings, std::uint64_t seed) {
+std::unique_ptr<HostedPolicy> makeHostedRoutingPolicy(const Settings& settings, std::uint64_t seed) {
   return std::make_unique<HostedRoutingPolicy>(settings, seed);
 }
 
 int serve(std::istream& in, std::ostream& out, std::ostream& errors, const PolicyFactory& factory) {
-  return BatchServer(in, out, errors, factory).run();
+  return BatchProcessor(in, out, errors, factory).run();
 }
 
 }  // namespace garnethook::simulator_adapter
--- a/src/simulator_adapter/adapter.h
+++ b/src/simulator_adapter/adapter.h
@@ -1,6 +1,6 @@
 /// @file
-/// The simulator's adapter: reads batches of event lines, hosts instances of the policy, and writes their
-/// actions. Translation only; nothing is decided here.
+/// Adapter between the simulator and the routing policy: reads batches of event lines, hosts policy instances
+/// and writes their actions. It only translates and makes no routing decisions.
 #pragma once
 
 #include <functional>
@@ -12,23 +12,23 @@
 
 namespace garnethook::simulator_adapter {
 
-/// A hosted policy; an interface so that tests can host another one.
+/// Interface of a hosted policy, which tests can replace.
 class HostedPolicy {
  public:
   /// Destroys the policy.
   virtual ~HostedPolicy() = default;
-  /// See RoutingPolicy::handle. An exception ends the instance.
+  /// See RoutingPolicy::handle. An exception terminates the instance.
   virtual void handle(Micros now, const Event& event, std::vector<Action>& actions) = 0;
 };
-/// Makes a hosted policy. An exception means that the settings can't be used.
+/// Creates a hosted policy; throws if the settings are invalid.
 using PolicyFactory = std::function<std::unique_ptr<HostedPolicy>(const Settings&, std::uint64_t seed)>;
 
-/// The factory that hosts RoutingPolicy.
-std::unique_ptr<HostedPolicy> hostRoutingPolicy(const Settings& settings, std::uint64_t seed);
+/// Creates a hosted RoutingPolicy; the default PolicyFactory.
+std::unique_ptr<HostedPolicy> makeHostedRoutingPolicy(const Settings& settings, std::uint64_t seed);
 
-/// Serves batches until the input ends; lines that can't be understood are named on `errors`. Returns the
-/// exit code of the process: 0 when the input ended between batches, 1 when it was cut inside one.
+/// Processes batches until the end of the input and reports malformed lines on `errors`. Returns the exit
+/// code of the process: 0 if the input ended between batches, 1 if it ended inside one.
 int serve(std::istream& in, std::ostream& out, std::ostream& errors,
-          const PolicyFactory& factory = hostRoutingPolicy);
+          const PolicyFactory& factory = makeHostedRoutingPolicy);
 
 }  // namespace garnethook::simulator_adapter
--- a/src/simulator_adapter/event_decoder.cpp
+++ b/src/simulator_adapter/event_decoder.cpp
@@ -11,8 +11,8 @@
 using deployment_config::split;
 using deployment_config::toNumber;
 
-constexpr std::string_view kListVerb = "REGISTRY";
-constexpr std::string_view kListEntryVerb = "ITEM";
+constexpr std::string_view kEndpointUpdateVerb = "REGISTRY";
+constexpr std::string_view kEndpointEntryVerb = "ITEM";
 constexpr std::string_view kArrivalVerb = "QUERY";
 constexpr std::string_view kAttemptEndVerb = "ANSWER";
 constexpr std::string_view kTimerVerb = "FIRED";
@@ -48,8 +48,8 @@
   return event;
 }
 
-// An outcome that is not known yet proves nothing of the attempt, as an error does not.
-Outcome decodeOutcome(std::string_view word) {
+// An unknown outcome is treated as an error, because neither is evidence of what the attempt did.
+Outcome decodeOutcome(std::string_view outcomeName) {
   constexpr std::array<std::pair<std::string_view, Outcome>, 9> kOutcomes{{
       {"OK", Outcome::completed},
       {"handover", Outcome::prefillDone},
@@ -62,7 +62,7 @@
       {"TOO_LATE", Outcome::notSent},
   }};
   const auto* found = std::find_if(kOutcomes.begin(), kOutcomes.end(),
-                                   [&](const auto& outcome) { return outcome.first == word; });
+                                   [&](const auto& outcome) { return outcome.first == outcomeName; });
   return found == kOutcomes.end() ? Outcome::error : found->second;
 }
 
@@ -80,15 +80,15 @@
   return event;
 }
 
-// A state that is not known yet is taken for draining.
-EndpointState decodeEndpointState(std::string_view word) {
-  if (word == "Running") return EndpointState::running;
-  if (word == "Deleted") return EndpointState::removed;
+// An unknown state is treated as draining.
+EndpointState decodeEndpointState(std::string_view stateName) {
+  if (stateName == "Running") return EndpointState::running;
+  if (stateName == "Deleted") return EndpointState::removed;
   return EndpointState::draining;
 }
 
 EndpointEntry decodeEndpointEntry(std::string_view line, const DeploymentConfig& deployment) {
-  const FieldReader fields = fieldsOf(line);
+  const FieldReader fields = parseFields(line);
   EndpointEntry entry;
   entry.id = {fields.unsignedInteger("engine")};
   entry.zone = indexOf(deployment.zoneNames, fields.text("hall", ""));
@@ -100,11 +100,11 @@
   return entry;
 }
 
-EndpointUpdate::Kind decodeUpdateKind(std::string_view word) {
-  if (word == "diff") return EndpointUpdate::Kind::delta;
-  if (word == "snapshot") return EndpointUpdate::Kind::snapshot;
-  if (word == "disk") return EndpointUpdate::Kind::staleCopy;
-  if (word == "error") return EndpointUpdate::Kind::failure;
+EndpointUpdate::Kind decodeUpdateKind(std::string_view modeName) {
+  if (modeName == "diff") return EndpointUpdate::Kind::delta;
+  if (modeName == "snapshot") return EndpointUpdate::Kind::snapshot;
+  if (modeName == "disk") return EndpointUpdate::Kind::staleCopy;
+  if (modeName == "error") return EndpointUpdate::Kind::failure;
   throw LineError("mode", "unknown kind of list");
 }
 
@@ -119,35 +119,35 @@
 
 }  // namespace
 
-std::string_view verbOf(std::string_view line) { return line.substr(0, line.find(' ')); }
+std::string_view parseVerb(std::string_view line) { return line.substr(0, line.find(' ')); }
 
-FieldReader fieldsOf(std::string_view line) {
+FieldReader parseFields(std::string_view line) {
   FieldReader fields;
   const auto parts = split(line, ' ');
-  for (std::size_t i = 1; i < parts.size(); ++i) {
-    const auto equals = parts[i].find('=');
-    if (equals == std::string_view::npos) throw LineError(parts[i], "no '=' in this part");
-    fields.add(parts[i].substr(0, equals), parts[i].substr(equals + 1));
+  for (std::size_t index = 1; index < parts.size(); ++index) {
+    const auto equals = parts[index].find('=');
+    if (equals == std::string_view::npos) throw LineError(parts[index], "no '=' in this part");
+    fields.add(parts[index].substr(0, equals), parts[index].substr(equals + 1));
   }
   return fields;
 }
 
 InstanceConfig decodeInstanceConfig(std::string_view line) {
-  const FieldReader fields = fieldsOf(line);
+  const FieldReader fields = parseFields(line);
   return {deployment_config::readDeploymentConfig(fields), fields.unsignedInteger("nonce64", 0)};
 }
 
 bool isEventVerb(std::string_view verb) {
-  constexpr std::array kVerbs{kListVerb,         kArrivalVerb,     kAttemptEndVerb, kTimerVerb,
-                              kCancellationVerb, kStreamStartVerb, kProbeEndVerb};
+  constexpr std::array kVerbs{kEndpointUpdateVerb, kArrivalVerb,     kAttemptEndVerb, kTimerVerb,
+                              kCancellationVerb,   kStreamStartVerb, kProbeEndVerb};
   return std::find(kVerbs.begin(), kVerbs.end(), verb) != kVerbs.end();
 }
 
-bool isListEntry(std::string_view line) { return verbOf(line) == kListEntryVerb; }
+bool isListEntry(std::string_view line) { return parseVerb(line) == kEndpointEntryVerb; }
 
 Event decodeEvent(std::string_view verb, const FieldReader& fields, std::span<const std::string> entries,
                   const DeploymentConfig& deployment) {
-  if (verb == kListVerb) return decodeEndpointUpdate(fields, entries, deployment);
+  if (verb == kEndpointUpdateVerb) return decodeEndpointUpdate(fields, entries, deployment);
   if (verb == kArrivalVerb) return decodeArrival(fields, deployment);
   if (verb == kAttemptEndVerb) return decodeAttemptEnd(fields, deployment);
   if (verb == kTimerVerb) return TimerFired{{fields.unsignedInteger("cookie")}};
--- a/tests/simulator_adapter/adapter_test.cpp
+++ b/tests/simulator_adapter/adapter_test.cpp
@@ -1,4 +1,4 @@
-// The simulator's lines: how they are decoded and encoded, and how malformed ones are reported.
+// Tests how the simulator's lines are decoded and encoded, and how malformed lines are reported.
 #include "simulator_adapter/adapter.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 namespace garnethook::simulator_adapter {
 namespace {
 
-const char* const kProvision =
+const char* const kProvisionLine =
     "PROVISION i=3 nonce64=5 allowed.attemptsCap=4 allowed.mayCancel=true allowed.probes=true az=b "
     "balancers=3 "
     "discovery=push familyInfo.aimUsPer1000PromptTokens=60000.0,40000.0 familyInfo.kindRole=read,write "
@@ -24,7 +24,7 @@
     "profiles.1.name=slow "
     "profiles.1.windowMs=700 rules.coldFrom=0.29 rules.fallMultiple=2.5 rules.graceToAnswerMs=8.0 "
     "rules.tipAfterMs=2000.0 rules.warmWithinMs=14000.0 skus=prefill,decode zones=a,b,c future.key=x";
-const char* const kList =
+const char* const kEndpointListLines =
     "REGISTRY i=3 mode=disk stamp=1 rows=2\n"
     "ITEM hall=b engine=51 readiness=Running rating=1 pod=0 shape=prefill\n"
     "ITEM hall=b engine=52 readiness=Running rating=1 pod=0 cameUpMs=0 shape=decode\n";
@@ -34,7 +34,7 @@
   std::string out;
   std::string errors;
 };
-Result run(const std::string& input, const PolicyFactory& factory = hostRoutingPolicy) {
+Result runAdapter(const std::string& input, const PolicyFactory& factory = makeHostedRoutingPolicy) {
   std::istringstream in(input);
   std::ostringstream out;
   std::ostringstream errors;
@@ -42,22 +42,22 @@
   return {code, out.str(), errors.str()};
 }
 std::string batchWith(const std::string& lines) {
-  return std::string("BATCH simTimeMs=1000\n") + kProvision + "\n" + kList + lines + "EOB\n";
+  return std::string("BATCH simTimeMs=1000\n") + kProvisionLine + "\n" + kEndpointListLines + lines + "EOB\n";
 }
 bool contains(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
 }
 
-TEST(InstanceConfig, HasTheRoutersNumberOnlyWhenItIsGiven) {
-  EXPECT_FALSE(decodeInstanceConfig(kProvision).deployment.settings.self);
-  const std::string numbered = std::string(kProvision) + " me=2";
-  EXPECT_EQ(decodeInstanceConfig(numbered).deployment.settings.self, 2u);
-  const std::string bad = std::string(kProvision) + " me=two";
-  EXPECT_THROW(decodeInstanceConfig(bad), std::exception);
+TEST(InstanceConfig, HasTheRouterNumberOnlyIfSpecified) {
+  EXPECT_FALSE(decodeInstanceConfig(kProvisionLine).deployment.settings.self);
+  const std::string numberedLine = std::string(kProvisionLine) + " me=2";
+  EXPECT_EQ(decodeInstanceConfig(numberedLine).deployment.settings.self, 2u);
+  const std::string malformed = std::string(kProvisionLine) + " me=two";
+  EXPECT_THROW(decodeInstanceConfig(malformed), std::exception);
 }
 
-TEST(InstanceConfig, TranslatesTheSettings) {
-  const InstanceConfig config = decodeInstanceConfig(kProvision);
+TEST(InstanceConfig, DecodesTheSettings) {
+  const InstanceConfig config = decodeInstanceConfig(kProvisionLine);
   const Settings& settings = config.deployment.settings;
   EXPECT_EQ(config.seed, 5U);
   ASSERT_EQ(settings.classes.size(), 2u);
@@ -77,8 +77,8 @@
   EXPECT_TRUE(settings.canCancel);
 }
 
-TEST(Adapter, RepliesEmptyToAnEmptyBatch) {
-  const Result result = run("BATCH simTimeMs=8412.25\nEOB\n");
+TEST(Adapter, RepliesToAnEmptyBatchWithoutActions) {
+  const Result result = runAdapter("BATCH simTimeMs=8412.25\nEOB\n");
   EXPECT_EQ(result.code, 0);
   EXPECT_EQ(result.out, "FINISHED\n");
   EXPECT_EQ(result.errors, "");
@@ -86,22 +86,22 @@
 
 TEST(Adapter, SendsARequestToThePrefillEndpoint) {
   const Result result =
-      run(batchWith("QUERY i=3 txn=7 band=quick session=4 remainingMs=900.5 nPrompt=1800\n"));
+      runAdapter(batchWith("QUERY i=3 txn=7 band=quick session=4 remainingMs=900.5 nPrompt=1800\n"));
   EXPECT_TRUE(contains(result.out, "ISSUE i=3 txn=7 engine=51\n")) << result.out;
   EXPECT_EQ(result.errors, "");
 }
 
 TEST(Adapter, SkipsUnknownKeysAndLines) {
   const Result result =
-      run(batchWith("NOVELTY i=3 a=b\nQUERY i=3 txn=7 band=quick remainingMs=900 nPrompt=18 zz=1\n"));
+      runAdapter(batchWith("NOVELTY i=3 a=b\nQUERY i=3 txn=7 band=quick remainingMs=900 nPrompt=18 zz=1\n"));
   EXPECT_TRUE(contains(result.out, "ISSUE i=3 txn=7"));
   EXPECT_EQ(result.errors, "");
 }
 
-TEST(Adapter, ReportsAMalformedLineOnceAndServesTheRest) {
+TEST(Adapter, ReportsAMalformedLineOnceAndProcessesTheRest) {
   const Result result =
-      run(batchWith("QUERY i=3 txn=7 band=quick remainingMs=soon nPrompt=18\n"
-                    "QUERY i=3 txn=8 band=quick remainingMs=900 nPrompt=18\n"));
+      runAdapter(batchWith("QUERY i=3 txn=7 band=quick remainingMs=soon nPrompt=18\n"
+                           "QUERY i=3 txn=8 band=quick remainingMs=900 nPrompt=18\n"));
   EXPECT_EQ(result.errors, "line 6: field 'remainingMs': not a number\n");
   EXPECT_FALSE(contains(result.out, "txn=7"));
   EXPECT_TRUE(contains(result.out, "ISSUE i=3 txn=8"));
@@ -110,7 +110,7 @@
 
 class MalformedLine : public testing::TestWithParam<std::pair<const char*, const char*>> {};
 TEST_P(MalformedLine, IsReportedWithItsField) {
-  const Result result = run(batchWith(std::string(GetParam().first) + "\n"));
+  const Result result = runAdapter(batchWith(std::string(GetParam().first) + "\n"));
   EXPECT_TRUE(contains(result.errors, std::string("field '") + GetParam().second + "'")) << result.errors;
   EXPECT_EQ(std::count(result.errors.begin(), result.errors.end(), '\n'), 1);
 }
@@ -129,21 +129,21 @@
                     std::pair{"REGISTRY i=3 mode=diff stamp=1 rows=4", "rows"},
                     std::pair{"FIRED i=3 cookie", "cookie"}));
 
-TEST(Adapter, PanicsWhenThePolicyThrows) {
+TEST(Adapter, ReportsAPanicWhenThePolicyThrows) {
   class ThrowingPolicy final : public HostedPolicy {
     void handle(Micros, const Event&, std::vector<Action>&) override {
       throw std::runtime_error("odd\nstate");
     }
   };
-  const Result result =
-      run(batchWith(""), [](const Settings&, std::uint64_t) { return std::make_unique<ThrowingPolicy>(); });
+  const Result result = runAdapter(
+      batchWith(""), [](const Settings&, std::uint64_t) { return std::make_unique<ThrowingPolicy>(); });
   EXPECT_TRUE(contains(result.out, "PANIC i=3 text=odd state\nFINISHED\n")) << result.out;
 }
 
-// The settings of Retry-After reach the policy, and what it answers reaches the reply.
+// The Retry-After settings are passed to the policy, and its Retry-After value is written to the reply.
 TEST(Adapter, TranslatesRetryAfterInSettingsAndActions) {
   struct RejectingPolicy final : HostedPolicy {
-    explicit RejectingPolicy(const Settings& given) : settings(given) {}
+    explicit RejectingPolicy(const Settings& policySettings) : settings(policySettings) {}
     void handle(Micros, const Event& event, std::vector<Action>& actions) override {
       const auto* request = std::get_if<RequestArrived>(&event);
       if (request == nullptr) return;
@@ -152,7 +152,7 @@
     }
     Settings settings;
   };
-  const Result result = run(
+  const Result result = runAdapter(
       "BATCH simTimeMs=1\nPROVISION i=3 nonce64=1 allowed.retryAfter=true allowed.maxRetryAfterMs=750.0 "
       "profiles.count=1 profiles.0.aimMs=1 profiles.0.deadlineMs=1 profiles.0.effect=read_like "
       "profiles.0.name=quick skus=a familyInfo.kindRole=read\n"
@@ -162,39 +162,43 @@
   EXPECT_TRUE(contains(result.out, "SAY_NO i=3 txn=8\n")) << result.out;
 }
 
-TEST(Adapter, PanicsWhenTheSettingsCannotBeUsed) {
-  const Result result = run("BATCH simTimeMs=1\nPROVISION i=3 nonce64=1 skus=\nEOB\n");
+TEST(Adapter, ReportsAPanicWhenTheSettingsAreInvalid) {
+  const Result result = runAdapter("BATCH simTimeMs=1\nPROVISION i=3 nonce64=1 skus=\nEOB\n");
   EXPECT_TRUE(contains(result.out, "PANIC i=3 text=kinds")) << result.out;
 }
 
 TEST(Adapter, FailsWhenTheInputEndsInsideABatch) {
-  const Result result = run("BATCH simTimeMs=1\nEOB\nBATCH simTimeMs=2\nFIRED i=3 cookie=1\n");
+  const Result result = runAdapter("BATCH simTimeMs=1\nEOB\nBATCH simTimeMs=2\nFIRED i=3 cookie=1\n");
   EXPECT_EQ(result.code, 1);
   EXPECT_TRUE(contains(result.errors, "ended inside a batch"));
   EXPECT_EQ(result.out, "FINISHED\n");
 }
 
-TEST(Adapter, ForgetsAStoppedInstance) {
-  const Result result = run(batchWith("DOWN i=3\nQUERY i=3 txn=7 band=quick remainingMs=900 nPrompt=18\n"));
+TEST(Adapter, RemovesAStoppedInstance) {
+  const Result result =
+      runAdapter(batchWith("DOWN i=3\nQUERY i=3 txn=7 band=quick remainingMs=900 nPrompt=18\n"));
   EXPECT_FALSE(contains(result.out, "ISSUE"));
   EXPECT_TRUE(contains(result.errors, "no such instance"));
 }
 
 TEST(Adapter, KeepsInstancesIndependent) {
   const std::string query = "QUERY i=3 txn=7 band=quick session=4 remainingMs=900 nPrompt=1800\n";
-  const auto alone = run(batchWith(query));
-  std::string both = batchWith(query);
-  std::string other = std::string(kProvision) + "\n" + kList;
-  for (auto at = other.find("i=3"); at != std::string::npos; at = other.find("i=3", at + 1))
-    if (at == 0 || other[at - 1] == ' ') other.replace(at, 3, "i=4");
-  both.insert(both.find("EOB"),
-              other + "QUERY i=4 txn=9 band=quick session=4 remainingMs=900 nPrompt=1800\n");
-  const auto together = run(both);
-  std::istringstream lines(together.out);
-  std::string ownLines;
+  const auto singleResult = runAdapter(batchWith(query));
+  std::string combinedInput = batchWith(query);
+  std::string otherInstanceLines = std::string(kProvisionLine) + "\n" + kEndpointListLines;
+  for (auto position = otherInstanceLines.find("i=3"); position != std::string::npos;
+       position = otherInstanceLines.find("i=3", position + 1))
+    if (position == 0 || otherInstanceLines[position - 1] == ' ')
+      otherInstanceLines.replace(position, 3, "i=4");
+  combinedInput.insert(
+      combinedInput.find("EOB"),
+      otherInstanceLines + "QUERY i=4 txn=9 band=quick session=4 remainingMs=900 nPrompt=1800\n");
+  const auto combinedResult = runAdapter(combinedInput);
+  std::istringstream lines(combinedResult.out);
+  std::string instanceLines;
   for (std::string line; std::getline(lines, line);)
-    if (!contains(line, " i=4")) ownLines += line + "\n";
-  EXPECT_EQ(ownLines, alone.out);
+    if (!contains(line, " i=4")) instanceLines += line + "\n";
+  EXPECT_EQ(instanceLines, singleResult.out);
 }
 
 }  // namespace
