--- a/src/platform/process/router_options.cpp
+++ b/src/platform/process/router_options.cpp
@@ -22,7 +22,7 @@
   options.maxPendingRequests = budget.clientConnections;
   if (deployment.maxOpenRequests > 0)
     options.maxPendingRequests = std::min(options.maxPendingRequests, deployment.maxOpenRequests);
-  options.streamGuard.stallTimeout = kStreamSilenceTimeout;
+  options.streamGuard.stallTimeout = kStreamStallTimeout;
   options.streamGuard.deadlineMargin = 0;
   options.streamGuard.enforcesDeadline = false;
   const Micros releaseTimeout = deployment.settings.kvReleaseTimeout;
--- a/src/platform/process/router_options.h
+++ b/src/platform/process/router_options.h
@@ -21,7 +21,7 @@
 /// Options of the HTTP frontend.
 HttpFrontend::Options makeFrontendOptions(const ResourceBudget& budget);
 
-/// The name of this router's zone; empty where the settings name none.
+/// The name of this router's zone; empty if the settings name none.
 std::string ownZoneName(const deployment_config::DeploymentConfig& deployment);
 
 }  // namespace garnethook::platform
--- a/src/platform/process/timeouts.h
+++ b/src/platform/process/timeouts.h
@@ -24,7 +24,7 @@
 }
 
 /// Longest time between two events of a response. Clients wait up to five seconds.
-inline constexpr Micros kStreamSilenceTimeout = 4'500'000;
+inline constexpr Micros kStreamStallTimeout = 4'500'000;
 
 /// Connect timeout for engines if none is configured.
 inline constexpr Micros kDefaultConnectTimeout = 250'000;
