--- a/src/deployment_config/deployment_config.cpp
+++ b/src/deployment_config/deployment_config.cpp
@@ -81,7 +81,7 @@
 }
 
 void readPermissions(const FieldReader& fields, Settings& settings) {
-  settings.maxAttempts = fields.find("allowed.attemptsCap") ? fields.smallInteger("allowed.attemptsCap") : 1;
+  settings.maxAttempts = fields.find("allowed.attemptsCap") ? fields.intValue("allowed.attemptsCap") : 1;
   settings.canCancel = fields.flag("allowed.mayCancel");
   settings.canProbe = fields.flag("allowed.probes");
   settings.connectTimeout = fields.duration("allowed.dialTimeoutMs", 0);
--- a/src/deployment_config/field_reader.cpp
+++ b/src/deployment_config/field_reader.cpp
@@ -64,7 +64,7 @@
   return value ? toUnsignedInteger(name, *value) : fallback;
 }
 
-int FieldReader::smallInteger(std::string_view name) const {
+int FieldReader::intValue(std::string_view name) const {
   const auto value = unsignedInteger(name);
   if (value > std::uint64_t{std::numeric_limits<int>::max()}) throw FieldError(name, "too large");
   return static_cast<int>(value);
--- a/src/deployment_config/field_reader.h
+++ b/src/deployment_config/field_reader.h
@@ -56,7 +56,7 @@
   /// An unsigned integer.
   std::uint64_t unsignedInteger(std::string_view name, std::uint64_t fallback) const;
   /// A required unsigned integer that fits into an int.
-  int smallInteger(std::string_view name) const;
+  int intValue(std::string_view name) const;
 
   /// A required finite number.
   double number(std::string_view name) const { return toNumber(name, text(name)); }
--- a/src/platform/http_frontend/http_connection.cpp
+++ b/src/platform/http_frontend/http_connection.cpp
@@ -286,7 +286,7 @@
 
 void HttpFrontend::Connection::onIdleTimeout() {
   if (!stream_.quiet()) return startRequestTimer();  // a request has arrived and is still unread
-  ++owner_.counters_.idled;
+  ++owner_.counters_.closedIdle;
   lingeringClose(Inbound::leave, CloseReason::idleTimeout);
 }
 
--- a/src/platform/http_frontend/http_frontend.cpp
+++ b/src/platform/http_frontend/http_frontend.cpp
@@ -28,7 +28,7 @@
 
 void HttpFrontend::reportClose(CloseReason reason, std::string_view traceId, bool owesResponse) {
   ++counters_.closed[static_cast<std::size_t>(reason)];
-  if (owesResponse) ++counters_.closedUnanswered;
+  if (owesResponse) ++counters_.closedWithoutResponse;
   events_.closed(reason, traceId, owesResponse);
 }
 
@@ -61,7 +61,7 @@
 // the system's accept queue.
 void HttpFrontend::makeRoom() {
   if (!policy_.isFull(connections_.size() - lingering_.size()) || evictOne()) return listener_.resume();
-  ++counters_.overfull;
+  ++counters_.overCapacity;
   listener_.pause();
   capacityAlarm_.start(policy_.options().capacityRetryInterval, [this] { makeRoom(); });
 }
--- a/src/platform/http_frontend/http_frontend.h
+++ b/src/platform/http_frontend/http_frontend.h
@@ -52,12 +52,13 @@
     std::uint64_t rejected = 0;  ///< Requests that could not be decoded or asked for an unknown resource.
     std::uint64_t timedOut = 0;  ///< Connections without a complete request in time.
     std::uint64_t evicted = 0;   ///< Idle connections closed in favour of new ones.
-    std::uint64_t overfull = 0;  ///< Times that no connection could be evicted, so that new ones had to wait.
-    std::uint64_t idled = 0;     ///< Connections closed by the idle timeout.
+    std::uint64_t overCapacity =
+        0;  ///< Times that no connection could be evicted, so that new ones had to wait.
+    std::uint64_t closedIdle = 0;  ///< Connections closed by the idle timeout.
     /// Connections closed, by CloseReason.
     std::array<std::uint64_t, static_cast<std::size_t>(CloseReason::count_)> closed{};
     /// Connections closed though a response was due, which breaks a rule.
-    std::uint64_t closedUnanswered = 0;
+    std::uint64_t closedWithoutResponse = 0;
   };
   /// How the frontend asks and notifies its owner. Must not call back into the frontend.
   struct Events {
--- a/src/platform/process/status_summary.cpp
+++ b/src/platform/process/status_summary.cpp
@@ -83,8 +83,8 @@
       .count("rejected", counters.rejected)
       .count("timed out", counters.timedOut)
       .count("evicted", counters.evicted)
-      .count("over capacity", counters.overfull)
-      .count("closed idle", counters.idled);
+      .count("over capacity", counters.overCapacity)
+      .count("closed idle", counters.closedIdle);
 }
 
 void addEngineConnections(SummaryText& text, const PlatformEngineClient& engines) {
@@ -113,7 +113,8 @@
   addEngineConnections(text, sources.engines);
   addCloseReasons(text, sources.frontend);
   text.section()
-      .count("violations", sources.router.ruleGuard().total() + sources.frontend.counters().closedUnanswered)
+      .count("violations",
+             sources.router.ruleGuard().total() + sources.frontend.counters().closedWithoutResponse)
       .count("internal failures", sources.router.counters().failedActions + sources.failedTasks);
   text.section().count("resident KiB", residentBytes() / kBytesPerKibibyte);
   return text.take();
--- a/src/simulator_adapter/event_decoder.cpp
+++ b/src/simulator_adapter/event_decoder.cpp
@@ -69,7 +69,7 @@
 AttemptEnded decodeAttemptEnd(const FieldReader& fields, const DeploymentConfig& deployment) {
   AttemptEnded event;
   event.id = {fields.unsignedInteger("txn")};
-  event.attempt = fields.smallInteger("trial");
+  event.attempt = fields.intValue("trial");
   event.endpoint = {fields.unsignedInteger("engine")};
   event.outcome = decodeOutcome(fields.text("ending"));
   event.requestEnded = fields.flag("last");
@@ -153,7 +153,7 @@
   if (verb == kTimerVerb) return TimerFired{{fields.unsignedInteger("cookie")}};
   if (verb == kCancellationVerb) return RequestCancelled{{fields.unsignedInteger("txn")}};
   if (verb == kStreamStartVerb)
-    return StreamStarted{{fields.unsignedInteger("txn")}, fields.smallInteger("trial")};
+    return StreamStarted{{fields.unsignedInteger("txn")}, fields.intValue("trial")};
   return ProbeEnded{
       {fields.unsignedInteger("engine")}, fields.text("ending") == "OK", decodeReport(fields, deployment)};
 }
--- a/tests/deployment_config/deployment_config_test.cpp
+++ b/tests/deployment_config/deployment_config_test.cpp
@@ -136,7 +136,7 @@
   EXPECT_EQ(fieldOf([&] { fields.number("number"); }), "number");
   EXPECT_EQ(fieldOf([&] { fields.nonNegativeNumber("negative", 0); }), "negative");
   EXPECT_EQ(fieldOf([&] { fields.flag("flag"); }), "flag");
-  EXPECT_EQ(fieldOf([&] { fields.smallInteger("big"); }), "big");
+  EXPECT_EQ(fieldOf([&] { fields.intValue("big"); }), "big");
   EXPECT_EQ(fieldOf([&] { fields.duration("time"); }), "time");
   EXPECT_EQ(fieldOf([&] { fields.duration("absent", 5); }), "none");
 }
--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -147,13 +147,13 @@
   c->send(clientRequest("a"));
   w.stall(150'000);  // the timer is due and the request unread
   EXPECT_TRUE(w.served(*c, 1)) << c->got;
-  EXPECT_EQ(w.front->counters().idled, 0u);
+  EXPECT_EQ(w.front->counters().closedIdle, 0u);
 }
 
 TEST(Crossing, ARequestBehindTheEndOfTheIdleTimeStaysUnread) {
   FrontendWorld w(shortTimes());
   auto c = w.acceptedClient(true);
-  ASSERT_TRUE(w.until([&] { return w.front->counters().idled == 1; }, 1'000'000));
+  ASSERT_TRUE(w.until([&] { return w.front->counters().closedIdle == 1; }, 1'000'000));
   c->send(clientRequest("a"));
   ASSERT_TRUE(w.ended(*c));
   EXPECT_TRUE(w.until([&] { return c->resetSeen(); }, 1'000'000));
@@ -343,7 +343,7 @@
   second->send(clientRequest("second"));
   w.pass(1'000'000);
   EXPECT_EQ(w.front->counters().accepted, 1u);
-  EXPECT_GT(w.front->counters().overfull, 100u);  // it did look
+  EXPECT_GT(w.front->counters().overCapacity, 100u);  // it did look
   w.engines.end(*w.engines.held, Outcome::completed);
   first->close();
   EXPECT_TRUE(w.served(*second, 1)) << second->got;
