--- a/src/deployment_config/deployment_config.cpp
+++ b/src/deployment_config/deployment_config.cpp
@@ -11,7 +11,7 @@
   return {parts.begin(), parts.end()};
 }
 
-double listItem(const FieldReader& fields, std::string_view name, std::size_t index) {
+double numberAt(const FieldReader& fields, std::string_view name, std::size_t index) {
   const auto parts = split(fields.text(name, ""), ',');
   return index < parts.size() ? toNumber(name, parts[index]) : 0;
 }
@@ -23,7 +23,7 @@
   throw FieldError(field, "unknown effect");
 }
 
-// An unknown word gets the narrowest scope, which is safe for any.
+// An unknown value maps to the narrowest scope, which is safe for every request.
 DeduplicationScope toDeduplicationScope(std::string_view group) {
   if (group == "all") return DeduplicationScope::fleet;
   if (group == "zone") return DeduplicationScope::zone;
@@ -41,10 +41,10 @@
   RequestClass result;
   result.ttftObjective = fields.duration(path + "aimMs", 0);
   result.ttftObjectivePerKiloToken =
-      std::llround(listItem(fields, "familyInfo.aimUsPer1000PromptTokens", index));
+      std::llround(numberAt(fields, "familyInfo.aimUsPer1000PromptTokens", index));
   result.deadline = fields.duration(path + "deadlineMs", 0);
   result.timePerOutputTokenObjective =
-      toMicros("familyInfo.tokenAimMs", listItem(fields, "familyInfo.tokenAimMs", index));
+      toMicros("familyInfo.tokenAimMs", numberAt(fields, "familyInfo.tokenAimMs", index));
   result.priorityWeight = fields.number(path + "worth", 1);
   result.lateValueShare = fields.number(path + "lateShare", 0);
   result.idempotency = toIdempotency(path + "effect", fields.text(path + "effect"));
@@ -61,12 +61,12 @@
   }
 }
 
-// The last role that is given holds for all further kinds; without any, engines do both phases.
+// The last role in the list applies to all further kinds. Without a list, engines execute both phases.
 void readKinds(const FieldReader& fields, DeploymentConfig& result) {
   const auto roles = splitNames(fields.text("familyInfo.kindRole", ""));
   for (std::size_t index = 0; index < result.kindNames.size(); ++index) {
     const std::string role = roles.empty() ? "both" : roles[std::min(index, roles.size() - 1)];
-    result.settings.kinds.push_back({toRole(role), listItem(fields, "familyInfo.memoryTokens", index)});
+    result.settings.kinds.push_back({toRole(role), numberAt(fields, "familyInfo.memoryTokens", index)});
   }
 }
 
@@ -91,11 +91,11 @@
   settings.maxRetryAfter = fields.duration("allowed.maxRetryAfterMs", 0);
 }
 
-bool contains(std::string_view text, std::string_view part) {
-  return text.find(part) != std::string_view::npos;
+bool contains(std::string_view text, std::string_view substring) {
+  return text.find(substring) != std::string_view::npos;
 }
 
-void addMeaning(LoadReport& report, std::string_view meaning, double value) {
+void setValueByMeaning(LoadReport& report, std::string_view meaning, double value) {
   if (contains(meaning, "share_of_memory")) report.memoryShare = value;
   if (contains(meaning, "thousands_of_prompt_tokens")) report.queuedKiloTokens = value;
 }
@@ -103,15 +103,15 @@
 }  // namespace
 
 std::optional<std::size_t> indexOf(const std::vector<std::string>& list, std::string_view name) {
-  const auto found = std::find(list.begin(), list.end(), name);
-  if (found == list.end()) return std::nullopt;
-  return static_cast<std::size_t>(found - list.begin());
+  const auto position = std::find(list.begin(), list.end(), name);
+  if (position == list.end()) return std::nullopt;
+  return static_cast<std::size_t>(position - list.begin());
 }
 
 void addReportValue(LoadReport& report, const ReportMeanings& meanings, std::string_view name, double value) {
   if (name == "queue") report.queuedRequests = value;
-  if (name == "x0") addMeaning(report, meanings.x0, value);
-  if (name == "x1") addMeaning(report, meanings.x1, value);
+  if (name == "x0") setValueByMeaning(report, meanings.x0, value);
+  if (name == "x1") setValueByMeaning(report, meanings.x1, value);
 }
 
 DeploymentConfig readDeploymentConfig(const FieldReader& fields) {
--- a/src/deployment_config/deployment_config.h
+++ b/src/deployment_config/deployment_config.h
@@ -1,6 +1,7 @@
-/// What a deployment configures a router with, as the routing policy's settings. One reader serves the
-/// simulator's wire and the platform's configuration file, which use the same names and units. The names of
-/// the operators' pages are translated here and nowhere else.
+/// @file
+/// Reads a deployment's configuration into the settings of the routing policy. The simulator protocol and the
+/// platform's configuration file share this reader, since they use the same names and units. The operators'
+/// names are translated to those of the policy here and nowhere else.
 #pragma once
 
 #include <optional>
@@ -13,30 +14,30 @@
 
 namespace garnethook::deployment_config {
 
-/// What the two free values of a load report mean at this deployment, in the words of the operators' pages.
+/// Meanings of the two deployment-specific values of a load report, in the operators' wording.
 struct ReportMeanings {
-  std::string x0;  ///< Meaning of the value `x0`; empty where it is not used.
-  std::string x1;  ///< Meaning of the value `x1`; empty where it is not used.
+  std::string x0;  ///< Meaning of the value `x0`; empty if unused.
+  std::string x1;  ///< Meaning of the value `x1`; empty if unused.
 };
 
-/// Settings of the routing policy, with the names that later messages use.
+/// Settings of the routing policy, and the names by which later messages refer to classes, kinds and zones.
 struct DeploymentConfig {
-  Settings settings;                    ///< Of the routing policy.
-  std::vector<std::string> classNames;  ///< Request classes, in the order of `settings.classes`.
-  std::vector<std::string> kindNames;   ///< Endpoint kinds, in the order of `settings.kinds`.
-  std::vector<std::string> zoneNames;   ///< Zones; their index is the zone's number.
-  ReportMeanings report;                ///< How load reports are read.
-  Micros engineIdleTimeout = 0;         ///< Engines close idle connections after it; 0: not known.
-  std::size_t maxOpenRequests = 0;      ///< Bound on open requests of this router; 0: none.
+  Settings settings;                    ///< Settings of the routing policy.
+  std::vector<std::string> classNames;  ///< Names of request classes, in the order of `settings.classes`.
+  std::vector<std::string> kindNames;   ///< Names of endpoint kinds, in the order of `settings.kinds`.
+  std::vector<std::string> zoneNames;   ///< Names of zones, by zone index.
+  ReportMeanings report;                ///< Interpretation of load reports.
+  Micros engineIdleTimeout = 0;         ///< Time after which engines close idle connections; 0: unknown.
+  std::size_t maxOpenRequests = 0;      ///< Maximum open requests of this router; 0: no limit.
 };
 
-/// Reads the settings. Throws FieldError, naming the field.
+/// Reads the configuration. Throws FieldError, which names the invalid field.
 DeploymentConfig readDeploymentConfig(const FieldReader& fields);
 
-/// Adds one value to a load report; values that nothing is known of are ignored.
+/// Adds one value to a load report; ignores values of unknown name or meaning.
 void addReportValue(LoadReport& report, const ReportMeanings& meanings, std::string_view name, double value);
 
-/// The place of a name in a list; nothing where it is not in it.
+/// The index of a name in a list, or nullopt if the list does not contain it.
 std::optional<std::size_t> indexOf(const std::vector<std::string>& list, std::string_view name);
 
 }  // namespace garnethook::deployment_config
--- a/src/deployment_config/field_reader.cpp
+++ b/src/deployment_config/field_reader.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr double kMicrosPerMillisecond = 1000;
-constexpr double kMaxMicros = 9e15;  // still exact as a double, and far from overflow
+// Durations up to this limit are exact as doubles and far below the overflow of Micros.
+constexpr double kMaxMicros = 9e15;
 
 }  // namespace
 
@@ -48,9 +49,9 @@
 }
 
 std::optional<std::string_view> FieldReader::find(std::string_view name) const {
-  const auto found = values_.find(name);
-  if (found == values_.end()) return std::nullopt;
-  return found->second;
+  const auto entry = values_.find(name);
+  if (entry == values_.end()) return std::nullopt;
+  return entry->second;
 }
 
 std::string_view FieldReader::text(std::string_view name) const {
--- a/src/deployment_config/field_reader.h
+++ b/src/deployment_config/field_reader.h
@@ -1,4 +1,6 @@
-/// Named values of a wire line or of a configuration file, read with checks. Free of I/O, needs no library.
+/// @file
+/// Validated access to the named values of a protocol line or of a configuration file. Performs no I/O and
+/// depends only on the standard library.
 #pragma once
 
 #include <cstdint>
@@ -13,64 +15,65 @@
 
 namespace garnethook::deployment_config {
 
-/// A value that is missing or cannot be understood.
+/// Thrown for a missing or invalid value.
 class FieldError : public std::runtime_error {
  public:
-  /// `field`: the name of the value; `error`: what is wrong with it.
+  /// @param field name of the value
+  /// @param error description of the error
   FieldError(std::string_view field, std::string_view error);
-  /// The name of the value at fault.
+  /// The name of the missing or invalid value.
   const std::string& field() const { return field_; }
 
  private:
   std::string field_;
 };
 
-/// The parts of a text between separators; empty parts are left out. They refer to the text.
+/// Splits a text at the separators and omits empty parts. The parts are views into the text.
 std::vector<std::string_view> split(std::string_view text, char separator);
-/// A finite number; throws FieldError.
+/// Parses a finite number; throws FieldError.
 double toNumber(std::string_view field, std::string_view text);
-/// An unsigned integer; throws FieldError.
+/// Parses an unsigned integer; throws FieldError.
 std::uint64_t toUnsignedInteger(std::string_view field, std::string_view text);
-/// Microseconds, rounded; throws FieldError where the time is out of range.
+/// Converts milliseconds to microseconds, rounded; throws FieldError if the time is out of range.
 Micros toMicros(std::string_view field, double milliseconds);
 
-/// Values by name. Names and values are views into their source, which must outlive the reader. The overloads
-/// without `fallback` require the value. All readers but `find` throw FieldError.
+/// Values by name. Names and values are views into their source, which must outlive the reader. Overloads
+/// without `fallback` require the value. All accessors except `find` throw FieldError.
 class FieldReader {
  public:
-  /// Adds a value; of two with one name the first counts.
+  /// Adds a value; ignored if a value with that name exists.
   void add(std::string_view name, std::string_view value) { values_.emplace(name, value); }
 
-  /// The raw value; nothing where it is absent.
+  /// The raw value, or nullopt if it is absent.
   std::optional<std::string_view> find(std::string_view name) const;
 
   /// A required text.
   std::string_view text(std::string_view name) const;
-  /// A text.
+  /// An optional text.
   std::string_view text(std::string_view name, std::string_view fallback) const {
     return find(name).value_or(fallback);
   }
 
   /// A required unsigned integer.
   std::uint64_t unsignedInteger(std::string_view name) const { return toUnsignedInteger(name, text(name)); }
-  /// An unsigned integer.
+  /// An optional unsigned integer.
   std::uint64_t unsignedInteger(std::string_view name, std::uint64_t fallback) const;
   /// A required unsigned integer that fits into an int.
   int intValue(std::string_view name) const;
 
   /// A required finite number.
   double number(std::string_view name) const { return toNumber(name, text(name)); }
-  /// A finite number.
+  /// An optional finite number.
   double number(std::string_view name, double fallback) const;
-  /// A finite number, not negative.
+  /// An optional finite number that is not negative.
   double nonNegativeNumber(std::string_view name, double fallback) const;
 
-  /// A required time: milliseconds in the source, microseconds as the result.
+  /// A required duration: milliseconds in the source, microseconds as the result.
   Micros duration(std::string_view name) const { return toMicros(name, number(name)); }
-  /// A time: milliseconds in the source, microseconds as the result and in `fallback`.
+  /// An optional duration: milliseconds in the source, microseconds as the result and in `fallback`.
   Micros duration(std::string_view name, Micros fallback) const;
 
-  /// 1, true, 0 or false; false where it is absent.
+  /// A boolean, written as 1, true, 0 or false; false if absent.
   bool flag(std::string_view name) const;
 
  private:
--- a/src/platform/http_frontend/byte_budget.h
+++ b/src/platform/http_frontend/byte_budget.h
@@ -1,6 +1,6 @@
 /// @file
-/// A limit on the bytes that all connections together may buffer, and one connection's share of it. Free of
-/// I/O. Not thread-safe: everything runs on the loop's thread.
+/// A limit on the bytes that all connections together may buffer, and the reservation of a single connection.
+/// Performs no I/O. Not thread-safe; used only on the event loop's thread.
 #pragma once
 
 #include <cstddef>
@@ -8,18 +8,18 @@
 
 namespace garnethook::platform {
 
-/// A limit on buffered bytes that several owners share.
+/// A limit on buffered bytes, shared by several reservations.
 class ByteBudget {
  public:
-  /// @param limit bytes that all reservations together may hold
+  /// @param limit maximum bytes held by all reservations together
   explicit ByteBudget(std::size_t limit) : limit_(limit) {}
   ByteBudget(const ByteBudget&) = delete;
   ByteBudget& operator=(const ByteBudget&) = delete;
 
-  /// Bytes that are reserved now.
+  /// Bytes currently reserved.
   std::size_t used() const { return used_; }
-  /// Whether this many more bytes stay within the limit.
-  bool hasRoomFor(std::size_t bytes) const { return used_ + bytes <= limit_; }
+  /// Whether reserving this many more bytes stays within the limit.
+  bool canReserve(std::size_t bytes) const { return used_ + bytes <= limit_; }
 
  private:
   friend class ByteReservation;
@@ -27,11 +27,11 @@
   std::size_t used_ = 0;
 };
 
-/// One owner's bytes in a budget; gives them back when it ends. An empty reservation may outlive its budget.
+/// One owner's bytes in a budget, returned on destruction. An empty reservation may outlive its budget.
 class ByteReservation {
  public:
-  /// An empty reservation.
-  /// @param budget where the bytes are counted
+  /// Creates an empty reservation.
+  /// @param budget the budget that the bytes are counted against
   explicit ByteReservation(ByteBudget& budget) : budget_(budget) {}
   ~ByteReservation() { release(); }
   ByteReservation(const ByteReservation&) = delete;
@@ -39,23 +39,23 @@
 
   /// Bytes that this reservation holds.
   std::size_t size() const { return size_; }
-  /// Adds bytes if the budget has room for them. @return false: nothing was added
+  /// Adds bytes if the budget allows it. @return false if nothing was added
   bool tryAdd(std::size_t bytes) {
-    if (!budget_.hasRoomFor(bytes)) return false;
+    if (!budget_.canReserve(bytes)) return false;
     add(bytes);
     return true;
   }
-  /// Adds bytes that the process holds already, whatever the limit.
+  /// Adds bytes that the process already holds, regardless of the limit.
   void add(std::size_t bytes) {
     budget_.used_ += bytes;
     size_ += bytes;
   }
-  /// Gives some bytes back, at most size().
+  /// Returns bytes to the budget, at most size().
   void subtract(std::size_t bytes) {
     budget_.used_ -= bytes;
     size_ -= bytes;
   }
-  /// Gives all bytes back.
+  /// Returns all bytes to the budget.
   void release() {
     if (size_ > 0) budget_.used_ -= std::exchange(size_, 0);
   }
--- a/src/platform/http_frontend/close_reason.h
+++ b/src/platform/http_frontend/close_reason.h
@@ -1,5 +1,5 @@
 /// @file
-/// Why a client's connection ended. Free of I/O.
+/// Why a client connection was closed. Performs no I/O.
 #pragma once
 
 #include <array>
@@ -9,24 +9,24 @@
 
 namespace garnethook::platform {
 
-/// Why a client's connection ended; counted for the status line and named in the log.
+/// Why a client connection was closed; counted in the status summary and written to the log.
 enum class CloseReason {
-  clientClosed,      ///< The client closed or reset it.
-  finalResponse,     ///< After a response that announced the end.
-  streamFailed,      ///< A stream failed midway; the client sees that its last chunk is missing.
-  draining,          ///< It was idle while the router drained.
-  idleTimeout,       ///< It was idle for too long.
-  evicted,           ///< It was idle, and a new connection needed its place.
-  requestTimeout,    ///< No complete request arrived in time.
-  badRequest,        ///< After an error response that blames the request.
-  bodyBudgetFull,    ///< After a 503, because the bodies of open requests use all memory meant for them.
-  pipelineOverflow,  ///< The client pipelined more than is buffered; what was buffered has been answered.
-  unreadResponse,    ///< The client does not read what is sent.
-  stopped,           ///< The frontend itself ended it.
+  clientClosed,      ///< The client closed or reset the connection.
+  finalResponse,     ///< Closed after a response that announced the close.
+  streamFailed,      ///< A streamed response failed; the client detects the missing last chunk.
+  draining,          ///< The connection was idle while the router was draining.
+  idleTimeout,       ///< The idle timeout expired.
+  evicted,           ///< An idle connection was closed in favour of a new one.
+  requestTimeout,    ///< No complete request arrived within the request timeout.
+  badRequest,        ///< Closed after an error response to an invalid request.
+  bodyBudgetFull,    ///< Closed after a 503: the bodies of open requests use up the body budget.
+  pipelineOverflow,  ///< Pipelined input exceeded a limit; the requests buffered so far were answered.
+  unreadResponse,    ///< The client does not read its responses.
+  stopped,           ///< Closed by the frontend itself.
   count_             ///< Number of reasons.
 };
 
-/// The reason as it stands in the log and in the status line.
+/// The reason's name in the log and in the status summary.
 inline std::string_view name(CloseReason reason) {
   constexpr std::array<std::string_view, static_cast<std::size_t>(CloseReason::count_)> kNames{
       "client-closed",    "final-response",    "stream-failed",   "draining",
@@ -35,9 +35,9 @@
   return kNames[static_cast<std::size_t>(reason)];
 }
 
-/// Whether a connection that ends for this reason may leave its open request without any response: only
-/// where the client is gone or does not read, or where the frontend itself stops.
-inline bool mayLeaveUnanswered(CloseReason reason) {
+/// Whether a connection closed for this reason may leave its open request without any response: only if the
+/// client is gone or does not read, or if the frontend itself stops.
+inline bool mayCloseWithoutResponse(CloseReason reason) {
   return reason == CloseReason::clientClosed || reason == CloseReason::unreadResponse ||
          reason == CloseReason::stopped;
 }
--- a/src/platform/http_frontend/connection_policy.h
+++ b/src/platform/http_frontend/connection_policy.h
@@ -1,6 +1,6 @@
 /// @file
-/// How long a client's connection may stay without an open request, and which one is closed when there are
-/// too many. Free of I/O and clocks.
+/// How long a client connection may stay open without a request, and which connections may be evicted at the
+/// connection limit. Performs no I/O and reads no clock.
 #pragma once
 
 #include <algorithm>
@@ -15,27 +15,27 @@
  public:
   /// Limits and timeouts; all times are in microseconds.
   struct Options {
-    /// Connections that may be open at the same time.
+    /// Maximum number of open connections.
     std::size_t maxConnections = 512;
-    /// From accepting a connection, or from a request's first byte, to that request's last byte.
+    /// Time from accepting a connection, or from a request's first byte, to that request's last byte.
     Micros requestTimeout = 2'500'000;
-    /// Idle timeout after a response while there is plenty of room.
+    /// Idle timeout after a response while few connections are open.
     Micros maxIdleTimeout = 20'000'000;
-    /// Idle timeout when there is little room left; clients count on two seconds.
+    /// Idle timeout near the connection limit; clients rely on at least two seconds.
     Micros minIdleTimeout = 2'100'000;
-    /// How long a connection must have been idle before it may be evicted for a new one. Its client repeats a
-    /// request that crosses the close on a new connection, whereas clients in the accept queue lose time.
+    /// Minimum idle time before a connection may be evicted for a new one. A client whose request crosses the
+    /// close repeats it on a new connection, whereas clients in the accept queue lose time.
     Micros minIdleBeforeEviction = 100'000;
-    /// How long a connection without any request so far must have been open before it may be evicted: a
-    /// client that has a request to send does so at once.
+    /// Minimum age of a connection without any request so far before it may be evicted: a client that has a
+    /// request sends it immediately after connecting.
     Micros minUnusedBeforeEviction = 20'000;
-    /// Where no connection may be evicted, new ones stay in the system's accept queue for this long before
-    /// the next try.
+    /// Interval between attempts to evict a connection while none may be evicted; meanwhile new connections
+    /// stay in the kernel's accept queue.
     Micros capacityRetryInterval = 10'000;
   };
-  /// What a connection is doing.
+  /// State of a connection with regard to requests.
   enum class Activity {
-    unused,  ///< It has not had a request yet.
+    unused,  ///< It has not received a request yet.
     idle,    ///< It is between two requests.
     busy     ///< A request is being received or answered.
   };
@@ -45,8 +45,8 @@
   /// The limits and timeouts in use.
   const Options& options() const { return options_; }
 
-  /// The idle timeout with this many connections open: the longest up to a quarter of the limit, the shortest
-  /// from a little over half of it, and linear in between.
+  /// The idle timeout at this number of open connections: the maximum up to 25 % of the connection limit, the
+  /// minimum from 55 % of it, linear in between.
   Micros idleTimeout(std::size_t openConnections) const {
     const double used = static_cast<double>(openConnections) /
                         static_cast<double>(std::max<std::size_t>(1, options_.maxConnections));
@@ -55,11 +55,11 @@
            static_cast<Micros>(scarcity *
                                static_cast<double>(options_.maxIdleTimeout - options_.minIdleTimeout));
   }
-  /// Whether no further connection may be accepted.
+  /// Whether the connection limit is reached.
   bool isFull(std::size_t openConnections) const { return openConnections >= options_.maxConnections; }
   /// Whether a connection may be closed in favour of a new one.
-  /// @param activity what the connection is doing
-  /// @param inactiveFor microseconds since it was accepted or had its latest response
+  /// @param activity the connection's current activity
+  /// @param inactiveFor microseconds since it was accepted or sent its latest response
   bool mayEvict(Activity activity, Micros inactiveFor) const {
     if (activity == Activity::unused) return inactiveFor >= options_.minUnusedBeforeEviction;
     return activity == Activity::idle && inactiveFor >= options_.minIdleBeforeEviction;
--- a/src/platform/http_frontend/http_connection.cpp
+++ b/src/platform/http_frontend/http_connection.cpp
@@ -9,18 +9,18 @@
 using Activity = ConnectionPolicy::Activity;
 using Inbound = net::Stream::Inbound;
 
-// The last bytes of a request may still be unread when its timeout fires; they are read within this time.
+// The last bytes of a request may still be unread when its timeout expires; this delay allows reading them.
 constexpr Micros kTimeoutRecheckDelay = 1'000;
-// How often a client that does not read its responses is checked before its next request is served.
+// Interval between checks whether a client has read enough of its responses to serve its next request.
 constexpr Micros kUnreadCheckInterval = 10'000;
-// Pipelined requests that are answered in one turn of the loop; other connections have their turn then.
-constexpr int kRequestsPerTurn = 16;
+// Maximum pipelined requests answered in one event loop iteration, so that other connections are served too.
+constexpr int kMaxRequestsPerIteration = 16;
 
 http1::MessageLimits messageLimits() {
-  return {.headBytes = std::size_t{16} * 1024, .bodyBytes = RequestLimits().bodyBytes, .chunkLine = 256};
+  return {.headBytes = std::size_t{16} * 1024, .bodyBytes = RequestLimits().maxBodyBytes, .chunkLine = 256};
 }
 
-int statusOfParseError(std::string_view error) {
+int parseErrorStatus(std::string_view error) {
   if (error == "body too large") return 413;
   return error == "head too large" ? 431 : 400;
 }
@@ -48,7 +48,7 @@
   return hasResponded_ ? Activity::idle : Activity::unused;
 }
 
-// ---- input ----
+// ---- Input ----
 
 void HttpFrontend::Connection::onBytes(std::string_view bytes) {
   if (state_ != State::open) {
@@ -57,7 +57,7 @@
   }
   if (pipelinedInput_.hasOverflowed() || persistence_.isClosingAnnounced()) return;
   if (isRequestOpen_ || !pipelinedInput_.empty()) return bufferInput(bytes);
-  // The client's deadline has been running while its connection waited to be accepted.
+  // The client's deadline includes the time that its connection waited in the accept queue.
   const Micros maxDelay = std::exchange(acceptDelay_, 0);
   const Micros delay = maxDelay > 0 ? std::min(maxDelay, stream_.sinceLatestBytes()) : 0;
   const std::size_t parsed = parseInput(bytes, owner_.loop_.now() - delay);
@@ -65,29 +65,29 @@
     bufferInput(bytes.substr(parsed));
 }
 
-// Input that arrives while a request is open is buffered. Reading goes on all the same, because that is the
-// only way to notice that the client has gone. Where a limit is reached, further input is thrown away, and
-// the connection ends once what was buffered has been answered. Protects the process's memory from clients
-// that send without waiting.
+// Buffers input that arrives while a request is open. Reading continues, because it is the only way to detect
+// that the client has closed the connection. When a limit is reached, further input is discarded and the
+// connection is closed once the buffered requests have been answered. This bounds the memory used by
+// clients that send without waiting for responses.
 void HttpFrontend::Connection::bufferInput(std::string_view bytes) {
   pipelinedInput_.append(bytes, owner_.loop_.now());
   if (pipelinedInput_.hasOverflowed()) persistence_.closeAfterBufferedInput();
   if (!isRequestOpen_) postServeNextRequest();
 }
 
-// Returns how many bytes were parsed: all of them, or those up to the end of a request.
+// Returns the number of bytes parsed: all bytes, or those up to the end of a request.
 std::size_t HttpFrontend::Connection::parseInput(std::string_view bytes, Micros arrivedAt) {
-  if (hasResponded_ && !parser_.midway()) startRequestTimer();  // the first byte of another request
+  if (hasResponded_ && !parser_.midway()) startRequestTimer();  // first byte of a further request
   inputArrivedAt_ = arrivedAt;
   parser_.resume();
   isParsing_ = true;
   const bool isValid = parser_.receive(bytes);
   isParsing_ = false;
-  if (state_ == State::open && !isValid) reject(statusOfParseError(parser_.error()), parser_.error());
+  if (state_ == State::open && !isValid) reject(parseErrorStatus(parser_.error()), parser_.error());
   return state_ == State::open ? bytes.size() - parser_.untaken() : bytes.size();
 }
 
-// Whether more was received behind the request that has just been parsed, or is being answered.
+// Whether input was received after the request that was just parsed or is being answered.
 bool HttpFrontend::Connection::hasMoreInput() const {
   return !pipelinedInput_.empty() || (isParsing_ && parser_.untaken() > 0);
 }
@@ -103,31 +103,31 @@
 
 void HttpFrontend::Connection::serveNextRequest() {
   if (state_ != State::open || isRequestOpen_) return;
-  if (stream_.pending() > owner_.options_.maxUnsentBeforeNextRequest) return waitUntilResponsesAreRead();
-  int requests = 0;
+  if (stream_.pending() > owner_.options_.maxUnsentBytesBeforeNextRequest) return waitUntilResponsesAreRead();
+  int servedRequests = 0;
   while (state_ == State::open && !persistence_.isClosingAnnounced() && !isRequestOpen_ &&
          !pipelinedInput_.empty()) {
-    if (requests >= kRequestsPerTurn) return postServeNextRequest();
+    if (servedRequests >= kMaxRequestsPerIteration) return postServeNextRequest();
     PipelinedInput::Segment segment = pipelinedInput_.takeFirst();
     const std::size_t size = segment.unparsed().size();
     const std::size_t parsed = parseInput(segment.unparsed(), segment.arrivedAt);
     if (state_ != State::open || persistence_.isClosingAnnounced() || parsed == size) continue;
     pipelinedInput_.putBack(std::move(segment), parsed);
-    ++requests;
+    ++servedRequests;
   }
   if (pipelinedInput_.hasOverflowed() && !isRequestOpen_ && pipelinedInput_.empty())
     lingeringClose(Inbound::read, CloseReason::pipelineOverflow);
 }
 
-// Responses to buffered requests would pile up here: the client has to read first, within the time that it
-// has for a request.
+// Delays the next pipelined request until the client has read its responses, because unsent responses would
+// accumulate otherwise. Closes the connection if that takes longer than the request timeout.
 void HttpFrontend::Connection::waitUntilResponsesAreRead() {
   if (owner_.loop_.now() - lastResponseAt_ > owner_.policy_.options().requestTimeout)
     return close(CloseReason::unreadResponse);
   timer_.start(kUnreadCheckInterval, [this] { serveNextRequest(); });
 }
 
-// ---- requests ----
+// ---- Requests ----
 
 void HttpFrontend::Connection::onHead(const http1::Head& head) {
   head_ = head;
@@ -135,7 +135,7 @@
     responses_.sendContinue();
 }
 
-// Bodies that are still arriving count in the same budget as those of open requests.
+// Bodies being received count against the same budget as those of open requests.
 void HttpFrontend::Connection::onBody(std::string_view bytes) {
   if (state_ != State::open) return;
   if (!bodyReservation_.tryAdd(bytes.size())) {
@@ -160,21 +160,22 @@
     const bool isReady = owner_.events_.ready();
     return respond(isReady ? 200 : 503, isReady ? "ready" : "not ready", 0);
   }
-  // A client that closed right behind its request has gone before anything is started for it.
+  // Do not start a request whose client closed the connection right after sending it.
   if (stream_.peerGone()) return close(CloseReason::clientClosed);
   dispatch(std::move(body), bodyBytes);
 }
 
-// Decodes the request that has arrived and gives it to the router, or responds with an error.
+// Decodes the received request and passes it to the router, or responds with an error.
 void HttpFrontend::Connection::dispatch(std::string body, std::size_t bodyBytes) {
   auto decoded = decodeRequest(head_, std::move(body), owner_.deployment_);
   if (!decoded) return reject(decoded.error().status, decoded.error().text);
   routing::Request& request = decoded.value();
   if (owner_.openTraceIds_.contains(request.traceId))
     return reject(409, "X-Trace-Id: is that of an open request");
-  // The process may end before it could answer.
-  if (owner_.refusesRequests_) return respond(503, "the router is going down", owner_.options_.retryAfter);
-  // The client's deadline runs from its last byte, also while that is buffered here behind another request.
+  // The process may exit before it could respond.
+  if (owner_.rejectsRequests_) return respond(503, "the router is going down", owner_.options_.retryAfter);
+  // The client's deadline runs from the arrival of the request's last byte, including the time that it was
+  // buffered during an earlier request.
   request.remaining -= owner_.loop_.now() - inputArrivedAt_;
   openRequest(std::move(request), bodyBytes);
 }
@@ -219,7 +220,7 @@
   reject(408, "the request did not come whole in time");
 }
 
-// ---- responses ----
+// ---- Responses ----
 
 void HttpFrontend::Connection::onTokens(const routing::Tokens& tokens) {
   if (responses_.isStreaming()) {
@@ -231,7 +232,7 @@
   if (stream_.pending() > owner_.options_.maxUnreadResponseBytes) closeUnlessClientReads();
 }
 
-// The router is calling, so the connection is closed in the loop's next turn.
+// Called from within the router, so the connection is closed in the next event loop iteration.
 void HttpFrontend::Connection::closeUnlessClientReads() {
   owner_.loop_.post([this, alive = std::weak_ptr<bool>(alive_)] {
     if (alive.expired() || stream_.pending() <= owner_.options_.maxUnreadResponseBytes) return;
@@ -248,7 +249,7 @@
     responses_.finishStream();
     return onResponseComplete();
   }
-  // Without the last chunk the client knows that the stream is incomplete.
+  // The client detects the incomplete stream by the missing last chunk.
   if (responses_.isStreaming()) return lingeringClose(Inbound::read, CloseReason::streamFailed);
   const bool isOutOfTime = completion.failureReason == FailureReason::deadline;
   if (completion.disposition == Disposition::rejected) {
@@ -264,7 +265,8 @@
   onResponseComplete();
 }
 
-// An error response that blames the request; what follows on this connection can't be trusted.
+// Sends an error response to an invalid request. Input after it cannot be parsed reliably, so the connection
+// is closed.
 void HttpFrontend::Connection::reject(int status, std::string_view text) {
   ++owner_.counters_.rejected;
   owner_.events_.rejected(status, text);
@@ -277,7 +279,8 @@
   lastResponseAt_ = owner_.loop_.now();
   if (persistence_.isClosingAnnounced()) return lingeringClose(Inbound::read, CloseReason::finalResponse);
   if (hasMoreInput()) return postServeNextRequest();
-  // The response had begun before the end was known: whatever the client has sent by now is still served.
+  // The response head did not announce the close, because the response had started before the close was
+  // decided. Requests that the client has sent since are still served.
   if (persistence_.isClosing() && (pipelinedInput_.hasOverflowed() || stream_.quiet()))
     return lingeringClose(Inbound::leave, CloseReason::draining);
   const std::size_t openConnections = owner_.connections_.size() - owner_.lingering_.size();
@@ -285,12 +288,12 @@
 }
 
 void HttpFrontend::Connection::onIdleTimeout() {
-  if (!stream_.quiet()) return startRequestTimer();  // a request has arrived and is still unread
+  if (!stream_.quiet()) return startRequestTimer();  // a request has arrived but is still unread
   ++owner_.counters_.closedIdle;
   lingeringClose(Inbound::leave, CloseReason::idleTimeout);
 }
 
-// ---- end ----
+// ---- Close ----
 
 void HttpFrontend::Connection::drain(bool includeUnused) {
   persistence_.closeAfterBufferedInput();
@@ -307,14 +310,14 @@
   pipelinedInput_.clear();
   parser_.stop();
   stream_.finishSending(inbound);
-  owner_.onLingering(*this);
+  owner_.onLingeringStarted(*this);
   if (state_ == State::lingering) startLingerTimer();
 }
 
 void HttpFrontend::Connection::close(CloseReason reason) {
-  const State before = std::exchange(state_, State::closed);
-  if (before == State::closed) return;
-  if (before == State::open) reportClose(reason);
+  const State previousState = std::exchange(state_, State::closed);
+  if (previousState == State::closed) return;
+  if (previousState == State::open) reportClose(reason);
   timer_.stop();
   if (isRequestOpen_) cancelRequest();
   releaseBody();
@@ -324,11 +327,11 @@
 }
 
 void HttpFrontend::Connection::reportClose(CloseReason reason) {
-  const bool owesResponse = isRequestOpen_ && !responses_.isStreaming() && !mayLeaveUnanswered(reason);
-  owner_.reportClose(reason, isRequestOpen_ ? std::string_view(traceId_) : std::string_view(), owesResponse);
+  const bool isResponseDue = isRequestOpen_ && !responses_.isStreaming() && !mayCloseWithoutResponse(reason);
+  owner_.reportClose(reason, isRequestOpen_ ? std::string_view(traceId_) : std::string_view(), isResponseDue);
 }
 
-// Waits for the client to close too; longer while it still reads what is left for it.
+// Waits for the client to close; extends the wait while the client is reading the remaining response bytes.
 void HttpFrontend::Connection::startLingerTimer() {
   lingeringClose_.startInterval(stream_.pending());
   timer_.start(owner_.options_.lingerTimeout, [this] {
--- a/src/platform/http_frontend/http_connection.h
+++ b/src/platform/http_frontend/http_connection.h
@@ -1,10 +1,10 @@
 /// @file
-/// One client connection: its requests, one at a time and in the order in which they arrive, their responses,
-/// and its end.
+/// One client connection. Processes its requests one at a time, in the order of arrival, writes their
+/// responses, and closes the connection.
 ///
-/// Every request that was read gets a response, also while the router drains; the last response announces the
-/// end. A connection that ends between requests is only shut down for sending: a request that crosses the FIN
-/// stays unread, so its client knows that it was not processed.
+/// Every request that was read gets a response, also while the router is draining; the last response
+/// announces the close. A connection that is closed between requests is only shut down for sending: a request
+/// that crosses the FIN stays unread, so its client can conclude that it was not processed.
 #pragma once
 
 #include <memory>
@@ -22,41 +22,42 @@
 
 namespace garnethook::platform {
 
-/// One client connection. Lives on the loop's thread.
+/// One client connection. Used only on the event loop's thread.
 class HttpFrontend::Connection final : public net::StreamEvents,
                                        public http1::MessageEvents,
                                        public routing::Client {
  public:
   /// @param owner the frontend, which must outlive the connection's last event
   /// @param socket the accepted connection
-  /// @param acceptDelay microseconds that it may have waited in the accept queue, with its first request
+  /// @param acceptDelay longest time, in microseconds, that it and its first request may have waited in the
+  /// accept queue
   Connection(HttpFrontend& owner, const Poco::Net::StreamSocket& socket, Micros acceptDelay);
   ~Connection() override = default;
 
-  /// What the connection is doing, for ConnectionPolicy.
+  /// The connection's current activity, for ConnectionPolicy.
   ConnectionPolicy::Activity activity() const;
-  /// When it was accepted or had its latest response.
+  /// When its latest response was completed, or when it was accepted.
   Micros lastResponseAt() const { return lastResponseAt_; }
-  /// Whether nothing waits unread and the client has not closed; asks the system.
+  /// Whether there is no unread input and the client has not closed; makes a system call.
   bool isQuiet() const { return stream_.quiet(); }
-  /// Shuts this side down: what is pending is sent, then FIN; afterwards waits for the client to close,
-  /// within bounds. With Inbound::read, further input is read and thrown away, so that no reset takes away a
-  /// response that the client has not read; with Inbound::leave it stays unread.
+  /// Shuts down sending: sends pending bytes, then FIN, and waits a bounded time for the client to close.
+  /// With Inbound::read, further input is read and discarded, since a close with unread input would reset the
+  /// connection and discard a response that the client has not read; with Inbound::leave, it stays unread.
   void lingeringClose(net::Stream::Inbound inbound, CloseReason reason);
-  /// Closes at once, whatever is still to be sent.
+  /// Closes immediately and discards unsent bytes.
   void close(CloseReason reason);
-  /// Ends after the last response that is due, or now if the connection is idle.
-  /// @param includeUnused a connection without any request so far ends too
+  /// Closes after the last outstanding response, or now if the connection is idle.
+  /// @param includeUnused also closes a connection that has not received a request yet
   void drain(bool includeUnused);
 
  private:
   enum class State {
-    open,       // takes requests
+    open,       // accepts requests
     lingering,  // shut down for sending; waits for the client to close
     closed      // the socket is closed
   };
 
-  // Input.
+  // Input
   void onBytes(std::string_view bytes) override;
   void onClosed(net::CloseCause) override { close(CloseReason::clientClosed); }
   void bufferInput(std::string_view bytes);
@@ -66,7 +67,7 @@
   void serveNextRequest();
   void waitUntilResponsesAreRead();
 
-  // Requests.
+  // Requests
   void onHead(const http1::Head& head) override;
   void onBody(std::string_view bytes) override;
   void onEnd() override;
@@ -78,7 +79,7 @@
   void startRequestTimer();
   void onRequestTimeout();
 
-  // Responses.
+  // Responses
   bool isCancelled() const override { return stream_.peerGone(); }
   void onTokens(const routing::Tokens& tokens) override;
   void onCompletion(const routing::Completion& completion) override;
@@ -88,7 +89,7 @@
   void closeUnlessClientReads();
   void onIdleTimeout();
 
-  // End.
+  // Close
   void reportClose(CloseReason reason);
   void startLingerTimer();
 
@@ -105,14 +106,14 @@
   ByteReservation bodyReservation_;
   std::string traceId_;
   std::optional<RequestId> requestId_;
-  bool isRequestOpen_ = false;  // the router has been given the request and owes its completion
-  Micros lastResponseAt_;       // or when the connection was accepted
-  Micros acceptDelay_;          // at most; 0 once its first bytes were read
-  Micros inputArrivedAt_ = 0;   // of the bytes that are being parsed
+  bool isRequestOpen_ = false;  // passed to the router, which has not completed it yet
+  Micros lastResponseAt_;       // initially when the connection was accepted
+  Micros acceptDelay_;          // upper bound; 0 once the first bytes were read
+  Micros inputArrivedAt_ = 0;   // arrival time of the bytes being parsed
   bool isParsing_ = false;
-  bool hasResponded_ = false;  // at least one request has had its complete response
+  bool hasResponded_ = false;  // at least one response was completed
   bool serveNextPosted_ = false;
-  bool timeoutRechecked_ = false;  // unread bytes have had their chance after the request timeout
+  bool timeoutRechecked_ = false;  // the request timeout was extended once to read pending bytes
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   net::Stream stream_;
   ResponseWriter responses_;
--- a/src/platform/http_frontend/http_frontend.cpp
+++ b/src/platform/http_frontend/http_frontend.cpp
@@ -23,17 +23,18 @@
       capacityAlarm_(loop),
       listener_(loop, address, [this](const Poco::Net::StreamSocket& socket) { accept(socket); }) {}
 
-// The connections use the members declared after them.
+// Closing a connection uses members that are declared after connections_, so it must happen before their
+// destruction.
 HttpFrontend::~HttpFrontend() { connections_.clear(); }
 
-void HttpFrontend::reportClose(CloseReason reason, std::string_view traceId, bool owesResponse) {
+void HttpFrontend::reportClose(CloseReason reason, std::string_view traceId, bool isResponseDue) {
   ++counters_.closed[static_cast<std::size_t>(reason)];
-  if (owesResponse) ++counters_.closedWithoutResponse;
-  events_.closed(reason, traceId, owesResponse);
+  if (isResponseDue) ++counters_.closedWithoutResponse;
+  events_.closed(reason, traceId, isResponseDue);
 }
 
-// Connections that are shut down wait for their clients to close, as long as there are descriptors for them.
-void HttpFrontend::onLingering(Connection& connection) {
+// Connections that are shut down wait for their clients to close, as long as file descriptors permit.
+void HttpFrontend::onLingeringStarted(Connection& connection) {
   lingering_.push_back(&connection);
   limitLingering();
 }
@@ -51,24 +52,25 @@
     Connection* const connection = owned.get();
     connections_.emplace(connection, std::move(owned));
     if (isDraining_) connection->drain(false);
-  } catch (const Poco::Exception&) {  // the client has gone already
+  } catch (const Poco::Exception&) {  // the client has already closed the connection
   }
   limitLingering();
-  makeRoom();
+  ensureCapacity();
 }
 
-// Room for the next connection is made in advance. Where no connection may be evicted yet, new ones stay in
-// the system's accept queue.
-void HttpFrontend::makeRoom() {
-  if (!policy_.isFull(connections_.size() - lingering_.size()) || evictOne()) return listener_.resume();
+// Frees capacity for the next connection in advance. While no connection may be evicted, new ones stay in the
+// kernel's accept queue.
+void HttpFrontend::ensureCapacity() {
+  if (!policy_.isFull(connections_.size() - lingering_.size()) || evictConnection())
+    return listener_.resume();
   ++counters_.overCapacity;
   listener_.pause();
-  capacityAlarm_.start(policy_.options().capacityRetryInterval, [this] { makeRoom(); });
+  capacityAlarm_.start(policy_.options().capacityRetryInterval, [this] { ensureCapacity(); });
 }
 
-// Evicts the connection that has been without a request for the longest time, unused ones before idle ones;
-// never one that has unread input.
-bool HttpFrontend::evictOne() {
+// Evicts the connection that has been inactive for the longest time, unused connections before idle ones.
+// Never evicts a connection with unread input.
+bool HttpFrontend::evictConnection() {
   struct Candidate {
     bool hasBeenUsed = false;
     Micros lastResponseAt = 0;
@@ -86,8 +88,8 @@
       candidates.push_back(
           {activity != ConnectionPolicy::Activity::unused, connection->lastResponseAt(), connection});
   }
-  constexpr std::ptrdiff_t kMaxChecked = 8;  // each check is a system call
-  const auto checkedEnd = candidates.begin() + std::min(std::ssize(candidates), kMaxChecked);
+  constexpr std::ptrdiff_t kMaxCheckedCandidates = 8;  // each check is a system call
+  const auto checkedEnd = candidates.begin() + std::min(std::ssize(candidates), kMaxCheckedCandidates);
   std::partial_sort(candidates.begin(), checkedEnd, candidates.end());
   for (auto candidate = candidates.begin(); candidate != checkedEnd; ++candidate) {
     if (!candidate->connection->isQuiet()) continue;
@@ -98,20 +100,20 @@
   return false;
 }
 
-// The connection may be the caller, so it is destroyed in the loop's next turn.
+// The connection may be the caller, so it is destroyed in the next event loop iteration.
 void HttpFrontend::onClosed(Connection& connection) {
-  const auto found = connections_.find(&connection);
-  if (found == connections_.end()) return;
+  const auto entry = connections_.find(&connection);
+  if (entry == connections_.end()) return;
   std::erase(lingering_, &connection);
-  loop_.post([owned = std::shared_ptr<Connection>(std::move(found->second))] {});
-  connections_.erase(found);
+  loop_.post([owned = std::shared_ptr<Connection>(std::move(entry->second))] {});
+  connections_.erase(entry);
 }
 
 void HttpFrontend::drainConnections(bool includeUnused) {
-  std::vector<Connection*> all;
-  all.reserve(connections_.size());
-  for (const auto& [connection, owned] : connections_) all.push_back(connection);
-  for (Connection* connection : all) connection->drain(includeUnused);
+  std::vector<Connection*> allConnections;
+  allConnections.reserve(connections_.size());
+  for (const auto& [connection, owned] : connections_) allConnections.push_back(connection);
+  for (Connection* connection : allConnections) connection->drain(includeUnused);
 }
 
 void HttpFrontend::drain() {
@@ -121,7 +123,7 @@
 
 void HttpFrontend::close() {
   isDraining_ = true;
-  refusesRequests_ = true;
+  rejectsRequests_ = true;
   listener_.close();
   drainConnections(true);
 }
--- a/src/platform/http_frontend/http_frontend.h
+++ b/src/platform/http_frontend/http_frontend.h
@@ -1,5 +1,6 @@
 /// @file
-/// Serves clients over HTTP/1.1: one request at a time on a connection, answers as streams of events.
+/// Serves clients over HTTP/1.1, one request at a time per connection; responses are server-sent event
+/// streams.
 #pragma once
 
 #include <array>
@@ -22,98 +23,101 @@
 
 namespace garnethook::platform {
 
-/// Accepts client connections, owns them, and holds the limits that they share. Lives on the loop's thread.
+/// Accepts and owns client connections and enforces the limits that they share. Used only on the event loop's
+/// thread.
 class HttpFrontend {
  public:
   /// Limits of the frontend; all times are in microseconds.
   struct Options {
-    /// Limits on the number of connections and their idle time.
+    /// Limits on the number of connections and on their idle time.
     ConnectionPolicy::Options connections;
-    /// Bytes of the bodies of all requests that are received or open; pipelined input has the same limit.
+    /// Maximum bytes of the bodies of all requests being received or open; the pipelined input of all
+    /// connections together has a limit of its own of the same size.
     std::size_t maxBufferedBytes = std::size_t{64} << 20;
-    /// Bytes that one client may send behind an open request.
+    /// Maximum bytes that one connection may buffer while its request is open.
     std::size_t maxPipelinedBytes = std::size_t{1} << 20;
-    /// Bytes of a response that its client has not read; beyond that the connection is closed.
+    /// Maximum unsent response bytes of a connection; a connection that exceeds it is closed.
     std::size_t maxUnreadResponseBytes = std::size_t{512} * 1024;
-    /// Unsent bytes of responses beyond which a client's next pipelined request has to wait.
-    std::size_t maxUnsentBeforeNextRequest = std::size_t{64} * 1024;
-    /// Time for a client to close its side after this one was shut down.
+    /// Unsent response bytes above which a client's next pipelined request is delayed.
+    std::size_t maxUnsentBytesBeforeNextRequest = std::size_t{64} * 1024;
+    /// Time that a client has to close its side after this side was shut down.
     Micros lingerTimeout = 1'000'000;
-    /// Bytes that are read and thrown away meanwhile; beyond that the connection is closed.
+    /// Maximum bytes that are read and discarded during a lingering close; a connection that exceeds it is
+    /// closed.
     std::size_t maxLingeringInputBytes = std::size_t{1} << 20;
-    /// Connections that may be in that state, in addition to the open ones.
+    /// Number of lingering connections allowed in addition to `connections.maxConnections` open ones.
     std::size_t maxLingeringConnections = 64;
-    /// Retry-After of responses that the frontend itself words because it is full or going down.
+    /// Retry-After of the 503 responses that the frontend itself generates when overloaded or shutting down.
     Micros retryAfter = 250'000;
   };
-  /// What has happened since the start.
+  /// Counts since the start.
   struct Counters {
     std::uint64_t accepted = 0;  ///< Connections accepted.
-    std::uint64_t rejected = 0;  ///< Requests that could not be decoded or asked for an unknown resource.
-    std::uint64_t timedOut = 0;  ///< Connections without a complete request in time.
-    std::uint64_t evicted = 0;   ///< Idle connections closed in favour of new ones.
+    std::uint64_t rejected = 0;  ///< Requests that were invalid, incomplete or for an unknown resource.
+    std::uint64_t timedOut = 0;  ///< Connections that exceeded the request timeout.
+    std::uint64_t evicted = 0;   ///< Idle or unused connections closed in favour of new ones.
     std::uint64_t overCapacity =
         0;  ///< Times that no connection could be evicted, so that new ones had to wait.
     std::uint64_t closedIdle = 0;  ///< Connections closed by the idle timeout.
-    /// Connections closed, by CloseReason.
+    /// Closed connections by CloseReason.
     std::array<std::uint64_t, static_cast<std::size_t>(CloseReason::count_)> closed{};
-    /// Connections closed though a response was due, which breaks a rule.
+    /// Connections closed while a response was due, which is a violation.
     std::uint64_t closedWithoutResponse = 0;
   };
-  /// How the frontend asks and notifies its owner. Must not call back into the frontend.
+  /// Callbacks to the frontend's owner. They must not call back into the frontend.
   struct Events {
-    /// Whether the router is ready, which is what `/-/ready` responds.
+    /// Returns whether the router is ready; determines the response to `/-/ready`.
     std::function<bool()> ready;
-    /// A request was rejected with this status; the text names the cause.
+    /// A request was rejected with this status; `text` states the cause.
     std::function<void(int status, std::string_view text)> rejected = [](int, std::string_view) {};
-    /// A connection ended. `traceId`: the request that was open, or empty; `owesResponse`: it was due a
-    /// response, which breaks a rule.
-    std::function<void(CloseReason reason, std::string_view traceId, bool owesResponse)> closed =
+    /// A connection was closed. `traceId`: trace id of the open request, or empty; `isResponseDue`: that
+    /// request was left without a response, which is a violation.
+    std::function<void(CloseReason reason, std::string_view traceId, bool isResponseDue)> closed =
         [](CloseReason, std::string_view, bool) {};
   };
 
-  /// Listens at once.
-  /// @param loop runs everything; must outlive the frontend
-  /// @param address where to listen
-  /// @param options limits
-  /// @param deployment names the request classes; must outlive the frontend
-  /// @param router takes the requests; must outlive the frontend
-  /// @param events notifications
-  /// @throws Poco::Net::NetException where it can't listen on the address
+  /// Starts listening.
+  /// @param loop the event loop; must outlive the frontend
+  /// @param address listening address
+  /// @param options limits and timeouts
+  /// @param deployment provides the names of the request classes; must outlive the frontend
+  /// @param router executes the requests; must outlive the frontend
+  /// @param events callbacks
+  /// @throws Poco::Net::NetException if it cannot listen on the address
   HttpFrontend(net::Loop& loop, const Poco::Net::SocketAddress& address, const Options& options,
                const deployment_config::DeploymentConfig& deployment, routing::Router& router, Events events);
-  /// Closes all connections at once.
+  /// Closes all connections immediately.
   ~HttpFrontend();
   HttpFrontend(const HttpFrontend&) = delete;
   HttpFrontend& operator=(const HttpFrontend&) = delete;
 
-  /// From now on connections end after their responses, and idle ones end now.
+  /// Closes idle connections now and other connections after their outstanding responses.
   void drain();
-  /// Accepts no more connections, and those without an open request end. Requests that are read from now on
-  /// get a 503: the process ends once the open requests have their responses.
+  /// Stops accepting connections and closes those without an open request. Requests that are read from now on
+  /// get a 503, since the process exits once the open requests have their responses.
   void close();
 
-  /// Where the frontend listens.
+  /// The listening address.
   Poco::Net::SocketAddress address() const { return listener_.address(); }
-  /// Number of connections, lingering ones included.
+  /// Number of connections, including lingering ones.
   std::size_t connections() const { return connections_.size(); }
-  /// Whether connections may still be accepted.
+  /// Whether the listener is open.
   bool accepting() const { return listener_.open(); }
-  /// Number of requests that wait for their completion by the router.
+  /// Number of requests that the router has not completed yet.
   std::size_t openRequests() const { return openTraceIds_.size(); }
-  /// Bytes of the bodies of open requests, and of pipelined input.
+  /// Buffered bytes of request bodies and of pipelined input.
   std::size_t bufferedBytes() const { return bodyBudget_.used() + pipelinedBudget_.used(); }
-  /// What has happened since the start.
+  /// Counts since the start.
   const Counters& counters() const { return counters_; }
 
  private:
   class Connection;
   void accept(const Poco::Net::StreamSocket& socket);
-  void makeRoom();
-  bool evictOne();
+  void ensureCapacity();
+  bool evictConnection();
   void drainConnections(bool includeUnused);
-  void reportClose(CloseReason reason, std::string_view traceId, bool owesResponse);
-  void onLingering(Connection& connection);
+  void reportClose(CloseReason reason, std::string_view traceId, bool isResponseDue);
+  void onLingeringStarted(Connection& connection);
   void limitLingering();
   void onClosed(Connection& connection);
 
@@ -129,7 +133,7 @@
   std::deque<Connection*> lingering_;  // oldest first
   std::unordered_set<std::string> openTraceIds_;
   bool isDraining_ = false;
-  bool refusesRequests_ = false;
+  bool rejectsRequests_ = false;
   Counters counters_;
   timing::Alarm capacityAlarm_;
   net::Listener listener_;
--- a/src/platform/http_frontend/pipelined_input.h
+++ b/src/platform/http_frontend/pipelined_input.h
@@ -1,6 +1,6 @@
 /// @file
-/// What a client has sent behind the request that is being answered (HTTP pipelining), in the order in which
-/// it came. Free of I/O and clocks.
+/// Input that a client sent after the request that is being answered (HTTP pipelining), in the order of
+/// arrival. Performs no I/O and reads no clock.
 #pragma once
 
 #include <cstddef>
@@ -14,28 +14,28 @@
 
 namespace garnethook::platform {
 
-/// The unparsed input of one connection, bounded by its own limit and by the budget of all connections.
-/// Once input had to be thrown away, none is taken any more.
+/// The unparsed input of one connection, bounded by its own limit and by the budget of all connections. The
+/// owner must not append further input after an overflow, since the discarded bytes would be missing from it.
 class PipelinedInput {
  public:
-  /// Bytes that arrive within this many microseconds share one segment, which bounds the cost of a client
-  /// that sends byte by byte.
+  /// Bytes that arrive within this many microseconds share one segment, which bounds the overhead caused by a
+  /// client that sends byte by byte.
   static constexpr Micros kSegmentWindow = 10'000;
-  /// Bytes that arrived at about the same time.
+  /// Bytes that arrived within one segment window.
   struct Segment {
-    std::string bytes;           ///< All bytes of the segment.
-    Micros arrivedAt = 0;        ///< When the first of them arrived.
-    std::size_t parsedSize = 0;  ///< How many bytes at the beginning have been parsed.
+    std::string bytes;           ///< The segment's bytes, including parsed ones.
+    Micros arrivedAt = 0;        ///< When the first byte arrived.
+    std::size_t parsedSize = 0;  ///< Number of leading bytes already parsed.
 
-    /// The bytes that have not been parsed.
+    /// The bytes not parsed yet.
     std::string_view unparsed() const { return std::string_view(bytes).substr(parsedSize); }
   };
 
-  /// @param limit bytes that this connection may buffer
-  /// @param budget bytes that all connections together may buffer
+  /// @param limit maximum bytes that this connection may buffer
+  /// @param budget limit on the bytes that all connections together may buffer
   PipelinedInput(std::size_t limit, ByteBudget& budget) : limit_(limit), reservation_(budget) {}
 
-  /// Appends bytes, or marks the input as overflowed where a limit does not allow that.
+  /// Appends bytes, or discards them and marks the input as overflowed if a limit would be exceeded.
   void append(std::string_view bytes, Micros now) {
     if (reservation_.size() + bytes.size() > limit_ || !reservation_.tryAdd(bytes.size())) {
       overflowed_ = true;
@@ -46,25 +46,25 @@
     else
       segments_.push_back({std::string(bytes), now});
   }
-  /// Whether nothing waits to be parsed.
+  /// Whether there is no unparsed input.
   bool empty() const { return reservation_.size() == 0; }
-  /// Whether input was thrown away because a limit was reached.
+  /// Whether input was discarded because a limit was reached.
   bool hasOverflowed() const { return overflowed_; }
-  /// Removes the oldest segment; there must be one.
+  /// Removes and returns the oldest segment. The input must not be empty.
   Segment takeFirst() {
     Segment first = std::move(segments_.front());
     segments_.pop_front();
     reservation_.subtract(first.unparsed().size());
     return first;
   }
-  /// Puts a segment back at the front, after `parsed` more of its bytes were parsed.
-  void putBack(Segment segment, std::size_t parsed) {
-    segment.parsedSize += parsed;
+  /// Returns a segment to the front after `parsedBytes` more of its bytes were parsed.
+  void putBack(Segment segment, std::size_t parsedBytes) {
+    segment.parsedSize += parsedBytes;
     if (segment.unparsed().empty()) return;
     reservation_.add(segment.unparsed().size());
     segments_.push_front(std::move(segment));
   }
-  /// Drops everything that waits.
+  /// Discards all unparsed input.
   void clear() {
     segments_.clear();
     reservation_.release();
--- a/src/platform/http_frontend/request_decoder.cpp
+++ b/src/platform/http_frontend/request_decoder.cpp
@@ -14,29 +14,29 @@
 namespace garnethook::platform {
 namespace {
 
-constexpr std::size_t kMaxIdSize = 64;
-constexpr std::size_t kMaxKeySize = 256;
-// The platform's estimate for a request that does not name its prompt's length.
+constexpr std::size_t kMaxTraceIdBytes = 64;
+constexpr std::size_t kMaxKeyBytes = 256;
+// Estimates the prompt length of a request that does not specify it.
 constexpr double kCharactersPerToken = 4;
 
-// A header field that may occur once. A repeated one could be read in two ways, by the engine in the other
-// one.
+// A header field that may occur only once. The router and the engine could use different values of a repeated
+// field.
 struct SingleField {
   std::optional<std::string_view> value;
   bool repeated = false;
 };
 SingleField singleField(const http1::Fields& fields, std::string_view name) {
-  SingleField out;
+  SingleField result;
   for (const auto& field : fields) {
     if (field.name != name) continue;
-    out.repeated = out.value.has_value();
-    if (out.repeated) break;
-    out.value = field.value;
+    result.repeated = result.value.has_value();
+    if (result.repeated) break;
+    result.value = field.value;
   }
-  return out;
+  return result;
 }
 
-// The fields that describe the request to this router.
+// The header fields that the router itself evaluates.
 struct RequestFields {
   explicit RequestFields(const http1::Fields& fields)
       : traceId(singleField(fields, "x-trace-id")),
@@ -56,16 +56,18 @@
   SingleField properties;
 };
 
-bool isId(std::string_view text) {
-  return !text.empty() && text.size() <= kMaxIdSize && std::all_of(text.begin(), text.end(), [](char c) {
-    return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' || c == '_';
-  });
+bool isValidTraceId(std::string_view text) {
+  return !text.empty() && text.size() <= kMaxTraceIdBytes &&
+         std::all_of(text.begin(), text.end(), [](char character) {
+           return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z') ||
+                  (character >= 'A' && character <= 'Z') || character == '-' || character == '_';
+         });
 }
 
 std::optional<std::int64_t> parseInteger(std::string_view text) {
   std::int64_t value = 0;
-  const auto [end, bad] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (text.empty() || bad != std::errc() || end != text.data() + text.size()) return std::nullopt;
+  const auto [end, errorCode] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (text.empty() || errorCode != std::errc() || end != text.data() + text.size()) return std::nullopt;
   return value;
 }
 
@@ -75,24 +77,24 @@
   return text;
 }
 
-// Reads `name=value, ...` into the request; unknown names are ignored. Sets `promptLengthGiven` where the
-// prompt's length is among them.
+// Decodes `name=value, ...` into the request; ignores unknown names. Sets `promptLengthGiven` if the prompt's
+// length is specified.
 std::optional<DecodeError> decodeProperties(std::string_view text, const RequestLimits& limits,
                                             routing::Request& request, bool& promptLengthGiven) {
-  for (const auto untrimmed : deployment_config::split(text, ',')) {
-    const auto part = trimSpaces(untrimmed);
-    const auto equals = part.find('=');
+  for (const auto untrimmedProperty : deployment_config::split(text, ',')) {
+    const auto property = trimSpaces(untrimmedProperty);
+    const auto equals = property.find('=');
     if (equals == std::string_view::npos) return DecodeError{400, "X-Props: no '=' in a part"};
-    const auto name = part.substr(0, equals);
-    const auto value = part.substr(equals + 1);
+    const auto name = property.substr(0, equals);
+    const auto value = property.substr(equals + 1);
     if (name == "prefix") {
-      if (value.size() > kMaxKeySize) return DecodeError{400, "X-Props: prefix is too long"};
+      if (value.size() > kMaxKeyBytes) return DecodeError{400, "X-Props: prefix is too long"};
       request.sharedPrefixKey = value;
       continue;
     }
     if (name != "prompt_len" && name != "prefix_len" && name != "max_out") continue;
     const auto number = parseInteger(value);
-    if (!number || *number < 0 || static_cast<double>(*number) > limits.tokens)
+    if (!number || *number < 0 || static_cast<double>(*number) > limits.maxTokens)
       return DecodeError{400, "X-Props: " + std::string(name) + " is no length"};
     if (name == "prompt_len") {
       request.promptTokens = static_cast<double>(*number);
@@ -106,11 +108,11 @@
   return std::nullopt;
 }
 
-// Reads all header fields but the properties.
+// Decodes all header fields except X-Props.
 std::optional<DecodeError> decodeFields(const RequestFields& fields,
                                         const deployment_config::DeploymentConfig& deployment,
                                         const RequestLimits& limits, routing::Request& request) {
-  if (!fields.traceId.value || !isId(*fields.traceId.value))
+  if (!fields.traceId.value || !isValidTraceId(*fields.traceId.value))
     return DecodeError{400, "X-Trace-Id: an id is wanted"};
   request.traceId = *fields.traceId.value;
   if (!fields.requestClass.value) return DecodeError{400, "X-Qos: is missing"};
@@ -118,25 +120,25 @@
   if (!index) return DecodeError{400, "X-Qos: no such class"};
   request.requestClass = *index;
   const auto expiresInMs = fields.expiresInMs.value ? parseInteger(*fields.expiresInMs.value) : std::nullopt;
-  if (!expiresInMs || *expiresInMs <= 0 || *expiresInMs > limits.longestDeadline / 1000)
+  if (!expiresInMs || *expiresInMs <= 0 || *expiresInMs > limits.maxDeadline / 1000)
     return DecodeError{400, "X-Expires-In-Ms: whole milliseconds are wanted"};
   request.remaining = *expiresInMs * 1000;
   if (fields.session.value) {
-    if (fields.session.value->size() > kMaxKeySize) return DecodeError{400, "X-Object: too long"};
+    if (fields.session.value->size() > kMaxKeyBytes) return DecodeError{400, "X-Object: too long"};
     request.session = *fields.session.value;
   }
   return std::nullopt;
 }
 
-// Engines would reject anything but a complete JSON object, such as a body that was cut short, late and at a
-// cost.
+// Detects invalid bodies, for example truncated ones, early: an engine would reject them only after an
+// attempt had used its time and resources.
 bool isJsonObject(const std::string& body) {
   return !body.empty() && body.front() == '{' && config::jsonDepth(body) <= config::kDeepest &&
          nlohmann::json::accept(body);
 }
 
-// Hop-by-hop fields (RFC 9110 section 7.6.1), and those that are written anew for each engine.
-bool isNotForwarded(std::string_view name) {
+// Hop-by-hop fields (RFC 9110 section 7.6.1) and fields that the router writes itself for each attempt.
+bool isHopByHopOrRewritten(std::string_view name) {
   constexpr std::array<std::string_view, 14> kNames{"connection",
                                                     "keep-alive",
                                                     "proxy-connection",
@@ -154,20 +156,21 @@
   return std::find(kNames.begin(), kNames.end(), name) != kNames.end();
 }
 
-// All other fields, such as the key by which engines recognise a repeated request, are forwarded unchanged.
+// Returns the fields to forward unchanged, such as the idempotency key by which engines detect a repeated
+// request.
 std::string forwardedFields(const http1::Fields& fields) {
-  const auto namedByConnection = [&](std::string_view name) {
+  const auto isListedInConnectionField = [&](std::string_view name) {
     return std::any_of(fields.begin(), fields.end(), [&](const auto& field) {
       return field.name == "connection" && http1::listHas(field.value, name);
     });
   };
-  std::string out;
+  std::string forwarded;
   for (const auto& field : fields) {
-    if (!namedByConnection(field.name) && !isNotForwarded(field.name))
-      out.append(field.name).append(": ").append(field.value).append("\r\n");
+    if (!isListedInConnectionField(field.name) && !isHopByHopOrRewritten(field.name))
+      forwarded.append(field.name).append(": ").append(field.value).append("\r\n");
   }
-  if (!http1::find(fields, "content-type")) out.append("content-type: application/json\r\n");
-  return out;
+  if (!http1::find(fields, "content-type")) forwarded.append("content-type: application/json\r\n");
+  return forwarded;
 }
 
 }  // namespace
@@ -187,7 +190,7 @@
   if (fields.properties.value)
     if (auto error = decodeProperties(*fields.properties.value, limits, request, promptLengthGiven))
       return Failure{std::move(*error)};
-  if (body.size() > limits.bodyBytes) return Failure{DecodeError{413, "the body is too large"}};
+  if (body.size() > limits.maxBodyBytes) return Failure{DecodeError{413, "the body is too large"}};
   if (!isJsonObject(body)) return Failure{DecodeError{400, "the body is no JSON object"}};
   if (!promptLengthGiven) {
     request.promptTokens = std::ceil(static_cast<double>(body.size()) / kCharactersPerToken);
--- a/src/platform/http_frontend/request_decoder.h
+++ b/src/platform/http_frontend/request_decoder.h
@@ -1,5 +1,5 @@
 /// @file
-/// Decodes a client's HTTP request into what the router takes, or says why it can't be served. Free of I/O.
+/// Decodes a client's HTTP request into a routing::Request. Performs no I/O.
 #pragma once
 
 #include <string>
@@ -12,24 +12,24 @@
 
 namespace garnethook::platform {
 
-/// Why a request can't be served, as its client is told.
+/// Why a request cannot be served, as reported to its client.
 struct DecodeError {
   int status = 400;  ///< HTTP status code of the response.
-  std::string text;  ///< The response's body: names the field at fault.
+  std::string text;  ///< Body of the response; names the invalid field.
 };
 
 /// Limits on one request.
 struct RequestLimits {
-  std::size_t bodyBytes = std::size_t{256} * 1024;  ///< Longest body.
-  double tokens = 1e6;                              ///< Most tokens that any one field may name.
-  Micros longestDeadline = 3'600'000'000;           ///< Longest time for an answer, in microseconds.
+  std::size_t maxBodyBytes = std::size_t{256} * 1024;  ///< Maximum bytes of the body.
+  double maxTokens = 1e6;                              ///< Maximum value of each token count.
+  Micros maxDeadline = 3'600'000'000;                  ///< Maximum time until the deadline, in microseconds.
 };
 
-/// Decodes a request, or says why it can't be served.
+/// Decodes a request, or returns the reason why it cannot be served.
 /// @param head method, target and header fields
-/// @param body the whole body
-/// @param deployment names the request classes
-/// @param limits what a request may ask for
+/// @param body the complete body
+/// @param deployment provides the names of the request classes
+/// @param limits limits that the request must not exceed
 Result<routing::Request, DecodeError> decodeRequest(const http1::Head& head, std::string body,
                                                     const deployment_config::DeploymentConfig& deployment,
                                                     const RequestLimits& limits = {});
--- a/src/platform/http_frontend/response.cpp
+++ b/src/platform/http_frontend/response.cpp
@@ -23,7 +23,7 @@
   }
 }
 
-// Seconds with three decimals, rounded up.
+// Formats a duration as seconds with three decimals, rounded up.
 std::string formatSeconds(Micros time) {
   const Micros milliseconds = (time + 999) / 1000;
   const std::string fraction = std::to_string(milliseconds % 1000);
@@ -32,26 +32,26 @@
 
 }  // namespace
 
-std::string responseText(const Response& response) {
-  std::string out = "HTTP/1.1 " + std::to_string(response.status) + " ";
-  out.append(reasonPhrase(response.status)).append("\r\nContent-Type: text/plain\r\nContent-Length: ");
-  out.append(std::to_string(response.text.size() + 1)).append("\r\n");
+std::string serializeResponse(const Response& response) {
+  std::string buffer = "HTTP/1.1 " + std::to_string(response.status) + " ";
+  buffer.append(reasonPhrase(response.status)).append("\r\nContent-Type: text/plain\r\nContent-Length: ");
+  buffer.append(std::to_string(response.text.size() + 1)).append("\r\n");
   if (response.retryAfter > 0)
-    out.append("Retry-After: ").append(formatSeconds(response.retryAfter)).append("\r\n");
-  if (!response.keepAlive) out.append("Connection: close\r\n");
-  return out.append("\r\n").append(response.text).append("\n");
+    buffer.append("Retry-After: ").append(formatSeconds(response.retryAfter)).append("\r\n");
+  if (!response.keepAlive) buffer.append("Connection: close\r\n");
+  return buffer.append("\r\n").append(response.text).append("\n");
 }
 
-void appendStreamHead(std::string& out, bool keepAlive) {
-  out.append("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n");
-  if (!keepAlive) out.append("Connection: close\r\n");
-  out.append("\r\n");
+void appendStreamHead(std::string& buffer, bool keepAlive) {
+  buffer.append("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n");
+  if (!keepAlive) buffer.append("Connection: close\r\n");
+  buffer.append("\r\n");
 }
 
-void appendChunk(std::string& out, std::string_view text) {
+void appendChunk(std::string& buffer, std::string_view text) {
   std::array<char, 20> size{};
   const char* const sizeEnd = std::to_chars(size.data(), size.data() + size.size(), text.size(), 16).ptr;
-  out.append(size.data(), static_cast<std::size_t>(sizeEnd - size.data()))
+  buffer.append(size.data(), static_cast<std::size_t>(sizeEnd - size.data()))
       .append("\r\n")
       .append(text)
       .append("\r\n");
--- a/src/platform/http_frontend/response.h
+++ b/src/platform/http_frontend/response.h
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP/1.1 responses as they are written to clients. Free of I/O.
+/// Serialization of HTTP/1.1 responses to clients. Performs no I/O.
 #pragma once
 
 #include <string>
@@ -9,29 +9,29 @@
 
 namespace garnethook::platform {
 
-/// A response that this router words itself: an error, a rejection, or readiness.
+/// A response that the router itself generates: an error, a rejection, or readiness.
 struct Response {
   int status = 200;       ///< HTTP status code.
-  std::string_view text;  ///< The body, without its line end.
-  Micros retryAfter = 0;  ///< Retry-After in microseconds; 0: none is sent.
-  bool keepAlive = true;  ///< False: announces that the connection ends after this response.
+  std::string_view text;  ///< The body without its trailing newline.
+  Micros retryAfter = 0;  ///< Retry-After in microseconds; 0 omits the field.
+  bool keepAlive = true;  ///< False announces that the connection closes after this response.
 };
 
-/// The whole message: status line, header fields, and the text as a body of one line.
-std::string responseText(const Response& response);
+/// Serializes the complete message: status line, header fields, and the text as a one-line body.
+std::string serializeResponse(const Response& response);
 
-/// Appends the head of a response that streams server-sent events in chunks.
-/// @param out what is written
-/// @param keepAlive false: announces that the connection ends after this response
-void appendStreamHead(std::string& out, bool keepAlive);
+/// Appends the head of a chunked response that streams server-sent events.
+/// @param buffer destination
+/// @param keepAlive false announces that the connection closes after this response
+void appendStreamHead(std::string& buffer, bool keepAlive);
 
 /// Appends `text` as one chunk (RFC 9112 section 7.1).
-void appendChunk(std::string& out, std::string_view text);
+void appendChunk(std::string& buffer, std::string_view text);
 
-/// Ends a response that was sent in chunks.
+/// The last chunk, which ends a chunked response.
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-/// Tells a client that waits with its body to go on.
+/// Interim response to a client that sent `Expect: 100-continue`.
 inline constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
 }  // namespace garnethook::platform
--- a/src/platform/http_frontend/response_writer.cpp
+++ b/src/platform/http_frontend/response_writer.cpp
@@ -5,29 +5,29 @@
 namespace garnethook::platform {
 namespace {
 
-// Head of a streamed response and framing of a chunk, rounded up.
+// Upper bound for the head of a streamed response and the framing of one chunk.
 constexpr std::size_t kFramingBytes = 160;
 
 }  // namespace
 
-void ResponseWriter::send(const Response& response) { stream_.send(responseText(response)); }
+void ResponseWriter::send(const Response& response) { stream_.send(serializeResponse(response)); }
 
 void ResponseWriter::sendContinue() { stream_.send(kContinueResponse); }
 
 void ResponseWriter::startStream(std::string_view events, bool keepAlive) {
   isStreaming_ = true;
-  std::string out;
-  out.reserve(events.size() + kFramingBytes);
-  appendStreamHead(out, keepAlive);
-  appendChunk(out, events);
-  stream_.send(out);
+  std::string buffer;
+  buffer.reserve(events.size() + kFramingBytes);
+  appendStreamHead(buffer, keepAlive);
+  appendChunk(buffer, events);
+  stream_.send(buffer);
 }
 
 void ResponseWriter::sendEvents(std::string_view events) {
-  std::string out;
-  out.reserve(events.size() + kFramingBytes);
-  appendChunk(out, events);
-  stream_.send(out);
+  std::string buffer;
+  buffer.reserve(events.size() + kFramingBytes);
+  appendChunk(buffer, events);
+  stream_.send(buffer);
 }
 
 void ResponseWriter::finishStream() {
--- a/src/platform/http_frontend/response_writer.h
+++ b/src/platform/http_frontend/response_writer.h
@@ -9,25 +9,25 @@
 
 namespace garnethook::platform {
 
-/// Writes complete responses and responses that are streamed in chunks, one after the other.
+/// Writes complete responses and chunked streams, one after the other.
 class ResponseWriter {
  public:
   /// @param stream the client's connection; must outlive the writer
   explicit ResponseWriter(net::Stream& stream) : stream_(stream) {}
 
-  /// Sends a complete response; none may be streaming.
+  /// Sends a complete response. No response may be streaming.
   void send(const Response& response);
-  /// Tells a client that waits with its body to go on.
+  /// Sends the interim response that a client with `Expect: 100-continue` waits for.
   void sendContinue();
-  /// Starts a streamed response, with its first events.
+  /// Starts a streamed response.
   /// @param events the first events
-  /// @param keepAlive false: announces that the connection ends after this response
+  /// @param keepAlive false announces that the connection closes after this response
   void startStream(std::string_view events, bool keepAlive);
   /// Sends further events of the streamed response.
   void sendEvents(std::string_view events);
-  /// Ends the streamed response as complete.
+  /// Completes the streamed response.
   void finishStream();
-  /// Whether a streamed response has been started and not finished.
+  /// Whether a streamed response was started and not finished.
   bool isStreaming() const { return isStreaming_; }
 
  private:
--- a/tests/deployment_config/deployment_config_test.cpp
+++ b/tests/deployment_config/deployment_config_test.cpp
@@ -1,4 +1,4 @@
-// The settings of a deployment: which keys are read, and what each of them gives.
+// Tests which configuration keys of a deployment are read, and which field each key sets.
 #include "deployment_config/deployment_config.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace garnethook::deployment_config {
 namespace {
 
-FieldReader readerOf(std::string_view line) {
+FieldReader makeFieldReader(std::string_view line) {
   FieldReader fields;
   for (const auto field : split(line, ' ')) {
     const auto equals = field.find('=');
@@ -17,7 +17,7 @@
   return fields;
 }
 
-// Golden: every key that is read, each with a value that differs from its default.
+// Every key that is read, each with a value that differs from its default.
 constexpr std::string_view kAllKeys =
     "az=south zones=north,south skus=m1,m2,m3 balancers=4 me=3 discovery=ask "
     "allowed.attemptsCap=6 allowed.connIdleMs=15000 allowed.dialTimeoutMs=250.5 allowed.maxRetryAfterMs=500 "
@@ -33,8 +33,8 @@
     "rules.askWithinMs=1200 rules.coldFrom=0.3 rules.fallMultiple=2.5 rules.graceToAnswerMs=8 "
     "rules.tipAfterMs=1500 rules.warmWithinMs=9000";
 
-TEST(DeploymentConfigKeys, EachKeyGivesItsField) {
-  const FieldReader fields = readerOf(kAllKeys);
+TEST(DeploymentConfigKeys, EachKeySetsItsField) {
+  const FieldReader fields = makeFieldReader(kAllKeys);
   const DeploymentConfig config = readDeploymentConfig(fields);
   EXPECT_EQ(config.zoneNames, (std::vector<std::string>{"north", "south"}));
   EXPECT_EQ(config.kindNames, (std::vector<std::string>{"m1", "m2", "m3"}));
@@ -69,7 +69,7 @@
   ASSERT_EQ(settings.kinds.size(), 3u);
   EXPECT_EQ(settings.kinds[0].role, Role::prefill);
   EXPECT_EQ(settings.kinds[1].role, Role::decode);
-  EXPECT_EQ(settings.kinds[2].role, Role::decode);  // the last role holds for all further kinds
+  EXPECT_EQ(settings.kinds[2].role, Role::decode);  // the last role applies to all further kinds
   EXPECT_DOUBLE_EQ(settings.kinds[0].memoryTokens, 200'000);
   EXPECT_DOUBLE_EQ(settings.kinds[1].memoryTokens, 100'000);
   EXPECT_DOUBLE_EQ(settings.kinds[2].memoryTokens, 0);
@@ -90,9 +90,9 @@
   EXPECT_EQ(settings.classes[1].idempotency, Idempotency::nonIdempotent);
 }
 
-TEST(DeploymentConfigKeys, HaveDefaultsWhereTheyAreAbsent) {
+TEST(DeploymentConfigKeys, HaveDefaultsIfAbsent) {
   const FieldReader fields =
-      readerOf("profiles.count=1 profiles.0.name=chat profiles.0.effect=read_like skus=m");
+      makeFieldReader("profiles.count=1 profiles.0.name=chat profiles.0.effect=read_like skus=m");
   const DeploymentConfig config = readDeploymentConfig(fields);
   EXPECT_TRUE(config.zoneNames.empty());
   EXPECT_EQ(config.report.x0, "");
@@ -117,28 +117,29 @@
   EXPECT_DOUBLE_EQ(settings.classes[0].priorityWeight, 1);
 }
 
-TEST(DeploymentConfigKeys, AnUnknownScopeIsTheNarrowest) {
-  const FieldReader fields = readerOf(
+TEST(DeploymentConfigKeys, MapAnUnknownScopeToTheNarrowest) {
+  const FieldReader fields = makeFieldReader(
       "profiles.count=1 profiles.0.name=chat profiles.0.effect=idempotency_key profiles.0.group=planet");
   EXPECT_EQ(readDeploymentConfig(fields).settings.classes[0].deduplicationScope, DeduplicationScope::cell);
 }
 
-TEST(FieldReader, NamesTheFieldAtFault) {
-  const FieldReader fields = readerOf("whole=1.5 number=x negative=-1 flag=yes big=3000000000 time=1e300");
-  const auto fieldOf = [&](auto&& read) {
+TEST(FieldReader, ReportsTheInvalidField) {
+  const FieldReader fields =
+      makeFieldReader("whole=1.5 number=x negative=-1 flag=yes big=3000000000 time=1e300");
+  const auto reportedField = [&](auto&& read) {
     try {
       read();
     } catch (const FieldError& error) { return error.field(); }
     return std::string("none");
   };
-  EXPECT_EQ(fieldOf([&] { fields.text("absent"); }), "absent");
-  EXPECT_EQ(fieldOf([&] { fields.unsignedInteger("whole"); }), "whole");
-  EXPECT_EQ(fieldOf([&] { fields.number("number"); }), "number");
-  EXPECT_EQ(fieldOf([&] { fields.nonNegativeNumber("negative", 0); }), "negative");
-  EXPECT_EQ(fieldOf([&] { fields.flag("flag"); }), "flag");
-  EXPECT_EQ(fieldOf([&] { fields.intValue("big"); }), "big");
-  EXPECT_EQ(fieldOf([&] { fields.duration("time"); }), "time");
-  EXPECT_EQ(fieldOf([&] { fields.duration("absent", 5); }), "none");
+  EXPECT_EQ(reportedField([&] { fields.text("absent"); }), "absent");
+  EXPECT_EQ(reportedField([&] { fields.unsignedInteger("whole"); }), "whole");
+  EXPECT_EQ(reportedField([&] { fields.number("number"); }), "number");
+  EXPECT_EQ(reportedField([&] { fields.nonNegativeNumber("negative", 0); }), "negative");
+  EXPECT_EQ(reportedField([&] { fields.flag("flag"); }), "flag");
+  EXPECT_EQ(reportedField([&] { fields.intValue("big"); }), "big");
+  EXPECT_EQ(reportedField([&] { fields.duration("time"); }), "time");
+  EXPECT_EQ(reportedField([&] { fields.duration("absent", 5); }), "none");
 }
 
 }  // namespace
--- a/tests/platform/http_connection_parts_test.cpp
+++ b/tests/platform/http_connection_parts_test.cpp
@@ -1,5 +1,5 @@
-// The parts of a client connection that need no socket: shared budgets, pipelined input, persistence and the
-// bounds of a lingering close.
+// Tests the parts of a client connection that need no socket: shared budgets, pipelined input, persistence,
+// the limits of a lingering close, and serialized responses.
 #include <gtest/gtest.h>
 
 #include "platform/http_frontend/byte_budget.h"
@@ -11,7 +11,7 @@
 namespace garnethook::platform {
 namespace {
 
-TEST(ByteBudget, GivesBackWhatAReservationHeldWhenItEnds) {
+TEST(ByteBudget, ReturnsReservedBytesOnDestruction) {
   ByteBudget budget(10);
   {
     ByteReservation first(budget);
@@ -22,7 +22,7 @@
     EXPECT_EQ(budget.used(), 10u);
     first.subtract(2);
     EXPECT_EQ(first.size(), 4u);
-    second.add(5);  // held already, so the limit does not matter
+    second.add(5);  // already held, so the limit does not apply
     EXPECT_EQ(budget.used(), 13u);
     second.release();
     EXPECT_EQ(budget.used(), 4u);
@@ -30,11 +30,11 @@
   EXPECT_EQ(budget.used(), 0u);
 }
 
-TEST(PipelinedInput, KeepsTheOrderAndTheTimeOfArrival) {
+TEST(PipelinedInput, PreservesTheOrderAndTheTimeOfArrival) {
   ByteBudget budget(100);
   PipelinedInput input(100, budget);
   input.append("ab", 1'000);
-  input.append("cd", 2'000);  // soon after: the same segment
+  input.append("cd", 2'000);  // within the window: same segment
   input.append("ef", 1'000 + PipelinedInput::kSegmentWindow);
   EXPECT_EQ(budget.used(), 6u);
   auto segment = input.takeFirst();
@@ -49,7 +49,7 @@
   EXPECT_FALSE(input.hasOverflowed());
 }
 
-TEST(PipelinedInput, ThrowsAwayWhatExceedsItsOwnLimitOrTheBudgetOfAll) {
+TEST(PipelinedInput, DiscardsInputBeyondItsOwnLimitOrTheSharedBudget) {
   ByteBudget budget(8);
   PipelinedInput limited(4, budget);
   limited.append("12345", 0);
@@ -66,9 +66,9 @@
 }
 
 TEST(Persistence, AnnouncesTheCloseInTheLastResponse) {
-  Persistence kept;
-  EXPECT_FALSE(kept.announceClose(false));
-  EXPECT_FALSE(kept.isClosing());
+  Persistence keepAlive;
+  EXPECT_FALSE(keepAlive.announceClose(false));
+  EXPECT_FALSE(keepAlive.isClosing());
 
   Persistence draining;
   draining.closeAfterBufferedInput();
@@ -78,19 +78,19 @@
   EXPECT_TRUE(draining.announceClose(false));
   EXPECT_TRUE(draining.isClosingAnnounced());
 
-  Persistence requested;  // by the client, whatever it has sent behind that
+  Persistence requested;  // by the client, regardless of further input
   requested.closeAfterCurrentRequest();
   requested.closeAfterBufferedInput();
   EXPECT_TRUE(requested.announceClose(true));
 }
 
-TEST(LingeringClose, WaitsOnlyWhileTheClientReadsAndNotWithoutEnd) {
+TEST(LingeringClose, WaitsOnlyWhileTheClientReadsAndForABoundedTime) {
   LingeringClose idle(100);
   idle.startInterval(0);
   EXPECT_FALSE(idle.shouldWaitAgain(0));
-  LingeringClose stuck(100);
-  stuck.startInterval(50);
-  EXPECT_FALSE(stuck.shouldWaitAgain(50));
+  LingeringClose stalled(100);
+  stalled.startInterval(50);
+  EXPECT_FALSE(stalled.shouldWaitAgain(50));
   LingeringClose reading(100);
   std::size_t unsent = 1'000;
   int intervals = 0;
@@ -103,12 +103,13 @@
   EXPECT_FALSE(reading.discard(1));
 }
 
-// Clients and their proxies read these bytes.
-TEST(Response, IsWrittenByteForByte) {
-  EXPECT_EQ(responseText({.status = 503, .text = "not ready", .retryAfter = 1'234'001, .keepAlive = false}),
-            "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 10\r\n"
-            "Retry-After: 1.235\r\nConnection: close\r\n\r\nnot ready\n");
-  EXPECT_EQ(responseText({.text = "ready"}),
+// Clients and proxies parse this output, so it is compared byte by byte.
+TEST(Response, IsSerializedByteForByte) {
+  EXPECT_EQ(
+      serializeResponse({.status = 503, .text = "not ready", .retryAfter = 1'234'001, .keepAlive = false}),
+      "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 10\r\n"
+      "Retry-After: 1.235\r\nConnection: close\r\n\r\nnot ready\n");
+  EXPECT_EQ(serializeResponse({.text = "ready"}),
             "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 6\r\n\r\nready\n");
   std::string stream;
   appendStreamHead(stream, true);
