--- a/src/platform/http_frontend/request_decoder.cpp
+++ b/src/platform/http_frontend/request_decoder.cpp
@@ -108,7 +108,7 @@
   return std::nullopt;
 }
 
-// Decodes all header fields except X-Props.
+// Decodes the header fields that the router evaluates, except X-Props.
 std::optional<DecodeError> decodeFields(const RequestFields& fields,
                                         const deployment_config::DeploymentConfig& deployment,
                                         const RequestLimits& limits, routing::Request& request) {
@@ -130,8 +130,8 @@
   return std::nullopt;
 }
 
-// Detects invalid bodies, for example truncated ones, early: an engine would reject them only after an
-// attempt had used its time and resources.
+// Whether the body is a complete JSON object of limited depth. An engine would reject any other body, such as
+// a truncated one, only late and after an attempt has used resources.
 bool isJsonObject(const std::string& body) {
   return !body.empty() && body.front() == '{' && config::jsonDepth(body) <= config::kDeepest &&
          nlohmann::json::accept(body);
--- a/tests/platform/http_connection_parts_test.cpp
+++ b/tests/platform/http_connection_parts_test.cpp
@@ -66,9 +66,9 @@
 }
 
 TEST(Persistence, AnnouncesTheCloseInTheLastResponse) {
-  Persistence keepAlive;
-  EXPECT_FALSE(keepAlive.announceClose(false));
-  EXPECT_FALSE(keepAlive.isClosing());
+  Persistence unchanged;
+  EXPECT_FALSE(unchanged.announceClose(false));
+  EXPECT_FALSE(unchanged.isClosing());
 
   Persistence draining;
   draining.closeAfterBufferedInput();
--- a/tests/platform/request_decoder_test.cpp
+++ b/tests/platform/request_decoder_test.cpp
@@ -6,14 +6,14 @@
 namespace garnethook::platform {
 namespace {
 
-deployment_config::DeploymentConfig deploymentConfig() {
+deployment_config::DeploymentConfig makeDeploymentConfig() {
   deployment_config::DeploymentConfig deployment;
   deployment.classNames = {"chat", "order"};
   return deployment;
 }
 
 // The head of a valid request. `overrides` replaces fields, or removes a field if its value is "-".
-http1::Head requestHead(http1::Fields overrides = {}) {
+http1::Head makeRequestHead(http1::Fields overrides = {}) {
   http1::Head head;
   head.method = "POST";
   head.target = "/v1/chat/completions";
@@ -29,7 +29,7 @@
   return head;
 }
 int responseStatus(const http1::Head& head, const std::string& body = R"({"model":"chat"})") {
-  const auto decoded = decodeRequest(head, body, deploymentConfig());
+  const auto decoded = decodeRequest(head, body, makeDeploymentConfig());
   return decoded.hasValue() ? 200 : decoded.error().status;
 }
 
@@ -37,7 +37,7 @@
 // the router must forward that field.
 TEST(RequestDecoder, ForwardsOtherFieldsButNotHopByHopOnes) {
   const auto forwardedFields = [](http1::Fields overrides) {
-    const auto decoded = decodeRequest(requestHead(std::move(overrides)), "{}", deploymentConfig());
+    const auto decoded = decodeRequest(makeRequestHead(std::move(overrides)), "{}", makeDeploymentConfig());
     return decoded->fields;
   };
   const std::string keyField = "idempotency-key: f1b8db70\r\n";
@@ -62,7 +62,7 @@
 }
 
 TEST(RequestDecoder, DecodesAValidRequest) {
-  const auto decoded = decodeRequest(requestHead(), R"({"model":"chat"})", deploymentConfig());
+  const auto decoded = decodeRequest(makeRequestHead(), R"({"model":"chat"})", makeDeploymentConfig());
   ASSERT_TRUE(decoded.hasValue());
   const routing::Request& request = decoded.value();
   EXPECT_EQ(request.traceId, "9b1f03aa5c7e2d41");
@@ -78,12 +78,12 @@
 
 TEST(RequestDecoder, EstimatesThePromptLengthFromTheBodyWhenNoneIsGiven) {
   const auto decoded =
-      decodeRequest(requestHead({{"x-props", "-"}}), R"({"model":"chat"})", deploymentConfig());
+      decodeRequest(makeRequestHead({{"x-props", "-"}}), R"({"model":"chat"})", makeDeploymentConfig());
   EXPECT_DOUBLE_EQ(decoded->promptTokens, 4);
 }
 
 TEST(RequestDecoder, RejectsInvalidRequests) {
-  EXPECT_EQ(responseStatus(requestHead()), 200);
+  EXPECT_EQ(responseStatus(makeRequestHead()), 200);
   for (const http1::Fields& invalidFields : std::vector<http1::Fields>{
            {{"x-trace-id", "-"}},
            {{"x-trace-id", "a b"}},
@@ -102,19 +102,20 @@
            {{"x-props", "prompt_len=many"}},
            {{"x-props", "prefix"}},
            {{"x-trace-id", "one"}, {"x-other", "x"}, {"x-object", std::string(300, 'o')}}})
-    EXPECT_EQ(responseStatus(requestHead(invalidFields)), 400)
+    EXPECT_EQ(responseStatus(makeRequestHead(invalidFields)), 400)
         << invalidFields[0].name << " " << invalidFields[0].value;
-  auto repeatedField = requestHead();
+  auto repeatedField = makeRequestHead();
   repeatedField.fields.push_back({"x-trace-id", "other"});
   EXPECT_EQ(responseStatus(repeatedField), 400);
   for (const char* body : {"", "[]", "{", R"({"model":"chat")", "text", R"({"a":1}{"b":2})"})
-    EXPECT_EQ(responseStatus(requestHead(), body), 400) << body;
-  EXPECT_EQ(responseStatus(requestHead(), R"({"a":)" + std::string(100, '[') + std::string(100, ']') + "}"),
-            400);
-  auto getRequest = requestHead();
+    EXPECT_EQ(responseStatus(makeRequestHead(), body), 400) << body;
+  EXPECT_EQ(
+      responseStatus(makeRequestHead(), R"({"a":)" + std::string(100, '[') + std::string(100, ']') + "}"),
+      400);
+  auto getRequest = makeRequestHead();
   getRequest.method = "GET";
   EXPECT_EQ(responseStatus(getRequest), 405);
-  auto otherPath = requestHead();
+  auto otherPath = makeRequestHead();
   otherPath.target = "/v1/other";
   EXPECT_EQ(responseStatus(otherPath), 404);
 }
