--- a/tests/routing/execution_history_test.cpp
+++ b/tests/routing/execution_history_test.cpp
@@ -1,4 +1,4 @@
-// When a request may be rejected.
+// Which requests may be rejected, by idempotency and by whether an attempt may have executed.
 #include "routing/execution_history.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace garnethook::routing {
 namespace {
 
-TEST(ExecutionHistory, AllowsARejectionOnlyWhereARepeatDoesNoHarm) {
+TEST(ExecutionHistory, AllowsARejectionOnlyWhereARetryIsSafe) {
   RequestClass idempotent;
   RequestClass keyed;
   RequestClass nonIdempotent;
--- a/tests/routing/kv_reservation_releaser_test.cpp
+++ b/tests/routing/kv_reservation_releaser_test.cpp
@@ -1,4 +1,4 @@
-// Which release calls are made for a request, by what it is at: with time, timers and engines driven by hand.
+// Which release calls are made in each state of a request. Time, timers and engines are driven by the test.
 #include "routing/kv_reservation_releaser.h"
 
 #include <gtest/gtest.h>
@@ -13,23 +13,24 @@
   void onCompletion(const Completion&) override {}
 };
 
-constexpr Micros kTimeout = 500'000;
-constexpr EndpointId kHolder{7};
+constexpr Micros kReleaseTimeout = 500'000;
+constexpr EndpointId kPrefillEndpoint{7};
 
-// A request whose prefill at kHolder was given up just now.
+// A request whose prefill at kPrefillEndpoint was abandoned just now.
 class KvReservationReleaserTest : public testing::Test {
  protected:
   KvReservationReleaserTest()
       : context_{options_, timers_, engines_, observer_, counters_},
         releaser_(context_, requests_),
         active_(&requests_.add({}, client_, timers_.now(), "t")) {
-    const InFlightAttempt prefill{.endpoint = kHolder, .phase = Phase::prefill, .sentAt = timers_.now()};
-    releaser_.onPrefillSent(*active_, kHolder, timers_.now());
+    const InFlightAttempt prefill{
+        .endpoint = kPrefillEndpoint, .phase = Phase::prefill, .sentAt = timers_.now()};
+    releaser_.onPrefillSent(*active_, kPrefillEndpoint, timers_.now());
     releaser_.onAttemptAbandoned(active_->id, prefill);
   }
-  // Lets time pass; every call is confirmed at once.
-  void pass(Micros duration) {
-    for (Micros passed = 0; passed < duration; passed += 1'000) {
+  // Advances the time and confirms every release call at once.
+  void advanceConfirmingCalls(Micros duration) {
+    for (Micros elapsed = 0; elapsed < duration; elapsed += 1'000) {
       timers_.advance(1'000);
       confirmCalls();
     }
@@ -38,12 +39,12 @@
     for (; confirmed_ < engines_.releaseCalls.size(); ++confirmed_)
       releaser_.onReleaseEnded(engines_.releaseCalls[confirmed_], true);
   }
-  void start(Phase phase) {
+  void startAttempt(Phase phase) {
     active_->attempt = InFlightAttempt{.number = 1, .endpoint = {8}, .phase = phase};
   }
-  std::size_t calls() const { return engines_.releaseCalls.size(); }
+  std::size_t callCount() const { return engines_.releaseCalls.size(); }
 
-  Options options_{.kvReservations = {.kvReleaseTimeout = kTimeout, .releaseSparesAwaited = true}};
+  Options options_{.kvReservations = {.kvReleaseTimeout = kReleaseTimeout, .releaseSparesAwaited = true}};
   ManualTimers timers_;
   ManualEngines engines_;
   Observer observer_;
@@ -58,58 +59,59 @@
   std::size_t confirmed_ = 0;
 };
 
-// Nothing else looks at what an abandoned prefill may have left while its request waits for capacity.
+// While a request waits for capacity, no attempt triggers the release of what its abandoned prefill may have
+// left.
 TEST_F(KvReservationReleaserTest, ReleasesInTimeWhileTheRequestWaitsForCapacity) {
-  pass(kTimeout);
-  EXPECT_GE(calls(), 1u);
-  pass(4 * kTimeout);
-  EXPECT_GE(calls(), 4u);  // again, as state may still appear
+  advanceConfirmingCalls(kReleaseTimeout);
+  EXPECT_GE(callCount(), 1u);
+  advanceConfirmingCalls(4 * kReleaseTimeout);
+  EXPECT_GE(callCount(), 4u);  // repeated, since state may still appear
   EXPECT_FALSE(releaser_.tracker().isTracking(active_->id));
 }
 
-// Such a release would take the state that waits for a decode endpoint with room.
-TEST_F(KvReservationReleaserTest, LeavesANewerStateThatWaitsForADecode) {
+// Such a release would free the newer state, which waits for a decode endpoint with free capacity.
+TEST_F(KvReservationReleaserTest, KeepsANewerStateThatAwaitsADecode) {
   active_->kvEndpoint = EndpointId{8};
-  pass(2 * kTimeout);
-  EXPECT_EQ(calls(), 0u);
+  advanceConfirmingCalls(2 * kReleaseTimeout);
+  EXPECT_EQ(callCount(), 0u);
 }
 
-TEST_F(KvReservationReleaserTest, RepeatsNoReleaseWhileANewerAttemptIsAtWork) {
-  pass(kTimeout);
-  const std::size_t before = calls();
+TEST_F(KvReservationReleaserTest, RepeatsNoReleaseWhileANewerAttemptIsInFlight) {
+  advanceConfirmingCalls(kReleaseTimeout);
+  const std::size_t callsBefore = callCount();
   for (const Phase phase : {Phase::prefill, Phase::decode}) {
-    start(phase);
-    pass(kTimeout);
-    EXPECT_EQ(calls(), before);
+    startAttempt(phase);
+    advanceConfirmingCalls(kReleaseTimeout);
+    EXPECT_EQ(callCount(), callsBefore);
   }
   active_->attempt->hasStarted = true;  // the newer state was fetched
-  pass(kTimeout);
-  EXPECT_GT(calls(), before);
+  advanceConfirmingCalls(kReleaseTimeout);
+  EXPECT_GT(callCount(), callsBefore);
 }
 
-TEST_F(KvReservationReleaserTest, RepeatsReleasesBesideAnAttemptThatMayNotHaveArrived) {
-  pass(kTimeout);
-  start(Phase::prefill);
+TEST_F(KvReservationReleaserTest, RepeatsReleasesDuringAnAttemptThatMayNotHaveArrived) {
+  advanceConfirmingCalls(kReleaseTimeout);
+  startAttempt(Phase::prefill);
   releaser_.releaseBeside(active_->id, *active_->attempt);
-  const std::size_t before = calls();
-  pass(kTimeout);
-  EXPECT_GT(calls(), before);
+  const std::size_t callsBefore = callCount();
+  advanceConfirmingCalls(kReleaseTimeout);
+  EXPECT_GT(callCount(), callsBefore);
 }
 
 TEST_F(KvReservationReleaserTest, RepeatsReleasesOfARequestThatHasEnded) {
   releaser_.release(active_->id);
   requests_.erase(active_->id);
-  const std::size_t before = calls();
-  pass(kTimeout);
-  EXPECT_GT(calls(), before);
+  const std::size_t callsBefore = callCount();
+  advanceConfirmingCalls(kReleaseTimeout);
+  EXPECT_GT(callCount(), callsBefore);
 }
 
-// Engines without such a call free reservations by themselves.
-TEST_F(KvReservationReleaserTest, RepeatsNothingWhereEnginesHaveNoRelease) {
+// Engines without a release call free reservations on their own.
+TEST_F(KvReservationReleaserTest, RepeatsNothingWhereEnginesHaveNoReleaseCall) {
   engines_.hasReleaseCall = false;
   ActiveRequest& other = requests_.add({}, client_, timers_.now(), "t");
-  releaser_.onPrefillSent(other, kHolder, timers_.now());
-  releaser_.onAttemptAbandoned(other.id, {.endpoint = kHolder, .phase = Phase::prefill});
+  releaser_.onPrefillSent(other, kPrefillEndpoint, timers_.now());
+  releaser_.onAttemptAbandoned(other.id, {.endpoint = kPrefillEndpoint, .phase = Phase::prefill});
   releaser_.release(other.id);
   confirmCalls();
   EXPECT_FALSE(releaser_.tracker().isTracking(other.id));
--- a/tests/routing/kv_reservation_tracker_test.cpp
+++ b/tests/routing/kv_reservation_tracker_test.cpp
@@ -1,4 +1,4 @@
-// Which KV cache reservations are released when, and how often a release is retried.
+// When KV reservations are released, and how often a release is retried.
 #include "routing/kv_reservation_tracker.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
   EXPECT_TRUE(tracker.release({1}, 2000).empty());
 }
 
-// An endpoint that resets every connection for seconds: releases used to be abandoned before it could be
+// Prevents releases from being abandoned before an endpoint that resets every connection for seconds can be
 // reached again.
 TEST(KvReservationTracker, RetriesThroughAnOutageOfSecondsAtShortIntervals) {
   KvReservationTracker tracker({});
@@ -52,7 +52,7 @@
   EXPECT_EQ(tracker.abandonedCount(), 0u);
 }
 
-TEST(KvReservationTracker, ReleasesNothingThatWasTransferredLostOrNeverReserved) {
+TEST(KvReservationTracker, ReleasesNothingThatWasTransferredLostInARestartOrNeverReserved) {
   KvReservationTracker tracker({});
   for (const std::uint64_t endpoint : {1, 2, 3}) tracker.onPrefillSent({1}, {endpoint}, 0);
   tracker.onTransferred({1}, {1}, 0);
@@ -61,26 +61,26 @@
   EXPECT_TRUE(tracker.release({1}, 0).empty());
 }
 
-// The result of an earlier release comes after the endpoint was sent another prefill, whose reservation
-// stays.
+// The result of an earlier release arrives after another prefill was sent to the endpoint. The reservation of
+// that prefill must remain.
 TEST(KvReservationTracker, IgnoresTheResultOfAReleaseOfAnEarlierPrefill) {
-  for (const bool ok : {true, false}) {
+  for (const bool isConfirmed : {true, false}) {
     KvReservationTracker tracker({});
     tracker.onPrefillSent({1}, {7}, 0);
     const auto calls = tracker.release({1}, 100);
     ASSERT_EQ(calls.size(), 1u);
     tracker.onPrefillSent({1}, {7}, 200);
-    tracker.onReleaseEnded(calls[0], ok, 300);
+    tracker.onReleaseEnded(calls[0], isConfirmed, 300);
     EXPECT_EQ(tracker.reservationCount(), 1u);
     EXPECT_EQ(tracker.pendingReleaseCount(), 0u);
     EXPECT_EQ(tracker.release({1}, 400).size(), 1u);
   }
 }
 
-// A decode attempt may be on a dead connection: the state is released unless an endpoint has the attempt, and
-// stays tracked in case it has. A release that is still retried when the state is transferred has nothing
-// left to do.
-TEST(KvReservationTracker, ReleasesUnconfirmedStateAndKeepsTrackingItWhenReleasesSpareWhatIsAwaited) {
+// A decode attempt may be on a dead connection: the state is released unless an endpoint has received the
+// attempt, and stays tracked in case one has. A release that is still being retried when the state is
+// transferred ends.
+TEST(KvReservationTracker, ReleasesUnconfirmedStateAndKeepsTrackingItWhenReleasesSkipAwaitedState) {
   KvReservationTracker plainTracker({});
   plainTracker.onPrefillSent({1}, {7}, 0);
   EXPECT_TRUE(plainTracker.releaseUnconfirmed({1}, 500).empty());
@@ -105,10 +105,11 @@
   EXPECT_FALSE(tracker.isTracking({2}));
 }
 
-// A prefill may be on a dead connection: what earlier ones left is released, and the prefill goes on.
+// A prefill may be on a dead connection: state left by earlier prefills is released, and the prefill
+// continues.
 TEST(KvReservationTracker, ReleasesWhatEarlierPrefillsLeftWhileAnotherIsInFlight) {
-  for (const bool releaseSpares : {false, true}) {
-    KvReservationTracker tracker({.releaseRetryDelay = 100, .releaseSparesAwaited = releaseSpares});
+  for (const bool skipsAwaitedState : {false, true}) {
+    KvReservationTracker tracker({.releaseRetryDelay = 100, .releaseSparesAwaited = skipsAwaitedState});
     tracker.onPrefillSent({1}, {7}, 0);
     tracker.onPrefillSent({1}, {8}, 400);
     auto calls = tracker.releaseOthers({1}, {8}, 500);
@@ -120,19 +121,19 @@
     EXPECT_EQ(tracker.dueRetries(700).size(), 1u);  // retried
 
     tracker.onPrefillSent({1}, {8},
-                          800);  // again at the same endpoint: a later release could hit the new state
+                          800);  // to the same endpoint: a later release could free the new state
     calls = tracker.releaseOthers({1}, {8}, 1000);
-    ASSERT_EQ(calls.size(), releaseSpares ? 1u : 0u);
-    if (releaseSpares) tracker.onReleaseEnded(calls[0], false, 1100);
+    ASSERT_EQ(calls.size(), skipsAwaitedState ? 1u : 0u);
+    if (skipsAwaitedState) tracker.onReleaseEnded(calls[0], false, 1100);
     EXPECT_TRUE(tracker.dueRetries(1'000'000).empty());
     tracker.onNoReservation({1}, {8});
-    EXPECT_EQ(tracker.reservationCount(), 1u);  // the earlier one there may still have left state
+    EXPECT_EQ(tracker.reservationCount(), 1u);  // the earlier prefill there may still have left state
   }
 }
 
-// The time of rule 5 runs on while connections fail to come up, and starts anew once an attempt reached an
-// endpoint.
-TEST(KvReservationTracker, CountsTheReleaseTimeFromTheLastAttemptThatReachedAnEndpoint) {
+// The release timeout of rule 5 keeps running while connections cannot be established, and restarts once an
+// attempt has reached an endpoint.
+TEST(KvReservationTracker, MeasuresTheReleaseTimeoutFromTheLastAttemptThatReachedAnEndpoint) {
   KvReservationTracker tracker({.kvReleaseTimeout = 500});
   EXPECT_FALSE(tracker.releaseDueAt({1}));
   tracker.onPrefillSent({1}, {7}, 100);
@@ -140,10 +141,10 @@
   tracker.onAttemptEnded({2}, 1200);  // of another request
   EXPECT_EQ(tracker.releaseDueAt({1}), 1500);
   tracker.onPrefillSent({1}, {8}, 1400);
-  EXPECT_EQ(tracker.releaseDueAt({1}), 1500);  // the oldest counts
+  EXPECT_EQ(tracker.releaseDueAt({1}), 1500);  // the oldest reservation determines the time
   tracker.onAttemptEnded({1}, 1450);
   EXPECT_EQ(tracker.releaseDueAt({1}), 1950);
-  tracker.onPrefillSent({1}, {8}, 1700);  // again at the same endpoint, which rejects it
+  tracker.onPrefillSent({1}, {8}, 1700);  // to the same endpoint, which rejects it
   tracker.onNoReservation({1}, {8});
   tracker.onTransferred({1}, {7}, 1800);
   EXPECT_EQ(tracker.releaseDueAt({1}), 1950);  // the first prefill there may have left state
@@ -151,36 +152,36 @@
   EXPECT_FALSE(tracker.releaseDueAt({1}));
 }
 
-// Seen in staging: a prefill was given up, its release was confirmed, and the engine finished the prefill and
-// kept its state. Plays an engine that confirms every call at once.
+// Prevents leaked state: in staging, an engine finished an abandoned prefill after its release had been
+// confirmed, and kept the state. The engine of these tests confirms every call at once.
 struct RepeatedReleaseTest : testing::Test {
-  // The times of the calls from now on, until none is pending.
-  std::vector<Micros> callTimes(std::vector<ReleaseCall> calls,
-                                std::optional<Micros> heardAt = std::nullopt) {
+  // Confirms each call at once and returns the times of all calls until no release is pending.
+  std::vector<Micros> confirmCallsUntilDone(std::vector<ReleaseCall> calls,
+                                            std::optional<Micros> lastReceivedTime = std::nullopt) {
     std::vector<Micros> times;
     while (tracker.pendingReleaseCount() > 0 && now < 60'000'000) {
       for (const ReleaseCall& call : calls) {
         times.push_back(now);
-        tracker.onReleaseEnded(call, true, now, heardAt);
+        tracker.onReleaseEnded(call, true, now, lastReceivedTime);
       }
       now += 10'000;
       calls = tracker.dueRetries(now);
     }
     return times;
   }
-  void expectNoPauseBeyond(const std::vector<Micros>& times, Micros longest) {
-    for (std::size_t i = 1; i < times.size(); ++i) EXPECT_LE(times[i] - times[i - 1], longest);
+  void expectIntervalsWithin(const std::vector<Micros>& times, Micros maxInterval) {
+    for (std::size_t i = 1; i < times.size(); ++i) EXPECT_LE(times[i] - times[i - 1], maxInterval);
   }
   KvReservationTracker tracker{{}};
   Micros now = 1'000'000;
 };
 
-TEST_F(RepeatedReleaseTest, GoesOnWhileAnAbandonedPrefillMayLeaveState) {
+TEST_F(RepeatedReleaseTest, ContinuesWhileAnAbandonedPrefillMayLeaveState) {
   tracker.onPrefillSent({1}, {7}, now);
   tracker.onPrefillAbandoned({1}, {7}, {.at = now, .usefulFor = 2'000'000});
   const Micros abandonedAt = now;
-  const auto times = callTimes(tracker.release({1}, now));
-  expectNoPauseBeyond(times, 300'000);  // state that appears in between is released within the timeout
+  const auto times = confirmCallsUntilDone(tracker.release({1}, now));
+  expectIntervalsWithin(times, 300'000);  // state that appears in between is released within the timeout
   EXPECT_GE(times.back(), abandonedAt + 2'000'000 + KvReservationTracker::kAbandonedWorkMargin);
   EXPECT_LE(times.back(), abandonedAt + 2'600'000);
   EXPECT_LE(times.size(), 14u);
@@ -188,42 +189,42 @@
   EXPECT_EQ(tracker.repeatedCount(), times.size() - 1);
 }
 
-TEST_F(RepeatedReleaseTest, OutlastsWorkThatWasNearlyOutOfTime) {
+TEST_F(RepeatedReleaseTest, ContinuesForTheMinimumTimeWhenTheAttemptsTimeoutWasNearlyOver) {
   tracker.onPrefillSent({1}, {7}, now);
   tracker.onPrefillAbandoned({1}, {7}, {.at = now, .usefulFor = 0});
   const Micros abandonedAt = now;
-  EXPECT_GE(callTimes(tracker.release({1}, now)).back(),
+  EXPECT_GE(confirmCallsUntilDone(tracker.release({1}, now)).back(),
             abandonedAt + KvReservationTracker::kMinAbandonedWork);
 }
 
-// Bytes that a partition has held back arrive when it is over, and the engine begins then.
-TEST_F(RepeatedReleaseTest, GoesOnLongerWhereTheEndpointHasBeenSilentSince) {
+// Bytes that were delayed by a network partition arrive when it ends, and the engine only begins then.
+TEST_F(RepeatedReleaseTest, ContinuesLongerWhereTheEndpointHasBeenSilentSinceTheAbandonment) {
   tracker.onPrefillSent({1}, {7}, now);
   tracker.onPrefillAbandoned({1}, {7}, {.at = now, .usefulFor = 1'000'000});
   const Micros abandonedAt = now;
-  const auto times = callTimes(tracker.release({1}, now), abandonedAt - 1);
+  const auto times = confirmCallsUntilDone(tracker.release({1}, now), abandonedAt - 1);
   EXPECT_GE(times.back(), abandonedAt + KvReservationTracker::kMaxAbandonedWork);
   EXPECT_LE(times.back(), abandonedAt + KvReservationTracker::kMaxAbandonedWork + 600'000);
 }
 
-// The close of a decode and the release leave in one instant on two connections: a release that is answered
-// first spares the state.
-TEST_F(RepeatedReleaseTest, GoesOnWhileAnAbandonedDecodeMayWaitForTheState) {
+// The close of a decode attempt and the release are sent at the same time on two connections: a release that
+// is processed first skips the state, since the decode still awaits it.
+TEST_F(RepeatedReleaseTest, ContinuesWhileAnAbandonedDecodeMayAwaitTheState) {
   tracker.onPrefillSent({1}, {7}, now);
   tracker.onDecodeAbandoned({1}, {.at = now, .usefulFor = 0});
   const Micros abandonedAt = now;
-  const auto times = callTimes(tracker.release({1}, now));
+  const auto times = confirmCallsUntilDone(tracker.release({1}, now));
   EXPECT_GE(times.size(), 4u);
   EXPECT_GE(times.back(), abandonedAt + KvReservationTracker::kMinAbandonedWork);
 }
 
 TEST_F(RepeatedReleaseTest, IsNotNeededWhereNothingWasAbandoned) {
   tracker.onPrefillSent({1}, {7}, now);
-  EXPECT_EQ(callTimes(tracker.release({1}, now)).size(), 1u);
+  EXPECT_EQ(confirmCallsUntilDone(tracker.release({1}, now)).size(), 1u);
 }
 
-// It would take the state that the request waits for by now.
-TEST_F(RepeatedReleaseTest, WaitsWhileItsRequestWaitsForANewState) {
+// The release would free the new state that the request now awaits.
+TEST_F(RepeatedReleaseTest, IsDelayedWhileItsRequestAwaitsANewState) {
   tracker.onPrefillSent({1}, {7}, now);
   tracker.onPrefillAbandoned({1}, {7}, {.at = now, .usefulFor = 0});
   const auto calls = tracker.release({1}, now);
@@ -232,22 +233,23 @@
   EXPECT_EQ(tracker.dueRetries(now + 5'000'000, [](RequestId) { return true; }).size(), 1u);
 }
 
-// A late answer to a call that spared the state must not count for the call that is to release it.
-TEST(KvReservationTracker, IgnoresAnswersToEarlierCallsOfTheSameRelease) {
+// A late response to a call that skipped the state must not be taken as the response to the later call that
+// has to release it.
+TEST(KvReservationTracker, IgnoresResponsesToEarlierCallsOfTheSameRelease) {
   KvReservationTracker tracker({.releaseSparesAwaited = true});
   tracker.onPrefillSent({1}, {7}, 0);
-  const auto sparing = tracker.releaseUnconfirmed({1}, 500'000);
-  const auto last = tracker.release({1}, 600'000);
-  ASSERT_EQ(sparing.size(), 1u);
-  ASSERT_EQ(last.size(), 1u);
-  tracker.onReleaseEnded(sparing[0], true, 610'000);
+  const auto skippingCalls = tracker.releaseUnconfirmed({1}, 500'000);
+  const auto finalCalls = tracker.release({1}, 600'000);
+  ASSERT_EQ(skippingCalls.size(), 1u);
+  ASSERT_EQ(finalCalls.size(), 1u);
+  tracker.onReleaseEnded(skippingCalls[0], true, 610'000);
   EXPECT_EQ(tracker.unconfirmedReleaseCount(), 1u);
-  tracker.onReleaseEnded(last[0], false, 620'000);
+  tracker.onReleaseEnded(finalCalls[0], false, 620'000);
   EXPECT_EQ(tracker.dueRetries(900'000).size(), 1u);
 }
 
-// An earlier prefill's release was not confirmed when the next prefill at that endpoint was rejected.
-TEST(KvReservationTracker, KeepsWhatAnEarlierPrefillLeftThoughTheNextOneIsRejected) {
+// The release of an earlier prefill is still unconfirmed when the next prefill at that endpoint is rejected.
+TEST(KvReservationTracker, KeepsTheReservationOfAnEarlierPrefillWhenTheNextOneIsRejected) {
   KvReservationTracker tracker({});
   tracker.onPrefillSent({1}, {7}, 0);
   ASSERT_EQ(tracker.release({1}, 100).size(), 1u);
@@ -256,7 +258,8 @@
   EXPECT_EQ(tracker.release({1}, 300).size(), 1u);
 }
 
-// The transfer frees the state of one prefill; one that was given up there may leave another.
+// A transfer frees the state of one prefill; an abandoned prefill at that endpoint may still leave state of
+// its own.
 TEST(KvReservationTracker, KeepsTrackingAnAbandonedPrefillThroughATransfer) {
   KvReservationTracker tracker({});
   tracker.onPrefillSent({1}, {7}, 0);
@@ -266,7 +269,8 @@
   EXPECT_EQ(tracker.release({1}, 400).size(), 1u);
 }
 
-// A list that dates an endpoint's start anew must not cost the reservation that its process still holds.
+// Prevents the loss of a reservation that the process still holds when the endpoint list reports a new start
+// time for the endpoint.
 TEST(KvReservationTracker, ForgetsOnlyReservationsThatAreOlderThanARestart) {
   KvReservationTracker tracker({});
   tracker.onPrefillSent({1}, {7}, 1000);
@@ -276,13 +280,13 @@
   EXPECT_EQ(tracker.release({2}, 4000).size(), 1u);
 }
 
-// An answer that is lost in this process keeps no release in flight for ever.
-TEST(KvReservationTracker, CallsAgainWhereACallIsNeverAnswered) {
+// Prevents a release from staying in flight forever when the response to its call is lost in this process.
+TEST(KvReservationTracker, RetriesACallThatNeverGetsAResponse) {
   KvReservationTracker tracker({});
   tracker.onPrefillSent({1}, {7}, 0);
   ASSERT_EQ(tracker.release({1}, 0).size(), 1u);
   EXPECT_TRUE(tracker.dueRetries(1'900'000).empty());
-  EXPECT_TRUE(tracker.dueRetries(2'100'000).empty());  // it counts as failed now
+  EXPECT_TRUE(tracker.dueRetries(2'100'000).empty());  // the call counts as failed from now on
   EXPECT_EQ(tracker.dueRetries(2'400'000).size(), 1u);
 }
 
--- a/tests/routing/manual_engines.h
+++ b/tests/routing/manual_engines.h
@@ -1,4 +1,4 @@
-// Time, timers and engines that a test drives by hand.
+// Time, timers and engines that are driven by a test.
 #pragma once
 
 #include <algorithm>
@@ -32,21 +32,21 @@
 struct ManualEngines final : EngineClient {
   void begin(const AttemptSpec& spec) override {
     if (std::exchange(failsNextAttempt, false)) throw std::runtime_error("no descriptor");
-    begun.push_back({spec.attempt, spec.endpoint, spec.phase, std::string(spec.kvTransferParams),
-                     spec.requiresNewConnection, spec.sendBy});
+    startedAttempts.push_back({spec.attempt, spec.endpoint, spec.phase, std::string(spec.kvTransferParams),
+                               spec.requiresNewConnection, spec.sendBy});
   }
-  void cancel(AttemptId attempt) override { cancelled.push_back(attempt); }
+  void cancel(AttemptId attempt) override { cancelledAttempts.push_back(attempt); }
   DeliveryState deliveryState(AttemptId) const override { return delivery; }
   void release(const ReleaseCall& call, const std::string&) override {
     if (std::exchange(failsNextRelease, false)) throw std::runtime_error("no descriptor");
     releaseCalls.push_back(call);
-    released.emplace_back(call.endpoint, call.request);
+    releasedReservations.emplace_back(call.endpoint, call.request);
   }
   bool canRelease() const override { return hasReleaseCall; }
   void probe(EndpointId) override {}
   bool canCheckLiveness() const override { return checksLiveness; }
   void checkLiveness(AttemptId attempt, EndpointId) override { livenessChecks.push_back(attempt); }
-  struct BegunAttempt {
+  struct StartedAttempt {
     AttemptId attempt;
     EndpointId endpoint;
     Phase phase;
@@ -60,10 +60,10 @@
   bool failsNextRelease = false;
   bool hasReleaseCall = true;
   std::vector<AttemptId> livenessChecks;
-  std::vector<BegunAttempt> begun;
-  std::vector<AttemptId> cancelled;
-  std::vector<std::pair<EndpointId, RequestId>> released;
-  std::vector<ReleaseCall> releaseCalls;  // the same, with their numbers
+  std::vector<StartedAttempt> startedAttempts;
+  std::vector<AttemptId> cancelledAttempts;
+  std::vector<std::pair<EndpointId, RequestId>> releasedReservations;
+  std::vector<ReleaseCall> releaseCalls;  // the calls of `releasedReservations`, with their numbers
 };
 
 }  // namespace garnethook::routing
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -1,4 +1,5 @@
-// The life of a request, with time, timers and engines driven by hand.
+// How the router processes requests from arrival to completion. Time, timers and engines are driven by the
+// test.
 #include "routing/router.h"
 
 #include <gtest/gtest.h>
@@ -22,19 +23,19 @@
   void onTokens(const Tokens& tokens) override {
     EXPECT_FALSE(completion);
     text += tokens.text;
-    if (duringTokens) duringTokens();
+    if (onTokensHook) onTokensHook();
   }
   void onCompletion(const Completion& received) override {
-    EXPECT_FALSE(completion) << "a second completion";
+    EXPECT_FALSE(completion) << "more than one completion";
     completion = received;
-    if (duringCompletion) duringCompletion();
+    if (onCompletionHook) onCompletionHook();
   }
-  bool isCancelled() const override { return hasGone; }
+  bool isCancelled() const override { return hasDisconnected; }
   std::string text;
-  bool hasGone = false;
+  bool hasDisconnected = false;
   std::optional<Completion> completion;
-  std::function<void()> duringTokens;
-  std::function<void()> duringCompletion;
+  std::function<void()> onTokensHook;
+  std::function<void()> onCompletionHook;
 };
 
 class RouterTest : public testing::Test {
@@ -75,15 +76,15 @@
   RequestId accept(Client& client, std::size_t requestClass = 0, Micros remaining = 5'000'000) {
     return router.accept(request(requestClass, remaining), client);
   }
-  // The prefill that began last is done, so that a decode attempt begins.
+  // Ends the prefill that was started last as done, so that a decode attempt starts.
   void finishPrefill() {
     AttemptResult result;
     result.outcome = Outcome::prefillDone;
     result.kvTransferParams = "{}";
-    router.onAttemptEnded(engines.begun.back().attempt, result);
+    router.onAttemptEnded(engines.startedAttempts.back().attempt, result);
   }
   void sendToken(const std::string& text = "x") {
-    router.onTokens(engines.begun.back().attempt, text, 1, {});
+    router.onTokens(engines.startedAttempts.back().attempt, text, 1, {});
   }
 
   ManualTimers timers;
@@ -95,30 +96,30 @@
 TEST_F(RouterTest, CompletesARequestByPrefillAndDecode) {
   RecordingClient client;
   accept(client);
-  ASSERT_EQ(engines.begun.size(), 1u);
-  EXPECT_EQ(engines.begun[0].phase, Phase::prefill);
+  ASSERT_EQ(engines.startedAttempts.size(), 1u);
+  EXPECT_EQ(engines.startedAttempts[0].phase, Phase::prefill);
   finishPrefill();
-  ASSERT_EQ(engines.begun.size(), 2u);
-  EXPECT_EQ(engines.begun[1].phase, Phase::decode);
+  ASSERT_EQ(engines.startedAttempts.size(), 2u);
+  EXPECT_EQ(engines.startedAttempts[1].phase, Phase::decode);
   sendToken("a");
   sendToken("b");
-  router.onAttemptEnded(engines.begun[1].attempt, {.outcome = Outcome::completed});
+  router.onAttemptEnded(engines.startedAttempts[1].attempt, {.outcome = Outcome::completed});
   ASSERT_TRUE(client.completion);
   EXPECT_EQ(client.completion->disposition, Disposition::completed);
   EXPECT_EQ(client.text, "ab");
   EXPECT_EQ(router.activeRequests(), 0u);
-  EXPECT_TRUE(engines.released.empty());  // it was transferred
+  EXPECT_TRUE(engines.releasedReservations.empty());  // the state was transferred
 }
 
 TEST_F(RouterTest, EndsTheStreamWhenItsFirstTokenComesAfterTheDeadline) {
   RecordingClient client;
   accept(client, 0, 1'000'000);
   finishPrefill();
-  timers.time += 990'000;  // the loop is late: the deadline's timer has not fired yet
+  timers.time += 990'000;  // the event loop is late: the deadline timer has not fired yet
   sendToken();
   ASSERT_TRUE(client.completion);
   EXPECT_EQ(client.completion->failureReason, FailureReason::deadline);
-  EXPECT_EQ(engines.cancelled.size(), 1u);
+  EXPECT_EQ(engines.cancelledAttempts.size(), 1u);
   timers.advance(1'000'000);
   EXPECT_EQ(router.activeRequests(), 0u);
 }
@@ -127,9 +128,9 @@
   RecordingClient client;
   const auto id = accept(client);
   finishPrefill();
-  const auto attempt = engines.begun.back().attempt;
+  const auto attempt = engines.startedAttempts.back().attempt;
   router.cancel(id);
-  EXPECT_EQ(engines.released.size(), 1u);
+  EXPECT_EQ(engines.releasedReservations.size(), 1u);
   router.onTokens(attempt, "late", 1, {});
   router.onAttemptEnded(attempt, {.outcome = Outcome::completed});
   EXPECT_EQ(client.text, "");
@@ -138,16 +139,16 @@
   EXPECT_EQ(router.activeRequests(), 0u);
 }
 
-TEST_F(RouterTest, LetsAClientAbortFromItsOwnTokenCallback) {
+TEST_F(RouterTest, AllowsAnAbortFromTheClientsTokenCallback) {
   RecordingClient client;
   const auto id = accept(client);
-  client.duringTokens = [&] { router.abort(id, FailureReason::slowClient, "slow"); };
+  client.onTokensHook = [&] { router.abort(id, FailureReason::slowClient, "slow"); };
   finishPrefill();
   sendToken();
   ASSERT_TRUE(client.completion);
   EXPECT_EQ(client.completion->failureReason, FailureReason::slowClient);
   EXPECT_EQ(router.activeRequests(), 0u);
-  EXPECT_EQ(engines.cancelled.size(), 1u);
+  EXPECT_EQ(engines.cancelledAttempts.size(), 1u);
 }
 
 TEST_F(RouterTest, RejectsRequestsBeyondItsLimitAtOnce) {
@@ -159,7 +160,7 @@
   EXPECT_EQ(router.activeRequests(), 3u);
 }
 
-TEST_F(RouterTest, CompletesAllRequestsOnStopAndRejectsOnlyWhatDidNotRun) {
+TEST_F(RouterTest, CompletesAllRequestsOnStopAndRejectsOnlyThoseThatMayBeRetried) {
   RecordingClient idempotent;
   RecordingClient generating;
   RecordingClient prefilling;
@@ -181,18 +182,18 @@
   const auto id = accept(client);
   finishPrefill();
   router.cancel(id);
-  ASSERT_EQ(engines.released.size(), 1u);
+  ASSERT_EQ(engines.releasedReservations.size(), 1u);
   router.onReleaseEnded(engines.releaseCalls[0], false);
   timers.advance(150'000);
-  ASSERT_EQ(engines.released.size(), 2u);
+  ASSERT_EQ(engines.releasedReservations.size(), 2u);
   router.onReleaseEnded(engines.releaseCalls[1], true);
   EXPECT_EQ(router.kvReservations().unconfirmedReleaseCount(), 0u);
   EXPECT_EQ(router.kvReservations().releasedCount(),
-            0u);  // the decode in flight may still wait for the state
+            0u);  // the decode in flight may still await the state
 }
 
-// Three connections that failed one after another kept a state for longer than rule 5 allows, because each
-// failure restarted its time.
+// Prevents repeated connection failures from restarting the release timeout: three consecutive failures kept
+// a state for longer than rule 5 allows.
 TEST_F(RouterTest, ReleasesTheStateWhenConnectionsToDecodeEndpointsFailRepeatedly) {
   RecordingClient client;
   accept(client);
@@ -201,45 +202,47 @@
   finishPrefill();
   engines.delivery = DeliveryState::undelivered;
   timers.advance(300'000);
-  ASSERT_EQ(engines.begun.back().phase, Phase::decode);
-  router.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::connectFailed});
-  ASSERT_EQ(engines.begun.back().phase, Phase::decode);
-  const auto second = engines.begun.back().attempt;
-  while (engines.released.empty() && timers.time < prefilledAt + 2'000'000) timers.advance(1'000);
+  ASSERT_EQ(engines.startedAttempts.back().phase, Phase::decode);
+  router.onAttemptEnded(engines.startedAttempts.back().attempt, {.outcome = Outcome::connectFailed});
+  ASSERT_EQ(engines.startedAttempts.back().phase, Phase::decode);
+  const auto secondDecode = engines.startedAttempts.back().attempt;
+  while (engines.releasedReservations.empty() && timers.time < prefilledAt + 2'000'000) timers.advance(1'000);
   EXPECT_LE(timers.time - prefilledAt, 510'000);
-  ASSERT_EQ(engines.cancelled.size(), 1u);  // the second decode ended before the state was released
-  EXPECT_EQ(engines.cancelled[0], second);
+  ASSERT_EQ(engines.cancelledAttempts.size(),
+            1u);  // the second decode attempt ends before the state is released
+  EXPECT_EQ(engines.cancelledAttempts[0], secondDecode);
   EXPECT_FALSE(client.completion);
-  ASSERT_EQ(engines.begun.size(), 4u);
-  EXPECT_EQ(engines.begun.back().phase, Phase::prefill);  // the prompt is read again
+  ASSERT_EQ(engines.startedAttempts.size(), 4u);
+  EXPECT_EQ(engines.startedAttempts.back().phase, Phase::prefill);  // the prompt is prefilled again
 }
 
-// No prefill endpoint is left when the state has to be released: the request begins anew as a combined
-// attempt, and the release goes on beside it.
+// No prefill endpoint is left when the state has to be released: the request restarts as a combined attempt,
+// and the release is retried while that attempt is in flight.
 TEST_F(RouterTest, KeepsReleasingWhenACombinedAttemptReplacesTheDecode) {
-  Options withCombined = options();
-  withCombined.settings.kinds.push_back({Role::combined, 1e5});
-  Router combinedRouter(withCombined, timers, engines, observer);
+  Options combinedOptions = options();
+  combinedOptions.settings.kinds.push_back({Role::combined, 1e5});
+  Router combinedRouter(combinedOptions, timers, engines, observer);
   combinedRouter.onEndpointUpdate(
       {EndpointUpdate::Kind::snapshot, {{.id = {1}, .kind = 0}, {.id = {2}, .kind = 1}}});
   RecordingClient client;
   combinedRouter.accept(request(), client);
   timers.advance(10'000);
-  combinedRouter.onAttemptEnded(engines.begun.back().attempt,
+  combinedRouter.onAttemptEnded(engines.startedAttempts.back().attempt,
                                 {.outcome = Outcome::prefillDone, .kvTransferParams = "{}"});
-  ASSERT_EQ(engines.begun.back().phase, Phase::decode);
+  ASSERT_EQ(engines.startedAttempts.back().phase, Phase::decode);
   engines.delivery = DeliveryState::undelivered;
   timers.advance(480'000);
   combinedRouter.onEndpointUpdate(
       {EndpointUpdate::Kind::delta,
        {{.id = {1}, .kind = 0, .state = EndpointState::removed}, {.id = {9}, .kind = 2}}});
   timers.advance(30'000);
-  ASSERT_FALSE(engines.released.empty());
-  ASSERT_EQ(engines.begun.back().phase, Phase::combined);
-  const std::size_t calls = engines.released.size();
+  ASSERT_FALSE(engines.releasedReservations.empty());
+  ASSERT_EQ(engines.startedAttempts.back().phase, Phase::combined);
+  const std::size_t callsBefore = engines.releasedReservations.size();
   combinedRouter.onReleaseEnded(engines.releaseCalls.front(), false);
   timers.advance(200'000);
-  ASSERT_GT(engines.released.size(), calls);  // again, while the combined attempt is in flight
+  ASSERT_GT(engines.releasedReservations.size(),
+            callsBefore);  // retried while the combined attempt is in flight
   EXPECT_FALSE(client.completion);
   combinedRouter.onReleaseEnded(engines.releaseCalls.back(), true);
   EXPECT_EQ(combinedRouter.kvReservations().reservationCount() +
@@ -247,8 +250,8 @@
             0u);
 }
 
-// Nothing of such a decode left this router, so the state's time runs on.
-TEST_F(RouterTest, KeepsTheReleaseTimeRunningWhenADecodeNeverLeavesTheRouter) {
+// No byte of such a decode attempt was sent, so the release timeout of the state keeps running.
+TEST_F(RouterTest, KeepsTheReleaseTimeoutRunningWhenNoByteOfADecodeIsSent) {
   constexpr Micros kAttemptDuration = 240'000;
   RecordingClient client;
   accept(client);
@@ -256,188 +259,198 @@
   finishPrefill();
   const Micros prefilledAt = timers.time;
   engines.delivery = DeliveryState::undelivered;
-  while (engines.released.empty() && timers.time < prefilledAt + 2'000'000) {
-    const auto latestAttempt = engines.begun.back();
-    for (Micros elapsed = 0; elapsed < kAttemptDuration && engines.released.empty(); elapsed += 1'000)
+  while (engines.releasedReservations.empty() && timers.time < prefilledAt + 2'000'000) {
+    const auto latestAttempt = engines.startedAttempts.back();
+    for (Micros elapsed = 0; elapsed < kAttemptDuration && engines.releasedReservations.empty();
+         elapsed += 1'000)
       timers.advance(1'000);
     if (latestAttempt.phase == Phase::decode)
       router.onAttemptEnded(latestAttempt.attempt, {.outcome = Outcome::rejected, .leftRouter = false});
   }
-  ASSERT_FALSE(engines.released.empty());
+  ASSERT_FALSE(engines.releasedReservations.empty());
   EXPECT_LE(timers.time - prefilledAt, 510'000);
 }
 
-// Engines remember keys for a window; a retry that a slow connection delivers after it would run again.
-TEST_F(RouterTest, LimitsWhenARetryOfKeyedWorkMayBeSent) {
+// Engines keep idempotency keys for the deduplication window; a retry that a slow connection delivers after
+// the window would be executed again.
+TEST_F(RouterTest, LimitsTheTimeUntilWhichARetryOfKeyedWorkMayBeSent) {
   RecordingClient client;
   accept(client, 2);
-  EXPECT_EQ(engines.begun.back().sendBy, 0);
+  EXPECT_EQ(engines.startedAttempts.back().sendBy, 0);
   timers.advance(10'000);
   finishPrefill();
-  ASSERT_EQ(engines.begun.back().phase, Phase::decode);
-  EXPECT_EQ(engines.begun.back().sendBy, 0);  // the first one
+  ASSERT_EQ(engines.startedAttempts.back().phase, Phase::decode);
+  EXPECT_EQ(engines.startedAttempts.back().sendBy, 0);  // the first decode attempt has no limit
   const Micros sentAt = timers.time;
   timers.advance(100'000);
-  router.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::connectionReset});
-  ASSERT_EQ(engines.begun.size(), 3u);
-  EXPECT_EQ(engines.begun.back().phase, Phase::decode);
-  EXPECT_EQ(engines.begun.back().sendBy, sentAt + 400'000);
+  router.onAttemptEnded(engines.startedAttempts.back().attempt, {.outcome = Outcome::connectionReset});
+  ASSERT_EQ(engines.startedAttempts.size(), 3u);
+  EXPECT_EQ(engines.startedAttempts.back().phase, Phase::decode);
+  EXPECT_EQ(engines.startedAttempts.back().sendBy, sentAt + 400'000);
 }
 
-TEST_F(RouterTest, WaitsForADecodeThatArrivedButNotForOneOnASilentKeptConnection) {
+TEST_F(RouterTest, WaitsForADecodeThatArrivedButNotForOneOnASilentReusedConnection) {
   RecordingClient client;
   accept(client);
   timers.advance(10'000);
   finishPrefill();
-  timers.advance(600'000);  // it waits at its endpoint
-  EXPECT_TRUE(engines.cancelled.empty());
-  router.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::error});
-  EXPECT_EQ(engines.begun.back().phase, Phase::decode);  // another decode may fetch the state
-  EXPECT_TRUE(engines.released.empty());
+  timers.advance(600'000);  // the decode attempt waits at its endpoint
+  EXPECT_TRUE(engines.cancelledAttempts.empty());
+  router.onAttemptEnded(engines.startedAttempts.back().attempt, {.outcome = Outcome::error});
+  EXPECT_EQ(engines.startedAttempts.back().phase, Phase::decode);  // another decode may fetch the state
+  EXPECT_TRUE(engines.releasedReservations.empty());
   timers.advance(600'000);
-  router.onAttemptEnded(engines.begun.back().attempt,
+  router.onAttemptEnded(engines.startedAttempts.back().attempt,
                         {.outcome = Outcome::connectionReset, .reusedConnection = true});
-  EXPECT_EQ(engines.released.size(), 1u);  // it may never have arrived, and the state's time is over
-  EXPECT_EQ(engines.begun.back().phase, Phase::prefill);
+  EXPECT_EQ(engines.releasedReservations.size(),
+            1u);  // the decode may never have arrived, and the release is due
+  EXPECT_EQ(engines.startedAttempts.back().phase, Phase::prefill);
 }
 
-// What an earlier prefill may have left has its time too, when the next prefill's connection does not come
-// up, or is a kept one that died unnoticed (seen when zones were cut off from each other).
-class LostPrefillTest : public RouterTest, public testing::WithParamInterface<DeliveryState> {};
+// The release timeout applies to state that an earlier prefill may have left, also while the connection of
+// the next prefill cannot be established, or is a reused one that failed undetected, as happened during a
+// network partition between zones.
+class FailedPrefillTest : public RouterTest, public testing::WithParamInterface<DeliveryState> {};
 
-TEST_P(LostPrefillTest, ReleasesWhatItMayHaveLeftWhileTheNextOneMayNotArrive) {
+TEST_P(FailedPrefillTest, ReleasesItsPossibleStateWhileTheNextPrefillMayNotHaveArrived) {
   router.onEndpointUpdate({EndpointUpdate::Kind::delta, {{.id = {4}, .zone = 0, .kind = 0}}});
   RecordingClient client;
   const auto id = accept(client);
   timers.advance(10'000);
-  const Micros lostAt = timers.time;
-  const EndpointId first = engines.begun.back().endpoint;
-  router.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::connectionReset});
-  ASSERT_EQ(engines.begun.size(), 2u);
-  EXPECT_EQ(engines.begun.back().phase, Phase::prefill);
-  ASSERT_NE(engines.begun.back().endpoint, first);
-  EXPECT_FALSE(engines.begun.front().requiresNewConnection);
-  EXPECT_TRUE(engines.begun.back()
-                  .requiresNewConnection);  // so that its arrival is known, and a release need not hit it
+  const Micros failedAt = timers.time;
+  const EndpointId first = engines.startedAttempts.back().endpoint;
+  router.onAttemptEnded(engines.startedAttempts.back().attempt, {.outcome = Outcome::connectionReset});
+  ASSERT_EQ(engines.startedAttempts.size(), 2u);
+  EXPECT_EQ(engines.startedAttempts.back().phase, Phase::prefill);
+  ASSERT_NE(engines.startedAttempts.back().endpoint, first);
+  EXPECT_FALSE(engines.startedAttempts.front().requiresNewConnection);
+  EXPECT_TRUE(
+      engines.startedAttempts.back()
+          .requiresNewConnection);  // shows whether it arrives, so that a release does not free its state
   engines.delivery = GetParam();
-  while (engines.released.empty() && timers.time < lostAt + 550'000) timers.advance(1'000);
+  while (engines.releasedReservations.empty() && timers.time < failedAt + 550'000) timers.advance(1'000);
   if (GetParam() == DeliveryState::confirmed) {
-    EXPECT_TRUE(engines.released.empty());
+    EXPECT_TRUE(engines.releasedReservations.empty());
   } else {
-    EXPECT_LE(timers.time - lostAt, 510'000);
-    EXPECT_EQ(std::count(engines.released.begin(), engines.released.end(), std::pair(first, id)), 1);
+    EXPECT_LE(timers.time - failedAt, 510'000);
+    EXPECT_EQ(std::count(engines.releasedReservations.begin(), engines.releasedReservations.end(),
+                         std::pair(first, id)),
+              1);
   }
-  // One without a connection has ended; one that may have arrived goes on.
-  EXPECT_EQ(engines.cancelled.size(), GetParam() == DeliveryState::undelivered ? 1u : 0u);
+  // A prefill without a connection is cancelled; one that may have arrived continues.
+  EXPECT_EQ(engines.cancelledAttempts.size(), GetParam() == DeliveryState::undelivered ? 1u : 0u);
   if (GetParam() == DeliveryState::undelivered) return;
-  ASSERT_EQ(engines.begun.size(), 2u);
+  ASSERT_EQ(engines.startedAttempts.size(), 2u);
   finishPrefill();
-  EXPECT_EQ(engines.begun.back().phase, Phase::decode);
+  EXPECT_EQ(engines.startedAttempts.back().phase, Phase::decode);
 }
 
-INSTANTIATE_TEST_SUITE_P(DeliveryStates, LostPrefillTest,
+INSTANTIATE_TEST_SUITE_P(DeliveryStates, FailedPrefillTest,
                          testing::Values(DeliveryState::undelivered, DeliveryState::written,
                                          DeliveryState::confirmed));
 
 class UnconfirmedDecodeTest : public RouterTest {
  protected:
-  UnconfirmedDecodeTest() : sparingRouter(sparingOptions(), timers, engines, observer) {
-    sparingRouter.onEndpointUpdate({EndpointUpdate::Kind::snapshot,
-                                    {{.id = {1}, .zone = 0, .kind = 0}, {.id = {2}, .zone = 0, .kind = 1}}});
-    sparingRouter.accept(request(), client);
+  UnconfirmedDecodeTest() : selectiveReleaseRouter(selectiveReleaseOptions(), timers, engines, observer) {
+    selectiveReleaseRouter.onEndpointUpdate(
+        {EndpointUpdate::Kind::snapshot,
+         {{.id = {1}, .zone = 0, .kind = 0}, {.id = {2}, .zone = 0, .kind = 1}}});
+    selectiveReleaseRouter.accept(request(), client);
     timers.advance(10'000);
     prefilledAt = timers.time;
-    sparingRouter.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::prefillDone});
+    selectiveReleaseRouter.onAttemptEnded(engines.startedAttempts.back().attempt,
+                                          {.outcome = Outcome::prefillDone});
   }
-  static Options sparingOptions() {
-    Options sparing = options();
-    sparing.kvReservations.releaseSparesAwaited = true;
-    return sparing;
+  static Options selectiveReleaseOptions() {
+    Options selectiveRelease = options();
+    selectiveRelease.kvReservations.releaseSparesAwaited = true;
+    return selectiveRelease;
   }
   RecordingClient client;
-  Router sparingRouter;
+  Router selectiveReleaseRouter;
   Micros prefilledAt = 0;
 };
 
 TEST_F(UnconfirmedDecodeTest, ReleasesTheStateInTimeWhileTheDecodeMayBeOnADeadConnection) {
-  ASSERT_EQ(engines.begun.back().phase, Phase::decode);
+  ASSERT_EQ(engines.startedAttempts.back().phase, Phase::decode);
   engines.delivery = DeliveryState::written;
   timers.advance(490'000);
-  EXPECT_TRUE(engines.released.empty());
+  EXPECT_TRUE(engines.releasedReservations.empty());
   timers.advance(20'000);
-  ASSERT_EQ(engines.released.size(), 1u);
-  EXPECT_TRUE(engines.cancelled.empty());  // an endpoint may have it, so it goes on
-  sparingRouter.onTokens(engines.begun.back().attempt, "x", 1, {});
-  sparingRouter.onAttemptEnded(engines.begun.back().attempt, {.outcome = Outcome::completed});
+  ASSERT_EQ(engines.releasedReservations.size(), 1u);
+  EXPECT_TRUE(engines.cancelledAttempts.empty());  // an endpoint may have received it, so it continues
+  selectiveReleaseRouter.onTokens(engines.startedAttempts.back().attempt, "x", 1, {});
+  selectiveReleaseRouter.onAttemptEnded(engines.startedAttempts.back().attempt,
+                                        {.outcome = Outcome::completed});
   ASSERT_TRUE(client.completion);
   EXPECT_EQ(client.completion->disposition, Disposition::completed);
-  EXPECT_EQ(engines.released.size(), 1u);
+  EXPECT_EQ(engines.releasedReservations.size(), 1u);
 }
 
 TEST_F(UnconfirmedDecodeTest, KeepsTheStateWhenTheDecodeHasArrived) {
   timers.advance(600'000);
-  EXPECT_TRUE(engines.released.empty());
+  EXPECT_TRUE(engines.releasedReservations.empty());
   EXPECT_FALSE(client.completion);
 }
 
-// A connection was established for the decode and fell silent before its last byte arrived (seen when a zone
-// was cut off: a state was kept for 2.5 s).
+// The connection for the decode attempt was established but became silent before the last byte of the request
+// arrived. During a zone outage this kept a state for 2.5 s.
 TEST_F(UnconfirmedDecodeTest, ReleasesTheStateWhenTheDecodeEndpointIsNotAlive) {
   engines.delivery = DeliveryState::connected;
   timers.advance(490'000);
   EXPECT_TRUE(engines.livenessChecks.empty());
   timers.advance(20'000);
   ASSERT_EQ(engines.livenessChecks.size(), 1u);
-  EXPECT_TRUE(engines.released.empty());
-  sparingRouter.onLivenessChecked(engines.livenessChecks.front(), false);
-  EXPECT_EQ(engines.released.size(), 1u);
-  EXPECT_TRUE(engines.cancelled.empty());
+  EXPECT_TRUE(engines.releasedReservations.empty());
+  selectiveReleaseRouter.onLivenessChecked(engines.livenessChecks.front(), false);
+  EXPECT_EQ(engines.releasedReservations.size(), 1u);
+  EXPECT_TRUE(engines.cancelledAttempts.empty());
 }
 
 TEST_F(UnconfirmedDecodeTest, KeepsTheStateWhenTheDecodeEndpointIsAlive) {
   engines.delivery = DeliveryState::connected;
   timers.advance(510'000);
   ASSERT_EQ(engines.livenessChecks.size(), 1u);
-  sparingRouter.onLivenessChecked(engines.livenessChecks.front(), true);
-  EXPECT_TRUE(engines.released.empty());
+  selectiveReleaseRouter.onLivenessChecked(engines.livenessChecks.front(), true);
+  EXPECT_TRUE(engines.releasedReservations.empty());
 }
 
-// The time of a reservation runs on through a decode that nothing shows to have arrived: it is over when the
-// decode is given up.
-TEST_F(UnconfirmedDecodeTest, KeepsTheReleaseTimeRunningThroughAnUnconfirmedAttempt) {
+// The release timeout of a reservation keeps running during a decode attempt that is not confirmed to have
+// arrived, so the release is due when the decode attempt is abandoned.
+TEST_F(UnconfirmedDecodeTest, KeepsTheReleaseTimeoutRunningDuringAnUnconfirmedAttempt) {
   engines.delivery = DeliveryState::connected;
-  while (engines.cancelled.empty() && timers.time < prefilledAt + 4'000'000) timers.advance(1'000);
-  ASSERT_EQ(engines.cancelled.size(), 1u);
+  while (engines.cancelledAttempts.empty() && timers.time < prefilledAt + 4'000'000) timers.advance(1'000);
+  ASSERT_EQ(engines.cancelledAttempts.size(), 1u);
   ASSERT_GT(timers.time - prefilledAt, 500'000);
-  EXPECT_EQ(engines.released.size(), 1u);
-  EXPECT_EQ(engines.begun.back().phase, Phase::prefill);
+  EXPECT_EQ(engines.releasedReservations.size(), 1u);
+  EXPECT_EQ(engines.startedAttempts.back().phase, Phase::prefill);
 }
 
-TEST_F(UnconfirmedDecodeTest, TrustsANewConnectionWhereLivenessCannotBeChecked) {
+TEST_F(UnconfirmedDecodeTest, AssumesArrivalOnANewConnectionWhereLivenessCannotBeChecked) {
   engines.delivery = DeliveryState::connected;
   engines.checksLiveness = false;
   timers.advance(600'000);
   EXPECT_TRUE(engines.livenessChecks.empty());
-  EXPECT_TRUE(engines.released.empty());
+  EXPECT_TRUE(engines.releasedReservations.empty());
 }
 
-// A call that can't be made must not cost the others, nor stay in flight for ever.
-TEST_F(RouterTest, MakesAReleaseAgainWhereItsCallThrows) {
+// Prevents a release call that throws from blocking the other calls or from staying in flight forever.
+TEST_F(RouterTest, RetriesAReleaseWhoseCallThrows) {
   RecordingClient client;
   const auto id = accept(client);
   finishPrefill();
   engines.failsNextRelease = true;
   router.cancel(id);
-  EXPECT_TRUE(engines.released.empty());
+  EXPECT_TRUE(engines.releasedReservations.empty());
   timers.advance(200'000);
-  EXPECT_EQ(engines.released.size(), 1u);
+  EXPECT_EQ(engines.releasedReservations.size(), 1u);
 }
 
-TEST_F(RouterTest, BeginsNoAttemptForAClientThatHasGone) {
+TEST_F(RouterTest, StartsNoAttemptForADisconnectedClient) {
   RecordingClient client;
-  client.hasGone = true;
+  client.hasDisconnected = true;
   accept(client);
-  EXPECT_TRUE(engines.begun.empty());
+  EXPECT_TRUE(engines.startedAttempts.empty());
   EXPECT_EQ(router.pendingRequests(), 0u);
   EXPECT_EQ(router.activeRequests(), 0u);
   EXPECT_EQ(router.counters().cancelled, 1u);
@@ -445,60 +458,60 @@
 
   RecordingClient laterClient;
   accept(laterClient);
-  ASSERT_EQ(engines.begun.size(), 1u);
-  laterClient.hasGone = true;
-  finishPrefill();  // its close and the end of its prefill come in one loop turn
-  EXPECT_EQ(engines.begun.size(), 1u);
+  ASSERT_EQ(engines.startedAttempts.size(), 1u);
+  laterClient.hasDisconnected = true;
+  finishPrefill();  // the disconnect and the end of the prefill occur in one event-loop iteration
+  EXPECT_EQ(engines.startedAttempts.size(), 1u);
   EXPECT_EQ(router.activeRequests(), 0u);
-  EXPECT_EQ(engines.released.size(), 1u);  // and its state is released
+  EXPECT_EQ(engines.releasedReservations.size(), 1u);  // the state is released
 }
 
 TEST_F(RouterTest, FailsABadRequestWithoutARetry) {
   RecordingClient client;
   accept(client);
-  router.onAttemptEnded(engines.begun[0].attempt,
+  router.onAttemptEnded(engines.startedAttempts[0].attempt,
                         {.outcome = Outcome::notSent, .badRequest = true, .text = "HTTP 400: too long"});
   ASSERT_TRUE(client.completion);
   EXPECT_EQ(client.completion->failureReason, FailureReason::badRequest);
-  EXPECT_EQ(engines.begun.size(), 1u);
+  EXPECT_EQ(engines.startedAttempts.size(), 1u);
 }
 
-// The client's callback makes the router process events, which end the attempt and erase the request.
-TEST_F(RouterTest, LetsAClientSendAnotherRequestFromItsCompletionWhenItsStreamStalls) {
+// The completion callback makes the router process events, which end the attempt and erase the request.
+TEST_F(RouterTest, AllowsANewRequestFromTheCompletionCallbackOfAStalledStream) {
   RecordingClient client;
-  RecordingClient next;
-  client.duringCompletion = [&] { accept(next); };
+  RecordingClient nextClient;
+  client.onCompletionHook = [&] { accept(nextClient); };
   accept(client, 0, 60'000'000);
   finishPrefill();
   sendToken();
-  const AttemptId stalled = engines.begun.back().attempt;
+  const AttemptId stalled = engines.startedAttempts.back().attempt;
   const Micros startedAt = timers.time;
   while (!client.completion && timers.time < startedAt + 11'000'000) timers.advance(1'000);
   ASSERT_TRUE(client.completion);
   EXPECT_EQ(client.completion->failureReason, FailureReason::streamStalled);
-  EXPECT_EQ(engines.cancelled, std::vector<AttemptId>{stalled});
-  EXPECT_FALSE(next.completion);
+  EXPECT_EQ(engines.cancelledAttempts, std::vector<AttemptId>{stalled});
+  EXPECT_FALSE(nextClient.completion);
   EXPECT_EQ(router.activeRequests(), 1U);
 }
 
-TEST_F(RouterTest, LetsAClientCancelFromItsOwnTokenCallback) {
+TEST_F(RouterTest, AllowsACancelFromTheClientsTokenCallback) {
   RecordingClient client;
   const RequestId id = accept(client);
-  client.duringTokens = [&] { router.cancel(id); };
+  client.onTokensHook = [&] { router.cancel(id); };
   finishPrefill();
   sendToken();
   EXPECT_FALSE(client.completion);
   EXPECT_EQ(router.counters().cancelled, 1U);
   EXPECT_EQ(router.activeRequests(), 0U);
-  EXPECT_EQ(engines.cancelled.size(), 1U);
+  EXPECT_EQ(engines.cancelledAttempts.size(), 1U);
 }
 
-TEST_F(RouterTest, LetsAClientCancelItselfAndAnotherRequestFromItsCompletion) {
+TEST_F(RouterTest, AllowsCancelsOfThisAndAnotherRequestFromTheCompletionCallback) {
   RecordingClient client;
   RecordingClient other;
   const RequestId id = accept(client);
   const RequestId otherId = accept(other);
-  client.duringCompletion = [&] {
+  client.onCompletionHook = [&] {
     router.cancel(id);
     router.cancel(otherId);
   };
@@ -511,23 +524,23 @@
   EXPECT_EQ(router.activeRequests(), 0U);
 }
 
-TEST_F(RouterTest, StopsFromWithinACompletionWhileEventsAreProcessed) {
+TEST_F(RouterTest, AllowsAStopFromTheCompletionCallbackWhileEventsAreProcessed) {
   RecordingClient client;
   RecordingClient other;
   accept(other);
-  client.duringCompletion = [&] { router.stop(); };
+  client.onCompletionHook = [&] { router.stop(); };
   accept(client, 1);
-  router.onAttemptEnded(engines.begun.back().attempt,
+  router.onAttemptEnded(engines.startedAttempts.back().attempt,
                         {.outcome = Outcome::notSent, .badRequest = true, .text = "HTTP 400"});
   ASSERT_TRUE(client.completion);
   EXPECT_EQ(client.completion->failureReason, FailureReason::badRequest);
   ASSERT_TRUE(other.completion);
   EXPECT_EQ(other.completion->failureReason, FailureReason::shuttingDown);
   EXPECT_EQ(router.activeRequests(), 0U);
-  RecordingClient late;
-  accept(late);
-  ASSERT_TRUE(late.completion);
-  EXPECT_EQ(late.completion->failureReason, FailureReason::shuttingDown);
+  RecordingClient lateClient;
+  accept(lateClient);
+  ASSERT_TRUE(lateClient.completion);
+  EXPECT_EQ(lateClient.completion->failureReason, FailureReason::shuttingDown);
 }
 
 TEST_F(RouterTest, ExecutesLaterActionsWhenOneThrows) {
@@ -535,17 +548,17 @@
   engines.failsNextAttempt = true;
   accept(client);
   EXPECT_EQ(router.counters().failedActions, 1U);
-  EXPECT_TRUE(engines.begun.empty());
+  EXPECT_TRUE(engines.startedAttempts.empty());
   RecordingClient other;
   accept(other);
-  EXPECT_EQ(engines.begun.size(), 1U);  // the queue is not blocked
+  EXPECT_EQ(engines.startedAttempts.size(), 1U);  // the action queue is not blocked
   router.stop();
   EXPECT_TRUE(client.completion);
   EXPECT_TRUE(other.completion);
   EXPECT_EQ(router.activeRequests(), 0U);
 }
 
-TEST(PolicyLog, ReplacesEndpointIdsByNames) {
+TEST(PolicyLog, ReplacesEndpointIdsWithNames) {
   const auto nameOf = [](EndpointId id) { return "endpoint-" + std::to_string(id.value % 10); };
   EXPECT_EQ(withNames("server 12345678901 ejected for 1000 ms", nameOf),
             "server endpoint-1 ejected for 1000 ms");
--- a/tests/routing/rule_guard_test.cpp
+++ b/tests/routing/rule_guard_test.cpp
@@ -1,4 +1,4 @@
-// The rule guard reports each attempt that would break a rule, and nothing else.
+// The rule guard reports each attempt that would violate a rule, and no others.
 #include "routing/rule_guard.h"
 
 #include <gtest/gtest.h>
@@ -51,7 +51,7 @@
   EXPECT_EQ(check(), std::nullopt);
 }
 
-TEST_F(RuleGuardTest, AllowsOnlyAPrefillOfNonIdempotentWorkThatMayHaveRun) {
+TEST_F(RuleGuardTest, AllowsOnlyAPrefillOfNonIdempotentWorkThatWasPossiblyExecuted) {
   requestClass.idempotency = Idempotency::nonIdempotent;
   EXPECT_EQ(check(), std::nullopt);
   recordPossibleExecution(now - 1, target);
@@ -80,7 +80,7 @@
   EXPECT_EQ(check(), Violation::retryOutsideDeduplicationScope);
 }
 
-TEST_F(RuleGuardTest, CallsACompletionLateAfterItsOwnAndThePlatformsSlack) {
+TEST_F(RuleGuardTest, ReportsACompletionAsLateAfterTheSlackOfTheSettingsAndThePlatform) {
   constexpr Micros kDeadline = 1'000'000;
   constexpr Micros kSettingsSlack = 8'000;
   EXPECT_FALSE(RuleGuard::isLate(kDeadline + kSettingsSlack + 200'000, kDeadline, kSettingsSlack));
--- a/tests/routing/stream_guard_test.cpp
+++ b/tests/routing/stream_guard_test.cpp
@@ -1,4 +1,4 @@
-// When the router ends an answer that has begun.
+// When the router ends a response whose stream has begun.
 #include "routing/stream_guard.h"
 
 #include <gtest/gtest.h>
