--- a/src/membership/endpoint_list_file.cpp
+++ b/src/membership/endpoint_list_file.cpp
@@ -29,7 +29,8 @@
     text = config::readFileText(path_);
   } catch (const std::system_error&) {
     if (!std::exchange(isMissing_, true))
-      change.errors.push_back({Code::fileUnreadable, path_ + ": can't be read; the last list stands"});
+      change.errors.push_back(
+          {Code::fileUnreadable, path_ + ": cannot be read; the last valid list stays in use"});
     lastText_.clear();
     return change;
   }
@@ -43,16 +44,18 @@
 void EndpointListFile::applyText(std::string_view text, Change& change) {
   try {
     if (text.size() > kMaxListBytes) throw config::Error(path_ + ": larger than 16 MiB");
-    EndpointMap next = readEndpointList(config::JsonFile::parse(path_, text), endpoints_, change.errors);
-    change.hasChanged = next != endpoints_ || endpoints_.empty();
-    endpoints_ = std::move(next);
+    EndpointMap newEndpoints =
+        readEndpointList(config::JsonFile::parse(path_, text), endpoints_, change.errors);
+    change.hasChanged = newEndpoints != endpoints_ || endpoints_.empty();
+    endpoints_ = std::move(newEndpoints);
     if (change.hasChanged) writeCopy(change.errors);
   } catch (const config::Error& error) {
-    change.errors.push_back({Code::listInvalid, std::string(error.what()) + "; the last list stands"});
+    change.errors.push_back(
+        {Code::listInvalid, std::string(error.what()) + "; the last valid list stays in use"});
   }
 }
 
-// A disk may refuse for a while, so the copy is tried again until it is written; the error is reported once.
+// Disk errors can be temporary, so writing the copy is retried until it succeeds; the error is reported once.
 void EndpointListFile::writeCopy(std::vector<EndpointListError>& errors) {
   if (copyPath_.empty()) return;
   const bool wasReported = std::exchange(isCopyOutdated_, false);
--- a/src/membership/endpoint_list_file.h
+++ b/src/membership/endpoint_list_file.h
@@ -1,5 +1,5 @@
-/// The endpoint list file that an operator maintains, and the persisted copy of the last valid list, which
-/// serves a restart while the file is missing.
+/// The endpoint list file that an operator maintains, and the persisted copy of the last valid list, which is
+/// loaded after a restart while the file is missing.
 #pragma once
 
 #include <string>
@@ -11,22 +11,22 @@
 
 namespace garnethook::membership {
 
-/// A list file that is polled, with its persisted copy. Reads and writes files while the caller waits.
+/// A list file that is polled, with its persisted copy. File I/O is synchronous and blocks the caller.
 class EndpointListFile {
  public:
-  /// `path`: the list file; `copyPath`: its persisted copy; empty: none is kept.
+  /// `path`: the list file; `copyPath`: its persisted copy, or empty to keep none.
   EndpointListFile(std::string path, std::string copyPath);
 
-  /// What a refresh brought.
+  /// The result of a refresh.
   struct Change {
-    bool hasChanged = false;                ///< endpoints() differs from before.
-    std::vector<EndpointListError> errors;  ///< Each is reported once, not at every refresh.
+    bool hasChanged = false;                ///< endpoints() has changed, or was empty before.
+    std::vector<EndpointListError> errors;  ///< Each error is reported once, not at every refresh.
   };
-  /// Reads the file where its text differs from the last refresh. Never throws: a file that is missing, cut
-  /// short or not a list leaves the endpoints as they were.
+  /// Applies the file if its text differs from the last refresh. Never throws: a file that is missing,
+  /// truncated or not an endpoint list leaves the endpoints unchanged.
   Change refresh();
-  /// Loads the persisted copy, for a start where refresh() found nothing. False: there is none that can be
-  /// used.
+  /// Loads the persisted copy, for a start at which refresh() found no list. Returns false if there is no
+  /// usable copy.
   bool loadCopy(std::vector<EndpointListError>& errors);
   /// The endpoints of the last valid list.
   const EndpointMap& endpoints() const { return endpoints_; }
@@ -39,7 +39,7 @@
   std::string copyPath_;
   std::string lastText_;
   bool isMissing_ = false;
-  // Writing the copy failed: it is older than `endpoints_`, and is tried again at each refresh.
+  // Writing the copy failed: it is older than `endpoints_`, and writing is retried at each refresh.
   bool isCopyOutdated_ = false;
   EndpointMap endpoints_;
 };
--- a/src/membership/endpoint_list_format.cpp
+++ b/src/membership/endpoint_list_format.cpp
@@ -11,7 +11,7 @@
 constexpr std::int64_t kMaxStartedMs = std::int64_t{1} << 50;
 constexpr int kMaxPort = 65'535;
 
-// By EndpointState.
+// Indexed by EndpointState.
 const std::vector<std::string>& stateNames() {
   static const std::vector<std::string> names{"running", "draining", "gone"};
   return names;
@@ -24,7 +24,7 @@
   const char* end = address.data() + address.size();
   if (colon == std::string::npos || colon == 0 ||
       std::from_chars(address.data() + colon + 1, end, port).ptr != end || port < 1 || port > kMaxPort)
-    node.failAt("address", "HOST:PORT is wanted");
+    node.failAt("address", "HOST:PORT is expected");
   spec.host = address.substr(0, colon);
   spec.port = static_cast<std::uint16_t>(port);
 }
--- a/src/membership/endpoint_list_format.h
+++ b/src/membership/endpoint_list_format.h
@@ -16,19 +16,19 @@
 
 namespace garnethook::membership {
 
-/// One entry of a list: its endpoint, or why it cannot be used.
+/// One entry of a list: its endpoint, or the error that makes it invalid.
 struct ParsedEndpoint {
-  config::Node node;                 ///< Where it stands in the file.
-  std::string name;                  ///< Empty where the name itself cannot be read.
-  std::optional<EndpointSpec> spec;  ///< None where the entry is invalid.
-  std::string error;                 ///< Why it is invalid, with file, line and key.
+  config::Node node;                 ///< Its position in the file.
+  std::string name;                  ///< Empty if the name itself is invalid.
+  std::optional<EndpointSpec> spec;  ///< Not set if the entry is invalid.
+  std::string error;                 ///< The error, with file, line and key; empty if the entry is valid.
 };
 
-/// Reads the entries of a list in the order of the file; faulty ones are marked. Throws config::Error where
+/// Parses the entries of a list in file order; invalid entries carry their error. Throws config::Error if
 /// there is no list of entries.
 std::vector<ParsedEndpoint> parseEntries(const config::Node& root);
 
-/// The text of a list file with these endpoints.
+/// Returns the text of a list file with these endpoints.
 std::string serializeEndpointList(const EndpointMap& endpoints);
 
 }  // namespace garnethook::membership
--- a/src/membership/endpoint_list_merge.cpp
+++ b/src/membership/endpoint_list_merge.cpp
@@ -3,15 +3,15 @@
 namespace garnethook::membership {
 namespace {
 
-// What an entry that cannot be used leaves in force: the endpoint that was listed under its name before.
-void keepPrevious(const std::string& name, const EndpointMap& previous, EndpointMap& endpoints) {
-  const auto known = previous.find(name);
-  if (known != previous.end()) endpoints.emplace(name, known->second);
+// Keeps the endpoint that was previously listed under the name of an invalid entry.
+void keepPreviousEndpoint(const std::string& name, const EndpointMap& previous, EndpointMap& endpoints) {
+  const auto previousEntry = previous.find(name);
+  if (previousEntry != previous.end()) endpoints.emplace(name, previousEntry->second);
 }
 
 std::string duplicateNameMessage(const ParsedEndpoint& entry) {
   try {
-    entry.node.failAt("name", "\"" + entry.name + "\" stands twice");
+    entry.node.failAt("name", "\"" + entry.name + "\" is a duplicate");
   } catch (const config::Error& error) { return error.what(); }
 }
 
@@ -24,7 +24,7 @@
     if (entry.spec && endpoints.emplace(entry.name, *entry.spec).second) continue;
     errors.push_back(
         {EndpointListError::Code::entryInvalid, entry.spec ? duplicateNameMessage(entry) : entry.error});
-    keepPrevious(entry.name, previous, endpoints);
+    keepPreviousEndpoint(entry.name, previous, endpoints);
   }
   return endpoints;
 }
--- a/src/membership/endpoint_list_merge.h
+++ b/src/membership/endpoint_list_merge.h
@@ -1,4 +1,4 @@
-/// Which endpoints hold after a list was read, where some of its entries may be faulty. Free of I/O.
+/// Merges a newly read list, some entries of which may be invalid, with the previous endpoints. Free of I/O.
 #pragma once
 
 #include <memory>
@@ -10,13 +10,13 @@
 
 namespace garnethook::membership {
 
-/// The endpoints of the parsed entries. A faulty entry, or a second one of the same name, is reported in
-/// `errors`; the former keeps what `previous` has under its name.
+/// Returns the endpoints of the parsed entries. An invalid entry, or a second one of the same name, is
+/// reported in `errors`; for an invalid entry the endpoint of that name in `previous`, if any, stays in use.
 EndpointMap mergeEntries(const std::vector<ParsedEndpoint>& entries, const EndpointMap& previous,
                          std::vector<EndpointListError>& errors);
 
-/// Reads a whole list file: its entries, merged with `previous`. Throws config::Error where the file is not
-/// an endpoint list; `previous` holds on then.
+/// Reads a whole list file and merges its entries with `previous`. Throws config::Error if the file is not an
+/// endpoint list; the caller then keeps `previous`.
 EndpointMap readEndpointList(const std::shared_ptr<const config::JsonFile>& file, const EndpointMap& previous,
                              std::vector<EndpointListError>& errors);
 
--- a/src/membership/endpoint_spec.cpp
+++ b/src/membership/endpoint_spec.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 std::optional<std::size_t> indexOf(const std::vector<std::string>& names, const std::string& name) {
-  const auto found = std::find(names.begin(), names.end(), name);
-  if (found == names.end()) return std::nullopt;
-  return static_cast<std::size_t>(found - names.begin());
+  const auto position = std::find(names.begin(), names.end(), name);
+  if (position == names.end()) return std::nullopt;
+  return static_cast<std::size_t>(position - names.begin());
 }
 
 }  // namespace
--- a/src/membership/file_replacement.cpp
+++ b/src/membership/file_replacement.cpp
@@ -14,17 +14,17 @@
 
 constexpr mode_t kFileMode = 0644;
 
-std::string_view describe(Step step) {
+std::string_view stepErrorText(Step step) {
   switch (step) {
-    case Step::create: return "can't be made";
-    case Step::write: return "can't be written";
-    case Step::flush: return "can't be flushed";
-    case Step::rename: return "can't be renamed";
+    case Step::create: return "cannot be created";
+    case Step::write: return "cannot be written";
+    case Step::flush: return "cannot be flushed";
+    case Step::rename: return "cannot be renamed";
   }
-  return "can't be replaced";
+  return "cannot be replaced";
 }
 
-// Closes the descriptor with its scope.
+// Closes the descriptor at the end of its scope.
 class FileDescriptor {
  public:
   explicit FileDescriptor(int fd) : fd_(fd) {}
@@ -41,12 +41,12 @@
 };
 
 void writeAll(const FileDescriptor& file, const std::string& path, std::string_view text) {
-  std::size_t written = 0;
-  while (written < text.size()) {
-    const auto count = ::write(file.get(), text.data() + written, text.size() - written);
+  std::size_t bytesWritten = 0;
+  while (bytesWritten < text.size()) {
+    const auto count = ::write(file.get(), text.data() + bytesWritten, text.size() - bytesWritten);
     if (count < 0 && errno == EINTR) continue;
     if (count < 0) throw FileReplacementError(Step::write, path, errno);
-    written += static_cast<std::size_t>(count);
+    bytesWritten += static_cast<std::size_t>(count);
   }
 }
 
@@ -57,18 +57,19 @@
   if (::fsync(file.get()) != 0) throw FileReplacementError(Step::flush, path, errno);
 }
 
-// Makes the rename itself durable; without it a crash may bring the old file back, which is allowed.
-void syncFolderOf(const std::string& path) {
+// Makes the rename durable. Errors are ignored: without the sync a crash may restore the old file, which is
+// acceptable.
+void syncParentDirectory(const std::string& path) {
   const auto slash = path.rfind('/');
-  const std::string folder = slash == std::string::npos ? "." : path.substr(0, slash + 1);
-  const FileDescriptor directory(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  const std::string directoryPath = slash == std::string::npos ? "." : path.substr(0, slash + 1);
+  const FileDescriptor directory(::open(directoryPath.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (directory.isOpen()) ::fsync(directory.get());
 }
 
 }  // namespace
 
 FileReplacementError::FileReplacementError(Step step, const std::string& path, int errorNumber)
-    : std::runtime_error(path + ": " + std::string(describe(step)) + ": " + std::strerror(errorNumber)),
+    : std::runtime_error(path + ": " + std::string(stepErrorText(step)) + ": " + std::strerror(errorNumber)),
       step_(step),
       errorNumber_(errorNumber) {}
 
@@ -76,7 +77,7 @@
   const std::string newPath = path + ".new";
   writeNewFile(newPath, text);
   if (::rename(newPath.c_str(), path.c_str()) != 0) throw FileReplacementError(Step::rename, newPath, errno);
-  syncFolderOf(path);
+  syncParentDirectory(path);
 }
 
 }  // namespace garnethook::membership
--- a/src/membership/file_replacement.h
+++ b/src/membership/file_replacement.h
@@ -1,4 +1,4 @@
-/// Replacing a file so that a crash leaves either its old or its new text.
+/// Replaces a file atomically: after a crash it has either its old or its new text.
 #pragma once
 
 #include <stdexcept>
@@ -7,7 +7,7 @@
 
 namespace garnethook::membership {
 
-/// A file could not be replaced; the old one is still there.
+/// Thrown if a file could not be replaced; the old file is unchanged.
 class FileReplacementError : public std::runtime_error {
  public:
   /// The step that failed.
@@ -15,7 +15,7 @@
     create,  ///< The new file could not be created.
     write,   ///< Its text could not be written.
     flush,   ///< It could not be flushed to disk.
-    rename   ///< It could not take the old file's place.
+    rename   ///< It could not be renamed over the old file.
   };
   /// `path`: the new file; `errorNumber`: errno of the failed call.
   FileReplacementError(Step step, const std::string& path, int errorNumber);
--- a/src/membership/start_times.cpp
+++ b/src/membership/start_times.cpp
@@ -19,26 +19,27 @@
 
 const StartTimes::MappedStart& StartTimes::mappedStart(const std::string& name, UnixTime reportedAt,
                                                        Source source, Micros now) {
-  const auto known = starts_.find(name);
-  const bool isCurrent = known != starts_.end() && known->second.reportedAt == reportedAt &&
-                         (source == Source::persistedCopy || known->second.source == Source::discovery);
-  if (isCurrent) return known->second;
+  const auto existing = starts_.find(name);
+  const bool isCurrent = existing != starts_.end() && existing->second.reportedAt == reportedAt &&
+                         (source == Source::persistedCopy || existing->second.source == Source::discovery);
+  if (isCurrent) return existing->second;
   return starts_[name] = {reportedAt, mapStart(reportedAt, source, now), source};
 }
 
-// Where every start lies ahead of this machine's wall clock, it is that clock which is behind.
+// If every start is ahead of this machine's wall clock, the wall clock is assumed to be behind, and the
+// latest start is used.
 void StartTimes::updateClockOffset(const EndpointMap& endpoints, Micros now, UnixTime wallNow) {
-  std::optional<Micros> latestCredible;
+  std::optional<Micros> latestPlausible;
   std::optional<Micros> latest;
   for (const auto& [name, endpoint] : endpoints) {
     if (!endpoint.startedAt.isKnown()) continue;
-    const Micros reported = endpoint.startedAt.sinceEpoch;
-    latest = std::max(latest.value_or(reported), reported);
-    if (reported <= wallNow.sinceEpoch + kMaxClockLead)
-      latestCredible = std::max(latestCredible.value_or(reported), reported);
+    const Micros reportedStart = endpoint.startedAt.sinceEpoch;
+    latest = std::max(latest.value_or(reportedStart), reportedStart);
+    if (reportedStart <= wallNow.sinceEpoch + kMaxClockLead)
+      latestPlausible = std::max(latestPlausible.value_or(reportedStart), reportedStart);
   }
-  const auto evidence = latestCredible ? latestCredible : latest;
-  if (evidence) clockOffset_ = std::min(clockOffset_.value_or(now - *evidence), now - *evidence);
+  const auto reference = latestPlausible ? latestPlausible : latest;
+  if (reference) clockOffset_ = std::min(clockOffset_.value_or(now - *reference), now - *reference);
 }
 
 // The result is at least 1, as 0 means long ago.
@@ -50,7 +51,7 @@
 }
 
 void StartTimes::retainOnly(const EndpointMap& listed) {
-  std::erase_if(starts_, [&](const auto& item) { return !listed.contains(item.first); });
+  std::erase_if(starts_, [&](const auto& entry) { return !listed.contains(entry.first); });
 }
 
 }  // namespace garnethook::membership
--- a/src/membership/start_times.h
+++ b/src/membership/start_times.h
@@ -1,14 +1,14 @@
-/// When endpoints started, on this process's monotonic clock. Free of I/O and clocks.
+/// Start times of endpoints on this process's monotonic clock. Free of I/O and clocks.
 ///
-/// Lists report a start as Unix time, by a clock that need not agree with this machine's. Two facts hold for
-/// every pair of clocks. A start lies before the moment at which it was reported, so the smallest difference
-/// ever seen between the two maps the list's clock to the monotonic one, with an error of at most the
-/// shortest report delay. And a start that is reported while discovery is in contact is not older than the
-/// contact before it, which would have reported it. So no wrong clock, here or at an endpoint, makes a fresh
-/// endpoint an old one.
+/// Lists report a start as Unix time, by a clock that need not agree with this machine's. Two facts apply to
+/// every pair of clocks. First, an endpoint starts before its start is reported, so the smallest difference
+/// observed between the two times maps the list's clock to the monotonic clock, with an error of at most the
+/// shortest report delay. Second, a start that is reported while discovery is in contact is not older than
+/// the previous contact, which would have reported it. An incorrect clock, on this machine or at an endpoint,
+/// therefore never makes a recently started endpoint appear to have started long ago.
 ///
-/// This machine's wall clock is used for one purpose only: a start in its future is no evidence for the
-/// others.
+/// This machine's wall clock is used for one purpose only: a start in its future is not used to map the other
+/// starts.
 #pragma once
 
 #include <map>
@@ -20,27 +20,27 @@
 
 namespace garnethook::membership {
 
-/// Maps reported start times to the monotonic clock and keeps what each endpoint's start was mapped to.
+/// Maps reported start times to the monotonic clock and stores the mapped start of each endpoint.
 class StartTimes {
  public:
-  /// Where a list comes from.
+  /// The source of a list.
   enum class Source {
-    discovery,     ///< Reported now.
-    persistedCopy  ///< Read from a copy of an earlier process; nobody reports it now.
+    discovery,     ///< Currently reported by discovery.
+    persistedCopy  ///< Read from the copy of an earlier process; not currently reported.
   };
 
-  /// Discovery was in contact at `now`, be it by a heartbeat.
+  /// Records that discovery was in contact at `now`; a heartbeat counts as contact.
   void recordContact(Micros now) { lastContactAt_ = now; }
-  /// The monotonic start time of each endpoint; 0: long ago. Once mapped, a start keeps its time, except for
-  /// those of a persisted copy, which the first list from discovery maps anew.
+  /// Returns the monotonic start time of each endpoint; 0 means long ago. A mapped start does not change,
+  /// except that the first list from discovery remaps the starts of a persisted copy.
   MonotonicStartTimes toMonotonic(const EndpointMap& endpoints, Source source, Micros now,
                                   timing::UnixTime wallNow);
-  /// Forgets the endpoints that `listed` lacks.
+  /// Removes all endpoints that are not in `listed`.
   void retainOnly(const EndpointMap& listed);
 
-  /// A start further ahead of this machine's wall clock than this is no evidence, in microseconds.
+  /// A start further ahead of this machine's wall clock than this is not used to map others, in microseconds.
   static constexpr Micros kMaxClockLead = 2'000'000;
-  /// Discovery may report a start this long after it while it reports other things, in microseconds.
+  /// Longest delay between a start and its report while discovery is in contact, in microseconds.
   static constexpr Micros kMaxReportDelay = 2'000'000;
 
  private:
@@ -55,7 +55,7 @@
   Micros mapStart(timing::UnixTime reportedAt, Source source, Micros now) const;
 
   std::map<std::string, MappedStart> starts_;
-  std::optional<Micros> clockOffset_;  // monotonic minus reported time, the smallest seen
+  std::optional<Micros> clockOffset_;  // monotonic minus reported time, the smallest observed
   std::optional<Micros> lastContactAt_;
 };
 
--- a/tests/membership/endpoint_list_file_test.cpp
+++ b/tests/membership/endpoint_list_file_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint list file and its persisted copy.
+// Reading the endpoint list file, and writing and loading its persisted copy.
 #include "membership/endpoint_list_file.h"
 
 #include <gtest/gtest.h>
@@ -23,16 +23,16 @@
     {"name":"b","address":"127.0.0.1:2","kind":"k","state":"draining","started_ms":5}]})";
 };
 
-TEST_F(EndpointListFileTest, KeepsTheLastListWhenAFileIsFaulty) {
+TEST_F(EndpointListFileTest, KeepsTheLastValidListWhenTheFileIsInvalid) {
   membership::EndpointListFile list(listPath_, copyPath_);
   EXPECT_FALSE(list.refresh().hasChanged);
   writeList(kTwoEndpoints);
   EXPECT_TRUE(list.refresh().hasChanged);
-  for (const char* faulty : {"", "{", R"({"engines":[{"name":"a","addr)", "[]", R"({"servers":[]})"}) {
-    writeList(faulty);
+  for (const char* invalidText : {"", "{", R"({"engines":[{"name":"a","addr)", "[]", R"({"servers":[]})"}) {
+    writeList(invalidText);
     const auto change = list.refresh();
-    EXPECT_FALSE(change.hasChanged) << faulty;
-    EXPECT_EQ(change.errors.size(), 1u) << faulty;
+    EXPECT_FALSE(change.hasChanged) << invalidText;
+    EXPECT_EQ(change.errors.size(), 1u) << invalidText;
     EXPECT_EQ(list.endpoints().size(), 2u);
     EXPECT_TRUE(list.refresh().errors.empty()) << "reported once";
   }
@@ -43,7 +43,7 @@
   EXPECT_TRUE(list.refresh().hasChanged);
 }
 
-TEST_F(EndpointListFileTest, KeepsThePreviousEndpointAndReportsTheLineWhenAnEntryIsFaulty) {
+TEST_F(EndpointListFileTest, KeepsThePreviousEndpointAndReportsTheLineWhenAnEntryIsInvalid) {
   membership::EndpointListFile list(listPath_, copyPath_);
   writeList(kTwoEndpoints);
   list.refresh();
@@ -58,7 +58,8 @@
   EXPECT_EQ(list.endpoints().at("a").port, 1);
 }
 
-// The copy used to be given up at the first failure, so that an older list was loaded after a restart.
+// Prevents an outdated list from being loaded after a restart, which happened when writing the copy was not
+// retried after its first failure.
 TEST_F(EndpointListFileTest, RetriesWritingTheCopyUntilItSucceeds) {
   const std::string folder = folder_ + "/not-there-yet";
   membership::EndpointListFile list(listPath_, folder + "/last.json");
@@ -87,7 +88,7 @@
   EXPECT_EQ(restarted.endpoints().at("b").state, EndpointState::draining);
   EXPECT_EQ(restarted.endpoints().at("b").startedAt.sinceEpoch, 5000);
   std::ofstream(copyPath_)
-      << "{\"engines\": [ {";  // a copy that a crash cut short (never by replaceFile itself)
+      << "{\"engines\": [ {";  // a truncated copy; replaceFile itself never leaves one after a crash
   membership::EndpointListFile broken(listPath_, copyPath_);
   EXPECT_FALSE(broken.loadCopy(errors));
   EXPECT_EQ(errors.size(), 1u);
--- a/tests/membership/endpoint_list_format_test.cpp
+++ b/tests/membership/endpoint_list_format_test.cpp
@@ -1,4 +1,4 @@
-// Stored copies of the endpoint list stay readable, and the format is written as before.
+// Compatibility of the endpoint list format: stored copies stay readable, and the output stays the same.
 #include "membership/endpoint_list_format.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace garnethook::membership {
 namespace {
 
-// Written by writeList() of version 0b40fac, the last one before files and types were renamed.
+// Written by writeList() of version 0b40fac, the last version before files and types were renamed.
 constexpr const char* kStoredCopy = GARNETHOOK_MEMBERSHIP_TEST_DATA "/engine_list_0b40fac.json";
 
 EndpointMap expectedEndpoints() {
@@ -84,7 +84,8 @@
   EXPECT_EQ(serializeEndpointList(expectedEndpoints()), config::readFileText(kStoredCopy));
 }
 
-// A list is kept whole or in part: the second entry of a name is reported and the first one holds.
+// Of two entries with the same name, the first is used and the second is reported; the rest of the list is
+// used.
 TEST(EndpointListMerge, ReportsADuplicateNameAndKeepsTheFirst) {
   const auto file = config::JsonFile::parse("f.json", R"({"engines":[
     {"name":"a","address":"127.0.0.1:1","kind":"k"},
@@ -93,12 +94,13 @@
   const EndpointMap endpoints = readEndpointList(file, {}, errors);
   ASSERT_EQ(errors.size(), 1U);
   EXPECT_EQ(errors[0].code, EndpointListError::Code::entryInvalid);
-  EXPECT_EQ(errors[0].message, "f.json:3: engines[1].name: \"a\" stands twice");
+  EXPECT_EQ(errors[0].message, "f.json:3: engines[1].name: \"a\" is a duplicate");
   EXPECT_EQ(endpoints.at("a").port, 1);
 }
 
-// A faulty entry is replaced at once by what held before, so that a later entry of its name is the duplicate.
-TEST(EndpointListMerge, KeepsThePreviousEndpointWhenAFaultyEntryComesBeforeAValidOneOfItsName) {
+// An invalid entry is replaced immediately by the previous endpoint of its name, so that a later entry of
+// that name is the duplicate.
+TEST(EndpointListMerge, KeepsThePreviousEndpointWhenAnInvalidEntryPrecedesAValidOneOfItsName) {
   const EndpointMap previous{{"a", {.name = "a", .host = "h", .port = 9, .kind = "k"}}};
   const auto file = config::JsonFile::parse("f.json", R"({"engines":[
     {"name":"a","address":"nowhere","kind":"k"},
--- a/tests/membership/start_times_test.cpp
+++ b/tests/membership/start_times_test.cpp
@@ -1,4 +1,4 @@
-// Start times of endpoints on the monotonic clock, whatever the wall clocks say.
+// Mapping of endpoint start times to the monotonic clock, with correct and incorrect wall clocks.
 #include "membership/start_times.h"
 
 #include <gtest/gtest.h>
@@ -14,30 +14,31 @@
 
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kHour = 3600 * kSecond;
-constexpr Micros kUnix = 1'700'000'000 * kSecond;  // true Unix time at monotonic time 0
+constexpr Micros kUnixTimeAtMonotonicZero = 1'700'000'000 * kSecond;  // actual Unix time at monotonic time 0
 constexpr Micros kNow = 100 * kSecond;
 
 struct StartTimesTest : testing::TestWithParam<Micros> {
-  // What this machine's wall clock shows at a monotonic time; the parameter is its error.
-  static UnixTime wallClockAt(Micros now) { return {kUnix + now + GetParam()}; }
-  // Endpoints by name, each with the monotonic time at which it truly started; 0: long ago.
-  static EndpointMap list(const std::map<std::string, Micros>& starts) {
+  // This machine's wall clock at a monotonic time; the test parameter is its error.
+  static UnixTime wallClockAt(Micros now) { return {kUnixTimeAtMonotonicZero + now + GetParam()}; }
+  // Endpoints by name, each with the monotonic time at which it actually started; 0 means long ago.
+  static EndpointMap endpointsStartedAt(const std::map<std::string, Micros>& starts) {
     EndpointMap endpoints;
     for (const auto& [name, start] : starts) {
       EndpointSpec endpoint;
       endpoint.name = name;
-      endpoint.startedAt = {start == 0 ? 0 : kUnix + start};
+      endpoint.startedAt = {start == 0 ? 0 : kUnixTimeAtMonotonicZero + start};
       endpoints[name] = endpoint;
     }
     return endpoints;
   }
   Micros mappedStart(const std::map<std::string, Micros>& starts, const std::string& name, Micros now) {
-    return startTimes.toMonotonic(list(starts), Source::discovery, now, wallClockAt(now)).at(name);
+    return startTimes.toMonotonic(endpointsStartedAt(starts), Source::discovery, now, wallClockAt(now))
+        .at(name);
   }
   StartTimes startTimes;
 };
 
-TEST_P(StartTimesTest, MapsAFreshEndpointOfTheFirstListToARecentStart) {
+TEST_P(StartTimesTest, MapsARecentlyStartedEndpointOfTheFirstListToARecentStart) {
   EXPECT_GE(mappedStart({{"old", 0}, {"fresh", kNow - kSecond / 2}}, "fresh", kNow), kNow - kSecond);
 }
 
@@ -47,20 +48,20 @@
 
 TEST_P(StartTimesTest, MapsTheFirstListByItsLatestStart) {
   const std::map<std::string, Micros> starts{{"early", kNow - 60 * kSecond}, {"late", kNow - kSecond}};
-  const Micros early = mappedStart(starts, "early", kNow);
-  EXPECT_GE(early, kNow - 60 * kSecond);
-  // Where only the latest start lies ahead of this machine's clock it is no evidence; the result may be
-  // younger than the truth, never older.
+  const Micros mappedEarly = mappedStart(starts, "early", kNow);
+  EXPECT_GE(mappedEarly, kNow - 60 * kSecond);
+  // If only the latest start is ahead of this machine's clock, it is not used for the mapping. The result may
+  // then be later than the actual start, never earlier.
   const bool isLatestAhead = GetParam() < -StartTimes::kMaxClockLead - kSecond && GetParam() > -60 * kSecond;
-  if (!isLatestAhead) { EXPECT_LE(early, kNow - 59 * kSecond); }
+  if (!isLatestAhead) { EXPECT_LE(mappedEarly, kNow - 59 * kSecond); }
 }
 
-TEST_P(StartTimesTest, MapsAReportedStartNoEarlierThanTheContactBefore) {
+TEST_P(StartTimesTest, MapsAReportedStartNoEarlierThanThePreviousContact) {
   mappedStart({{"a", 0}}, "a", kNow);
   startTimes.recordContact(kNow + 10 * kSecond);
   const Micros now = kNow + 11 * kSecond;
   EXPECT_GE(mappedStart({{"a", 0}, {"b", now - kSecond / 2}}, "b", now), now - kSecond);
-  // An endpoint whose own clock is an hour behind.
+  // An endpoint whose clock is an hour behind.
   const Micros later = now + kSecond;
   EXPECT_GE(mappedStart({{"c", later - kHour}}, "c", later), now - StartTimes::kMaxReportDelay);
 }
@@ -69,9 +70,9 @@
   mappedStart({{"a", kNow - kSecond / 10}}, "a", kNow);  // reported 0.1 s after its start
   startTimes.recordContact(kNow);
   const Micros now = kNow + 8 * kSecond;
-  const Micros b = mappedStart({{"b", kNow + 2 * kSecond}}, "b", now);
-  EXPECT_GE(b, kNow + 2 * kSecond);
-  EXPECT_LE(b, kNow + 2 * kSecond + kSecond / 5);
+  const Micros startOfB = mappedStart({{"b", kNow + 2 * kSecond}}, "b", now);
+  EXPECT_GE(startOfB, kNow + 2 * kSecond);
+  EXPECT_LE(startOfB, kNow + 2 * kSecond + kSecond / 5);
 }
 
 TEST_P(StartTimesTest, NeverMapsIntoTheFutureAndKeepsAMappedStart) {
@@ -84,26 +85,30 @@
                          testing::Values(0, 5 * kSecond, -5 * kSecond, kHour, -kHour, 24 * kHour,
                                          -24 * kHour));
 
-// One endpoint's clock is an hour ahead and this machine's is right: the others keep their ages.
+// One endpoint's clock is an hour ahead and this machine's is correct: the mapping of the others is
+// unaffected.
 TEST(StartTimes, IgnoresAStartInTheFutureWhenMappingOthers) {
   StartTimes startTimes;
   EndpointMap endpoints;
   for (const auto& [name, start] : std::map<std::string, Micros>{{"ahead", kHour}, {"fresh", -kSecond}}) {
     endpoints[name].name = name;
-    endpoints[name].startedAt = {kUnix + kNow + start};
+    endpoints[name].startedAt = {kUnixTimeAtMonotonicZero + kNow + start};
   }
-  const auto mapped = startTimes.toMonotonic(endpoints, Source::discovery, kNow, {kUnix + kNow});
+  const auto mapped =
+      startTimes.toMonotonic(endpoints, Source::discovery, kNow, {kUnixTimeAtMonotonicZero + kNow});
   EXPECT_GE(mapped.at("fresh"), kNow - 2 * kSecond);
 }
 
-TEST(StartTimes, MapsStartsOfThePersistedCopyAnewOnceDiscoveryReports) {
+TEST(StartTimes, RemapsStartsOfThePersistedCopyOnceDiscoveryReports) {
   StartTimes startTimes;
   EndpointMap endpoints;
-  endpoints["a"].startedAt = {kUnix + kNow - 60 * kSecond};
-  EXPECT_EQ(startTimes.toMonotonic(endpoints, Source::persistedCopy, kNow, {kUnix + kNow}).at("a"), kNow);
-  endpoints["b"].startedAt = {kUnix + kNow - kSecond};
-  const auto mapped =
-      startTimes.toMonotonic(endpoints, Source::discovery, kNow + kSecond / 100, {kUnix + kNow});
+  endpoints["a"].startedAt = {kUnixTimeAtMonotonicZero + kNow - 60 * kSecond};
+  EXPECT_EQ(startTimes.toMonotonic(endpoints, Source::persistedCopy, kNow, {kUnixTimeAtMonotonicZero + kNow})
+                .at("a"),
+            kNow);
+  endpoints["b"].startedAt = {kUnixTimeAtMonotonicZero + kNow - kSecond};
+  const auto mapped = startTimes.toMonotonic(endpoints, Source::discovery, kNow + kSecond / 100,
+                                             {kUnixTimeAtMonotonicZero + kNow});
   EXPECT_LE(mapped.at("a"), kNow - 58 * kSecond);
   startTimes.retainOnly({});
 }
--- a/tests/routing/kv_reservation_tracker_test.cpp
+++ b/tests/routing/kv_reservation_tracker_test.cpp
@@ -107,7 +107,7 @@
 
 // A prefill may be on a dead connection: state left by earlier prefills is released, and the prefill
 // continues.
-TEST(KvReservationTracker, ReleasesWhatEarlierPrefillsLeftWhileAnotherIsInFlight) {
+TEST(KvReservationTracker, ReleasesStateOfEarlierPrefillsWhileAnotherIsInFlight) {
   for (const bool skipsAwaitedState : {false, true}) {
     KvReservationTracker tracker({.releaseRetryDelay = 100, .releaseSparesAwaited = skipsAwaitedState});
     tracker.onPrefillSent({1}, {7}, 0);
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -76,7 +76,7 @@
   RequestId accept(Client& client, std::size_t requestClass = 0, Micros remaining = 5'000'000) {
     return router.accept(request(requestClass, remaining), client);
   }
-  // Ends the prefill that was started last as done, so that a decode attempt starts.
+  // Completes the prefill attempt that was started last, so that a decode attempt starts.
   void finishPrefill() {
     AttemptResult result;
     result.outcome = Outcome::prefillDone;
@@ -209,7 +209,7 @@
   while (engines.releasedReservations.empty() && timers.time < prefilledAt + 2'000'000) timers.advance(1'000);
   EXPECT_LE(timers.time - prefilledAt, 510'000);
   ASSERT_EQ(engines.cancelledAttempts.size(),
-            1u);  // the second decode attempt ends before the state is released
+            1u);  // the second decode attempt was cancelled before the release
   EXPECT_EQ(engines.cancelledAttempts[0], secondDecode);
   EXPECT_FALSE(client.completion);
   ASSERT_EQ(engines.startedAttempts.size(), 4u);
