--- a/tests/fuzz/codecs.cpp
+++ b/tests/fuzz/codecs.cpp
@@ -47,17 +47,18 @@
   Http2Events events;
   http2::Limits limits;
   limits.streams = 8;
-  http2::Connection server(http2::Side::server, limits, events);
-  events.connection = &server;
+  http2::Connection connectionUnderTest(http2::Side::server, limits, events);
+  events.connection = &connectionUnderTest;
   std::string bytes =
       withPreface ? std::string("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0", 33) : "";
   bytes.append(input);
   std::int64_t now = 0;
-  for (std::size_t offset = 0; offset < bytes.size() && !server.over(); offset += 37) {
+  for (std::size_t offset = 0; offset < bytes.size() && !connectionUnderTest.over(); offset += 37) {
     const auto chunk = std::string_view(bytes).substr(offset, 37);
-    server.receive(now += 100, {reinterpret_cast<const std::uint8_t*>(chunk.data()), chunk.size()});
-    if (offset % 3 == 0) server.sent(server.output().size());
-    require(server.openStreams() <= limits.streams);
+    connectionUnderTest.receive(now += 100,
+                                {reinterpret_cast<const std::uint8_t*>(chunk.data()), chunk.size()});
+    if (offset % 3 == 0) connectionUnderTest.sent(connectionUnderTest.output().size());
+    require(connectionUnderTest.openStreams() <= limits.streams);
   }
   require(events.receivedBytes <= bytes.size());
 }
@@ -80,10 +81,11 @@
 }
 
 struct Http1Events final : http1::MessageEvents {
-  void onHead(const http1::Head& head) override {
-    trace += std::to_string(head.status) + head.method + std::to_string(head.fields.size());
+  void onHead(const http1::Head& messageHead) override {
+    trace +=
+        std::to_string(messageHead.status) + messageHead.method + std::to_string(messageHead.fields.size());
   }
-  void onBody(std::string_view body) override { trace += body; }
+  void onBody(std::string_view bodyData) override { trace += bodyData; }
   void onEnd() override { trace += "|"; }
   std::string trace;
 };
@@ -131,7 +133,9 @@
     const auto list = membership::readEndpointList(config::JsonFile::parse("f", input), {}, errors);
     require(membership::readEndpointList(
                 config::JsonFile::parse("g", membership::serializeEndpointList(list)), {}, errors) == list);
-  } catch (const config::Error& error) { require(std::string_view(error.what()).substr(0, 2) == "f:"); }
+  } catch (const config::Error& parseError) {
+    require(std::string_view(parseError.what()).substr(0, 2) == "f:");
+  }
   (void)engine::parsePrefillResponse(input);
   (void)engine::parseChunk(input);
   engine::parseLoadMetrics(input);
@@ -156,8 +160,8 @@
 
 struct ExchangeForwarder final : http1::MessageEvents {
   explicit ExchangeForwarder(engine::Exchange& target) : exchange(target) {}
-  void onHead(const http1::Head& head) override { exchange.onHead(head); }
-  void onBody(std::string_view body) override { exchange.onBody(body); }
+  void onHead(const http1::Head& messageHead) override { exchange.onHead(messageHead); }
+  void onBody(std::string_view bodyData) override { exchange.onBody(bodyData); }
   void onEnd() override { exchange.onEnd(); }
   engine::Exchange& exchange;
 };
@@ -169,8 +173,8 @@
   std::string traces[2];
   for (const bool bytewise : {false, true}) {
     RecordedEvents recorded;
-    platform::RelayExchange exchange(recorded, {}, phase, meanings);
-    ExchangeForwarder events(exchange);
+    platform::RelayExchange engineExchange(recorded, {}, phase, meanings);
+    ExchangeForwarder events(engineExchange);
     http1::MessageParser parser(http1::MessageParser::Kind::response, {}, events);
     bool succeeded = true;
     if (bytewise)
@@ -178,7 +182,7 @@
         succeeded = parser.receive(input.substr(i, 1));
     else
       succeeded = parser.receive(input);
-    exchange.onFailed(Outcome::connectionReset, "", false);
+    engineExchange.onFailed(Outcome::connectionReset, "", false);
     require(recorded.endCount == 1);
     traces[bytewise ? 1 : 0] = recorded.trace;
   }
@@ -196,8 +200,8 @@
   platform::parseLoadReport(input, {"share_of_memory", ""});
   require(platform::parseCachedTokens(input) >= 0);
   struct Events final : http1::MessageEvents {
-    void onHead(const http1::Head& receivedHead) override { head = receivedHead; }
-    void onBody(std::string_view bytes) override { body += bytes; }
+    void onHead(const http1::Head& messageHead) override { head = messageHead; }
+    void onBody(std::string_view bodyData) override { body += bodyData; }
     void onEnd() override {
       deployment_config::DeploymentConfig deploymentConfig;
       deploymentConfig.classNames = {"chat"};
