--- a/tests/routing/kv_reservation_releaser_test.cpp
+++ b/tests/routing/kv_reservation_releaser_test.cpp
@@ -59,8 +59,8 @@
   std::size_t confirmed_ = 0;
 };
 
-// While a request waits for capacity, no attempt triggers the release of what its abandoned prefill may have
-// left.
+// While a request waits for capacity, only the releaser checks when state that its abandoned prefill may have
+// left is due for release.
 TEST_F(KvReservationReleaserTest, ReleasesInTimeWhileTheRequestWaitsForCapacity) {
   advanceConfirmingCalls(kReleaseTimeout);
   EXPECT_GE(callCount(), 1u);
@@ -69,7 +69,7 @@
   EXPECT_FALSE(releaser_.tracker().isTracking(active_->id));
 }
 
-// Such a release would free the newer state, which waits for a decode endpoint with free capacity.
+// A release would free the newer state, which waits for a decode endpoint with free capacity.
 TEST_F(KvReservationReleaserTest, KeepsANewerStateThatAwaitsADecode) {
   active_->kvEndpoint = EndpointId{8};
   advanceConfirmingCalls(2 * kReleaseTimeout);
--- a/tests/routing/kv_reservation_tracker_test.cpp
+++ b/tests/routing/kv_reservation_tracker_test.cpp
@@ -120,8 +120,8 @@
     tracker.onReleaseEnded(calls[0], false, 600);
     EXPECT_EQ(tracker.dueRetries(700).size(), 1u);  // retried
 
-    tracker.onPrefillSent({1}, {8},
-                          800);  // to the same endpoint: a later release could free the new state
+    // To the same endpoint: a later release could free the new state.
+    tracker.onPrefillSent({1}, {8}, 800);
     calls = tracker.releaseOthers({1}, {8}, 1000);
     ASSERT_EQ(calls.size(), skipsAwaitedState ? 1u : 0u);
     if (skipsAwaitedState) tracker.onReleaseEnded(calls[0], false, 1100);
--- a/tests/routing/router_test.cpp
+++ b/tests/routing/router_test.cpp
@@ -188,8 +188,8 @@
   ASSERT_EQ(engines.releasedReservations.size(), 2u);
   router.onReleaseEnded(engines.releaseCalls[1], true);
   EXPECT_EQ(router.kvReservations().unconfirmedReleaseCount(), 0u);
-  EXPECT_EQ(router.kvReservations().releasedCount(),
-            0u);  // the decode in flight may still await the state
+  // The decode in flight may still await the state.
+  EXPECT_EQ(router.kvReservations().releasedCount(), 0u);
 }
 
 // Prevents repeated connection failures from restarting the release timeout: three consecutive failures kept
@@ -208,8 +208,8 @@
   const auto secondDecode = engines.startedAttempts.back().attempt;
   while (engines.releasedReservations.empty() && timers.time < prefilledAt + 2'000'000) timers.advance(1'000);
   EXPECT_LE(timers.time - prefilledAt, 510'000);
-  ASSERT_EQ(engines.cancelledAttempts.size(),
-            1u);  // the second decode attempt was cancelled before the release
+  // The second decode attempt was cancelled before the release.
+  ASSERT_EQ(engines.cancelledAttempts.size(), 1u);
   EXPECT_EQ(engines.cancelledAttempts[0], secondDecode);
   EXPECT_FALSE(client.completion);
   ASSERT_EQ(engines.startedAttempts.size(), 4u);
@@ -241,8 +241,8 @@
   const std::size_t callsBefore = engines.releasedReservations.size();
   combinedRouter.onReleaseEnded(engines.releaseCalls.front(), false);
   timers.advance(200'000);
-  ASSERT_GT(engines.releasedReservations.size(),
-            callsBefore);  // retried while the combined attempt is in flight
+  // The release is retried while the combined attempt is in flight.
+  ASSERT_GT(engines.releasedReservations.size(), callsBefore);
   EXPECT_FALSE(client.completion);
   combinedRouter.onReleaseEnded(engines.releaseCalls.back(), true);
   EXPECT_EQ(combinedRouter.kvReservations().reservationCount() +
@@ -302,8 +302,8 @@
   timers.advance(600'000);
   router.onAttemptEnded(engines.startedAttempts.back().attempt,
                         {.outcome = Outcome::connectionReset, .reusedConnection = true});
-  EXPECT_EQ(engines.releasedReservations.size(),
-            1u);  // the decode may never have arrived, and the release is due
+  // The decode may never have arrived, and the release is due.
+  EXPECT_EQ(engines.releasedReservations.size(), 1u);
   EXPECT_EQ(engines.startedAttempts.back().phase, Phase::prefill);
 }
 
@@ -324,9 +324,8 @@
   EXPECT_EQ(engines.startedAttempts.back().phase, Phase::prefill);
   ASSERT_NE(engines.startedAttempts.back().endpoint, first);
   EXPECT_FALSE(engines.startedAttempts.front().requiresNewConnection);
-  EXPECT_TRUE(
-      engines.startedAttempts.back()
-          .requiresNewConnection);  // shows whether it arrives, so that a release does not free its state
+  // A new connection shows whether the prefill arrives, so that a release does not free its state.
+  EXPECT_TRUE(engines.startedAttempts.back().requiresNewConnection);
   engines.delivery = GetParam();
   while (engines.releasedReservations.empty() && timers.time < failedAt + 550'000) timers.advance(1'000);
   if (GetParam() == DeliveryState::confirmed) {
