--- a/tests/path/counts_test.cpp
+++ b/tests/path/counts_test.cpp
@@ -99,7 +99,7 @@
   for (int i = 0; i < 40; ++i) prompts.push_back(randomPrompt(random, random() % 9'000));
   for (const auto& prompt : prompts) {
     Reply reply;
-    world.ask(reply, prompt, 30'000'000);
+    world.sendRequest(reply, prompt, 30'000'000);
     ASSERT_TRUE(world.until([&] { return reply.status.has_value(); }));
     ASSERT_EQ(reply.status->code, grpc::Code::ok) << reply.status->message;
     const auto expected = engineTokeniser(1).encode(prompt).size();
@@ -162,7 +162,7 @@
   for (int i = 0; i < 10; ++i) {
     const std::string prompt = randomPrompt(random, 5000);
     Reply reply;
-    world.ask(reply, prompt);
+    world.sendRequest(reply, prompt);
     ASSERT_TRUE(world.until([&] { return reply.status.has_value(); }));
     EXPECT_EQ(promptTokensBy(policyEvents.arrived.back(), firstVersion),
               static_cast<double>(engineTokeniser(1).encode(prompt).size()));
@@ -182,7 +182,7 @@
   const auto firstVersion = versions.basis(membership::endpointId("read-1")).number;
   Reply before;
   const std::string prompt = "hello prou the st " + std::string(3000, 'a');
-  world.ask(before, prompt);
+  world.sendRequest(before, prompt);
   ASSERT_TRUE(world.until([&] { return before.status.has_value(); }));
   ASSERT_EQ(policyEvents.arrived.back().counts.size(), 1U);
   for (const char* name : {"read-1", "read-2", "write-1", "write-2"}) {
@@ -192,14 +192,14 @@
     world.pass(5'000);
     engine->start();
   }
-  world.fleet.writeList(world.list(), 0);
+  world.fleet.writeList(world.endpointListPath(), 0);
   ASSERT_TRUE(world.until([&] {
     const auto current = versions.basis(membership::endpointId("read-1")).number;
     return current != 0 && current != firstVersion && versions.estimated() == 0 &&
            versions.inUse().size() == 1;
   }));
   Reply after;
-  world.ask(after, prompt);
+  world.sendRequest(after, prompt);
   ASSERT_TRUE(world.until([&] { return after.status.has_value(); }));
   ASSERT_EQ(after.status->code, grpc::Code::ok) << after.status->message;
   EXPECT_EQ(policyEvents.arrived.back().promptTokens,
@@ -219,14 +219,14 @@
   const auto newTokeniser = fake_engine::madeTokeniser(2);
   for (const char* name : {"read-1", "read-2"}) world.fleet.find(name)->faults.silent = true;
   Reply reply;
-  world.ask(reply, "hello prou " + std::string(2000, 'a'), 60'000'000);
+  world.sendRequest(reply, "hello prou " + std::string(2000, 'a'), 60'000'000);
   ASSERT_TRUE(world.until([&] { return policyEvents.arrived.size() == 1; }));
   auto* engine = world.fleet.find("write-1");
   engine->setTokeniser(newTokeniser);
   engine->stop();
   world.pass(5'000);
   engine->start();
-  world.fleet.writeList(world.list(), 0);
+  world.fleet.writeList(world.endpointListPath(), 0);
   ASSERT_TRUE(world.until([&] { return !policyEvents.countUpdates.empty(); }, 40'000'000));
   EXPECT_FALSE(reply.status);
   EXPECT_EQ(policyEvents.countUpdates[0].id, policyEvents.arrived[0].id);
@@ -234,7 +234,7 @@
   for (const char* name : {"read-1", "read-2"}) world.fleet.find(name)->faults.silent = false;
   ASSERT_TRUE(world.until([&] { return reply.status.has_value(); }, 60'000'000));
   EXPECT_EQ(reply.status->code, grpc::Code::ok) << reply.status->message;
-  EXPECT_EQ(reply.finals, 1);
+  EXPECT_EQ(reply.finalCount, 1);
 }
 
 TEST(TokenCounts, VersionWithoutAFileIsEstimatedByTheRatioOfTheEngine) {
@@ -248,7 +248,7 @@
   for (int i = 0; i < 30; ++i) {
     const std::string prompt = randomPrompt(random, 4000);
     Reply reply;
-    world.ask(reply, prompt);
+    world.sendRequest(reply, prompt);
     ASSERT_TRUE(world.until([&] { return reply.status.has_value(); }));
     reported += policyEvents.arrived.back().promptTokens;
     countedByEngine += reply.finish.usage().prompt_tokens();
@@ -276,7 +276,7 @@
   std::mt19937_64 random(2);
   for (; asked < 10 && versions.estimated() == 0; ++asked) {
     Reply reply;
-    world.ask(reply, randomPrompt(random, 3000));
+    world.sendRequest(reply, randomPrompt(random, 3000));
     ASSERT_TRUE(world.until([&] { return reply.status.has_value(); }));
   }
   EXPECT_EQ(asked, 4);
@@ -295,7 +295,7 @@
   std::vector<std::unique_ptr<Reply>> replies;
   for (int i = 0; i < 60; ++i) {
     replies.push_back(std::make_unique<Reply>());
-    world.ask(*replies.back(), randomPrompt(random, 60'000), 20'000'000);
+    world.sendRequest(*replies.back(), randomPrompt(random, 60'000), 20'000'000);
   }
   ASSERT_TRUE(world.until(
       [&] {
@@ -307,7 +307,7 @@
   EXPECT_GT(counters.estimatedFull, 0U);
   EXPECT_GT(counters.onWorkers, 0U);
   EXPECT_EQ(policyEvents.arrived.size(), 60U);
-  for (const auto& reply : replies) EXPECT_EQ(reply->finals, 1);
+  for (const auto& reply : replies) EXPECT_EQ(reply->finalCount, 1);
   const auto estimates = std::count_if(policyEvents.arrived.begin(), policyEvents.arrived.end(),
                                        [](const auto& arrival) { return arrival.counts.empty(); });
   EXPECT_GE(static_cast<std::uint64_t>(estimates), counters.estimatedFull);
@@ -324,7 +324,7 @@
   std::vector<http2::StreamId> ids;
   for (int i = 0; i < 8; ++i) {
     replies.push_back(std::make_unique<Reply>());
-    ids.push_back(world.ask(*replies.back(), randomPrompt(random, 900'000), 600'000'000));
+    ids.push_back(world.sendRequest(*replies.back(), randomPrompt(random, 900'000), 600'000'000));
   }
   ASSERT_TRUE(world.until([&] { return world.router->counts().open() >= 4; }));
   const auto open = world.router->counts().open();
@@ -343,14 +343,14 @@
   const auto number = versions.basis(membership::endpointId("read-1")).number;
   const auto reload = [&] {
     world.router->reload(server::readSettings(
-        config::Node(config::JsonFile::parse("router", world.settingsText)), world.list()));
+        config::Node(config::JsonFile::parse("router", world.settingsText)), world.endpointListPath()));
   };
   files.write(1, "QUJD 1\nnonsense\n");
   reload();
   world.pass(300'000);
   EXPECT_EQ(versions.basis(membership::endpointId("read-1")).number, number);
   Reply reply;
-  world.ask(reply, "hello again");
+  world.sendRequest(reply, "hello again");
   ASSERT_TRUE(world.until([&] { return reply.status.has_value(); }));
   EXPECT_EQ(policyEvents.arrived.back().promptTokens,
             static_cast<double>(engineTokeniser(1).encode("hello again").size()));
--- a/tests/path/hard_cases_test.cpp
+++ b/tests/path/hard_cases_test.cpp
@@ -14,8 +14,8 @@
 TEST(Path, AnAnswerIsStreamedAndIsWhatTheEngineWrote) {
   World w;
   Reply r;
-  w.ask(r, "tell me of the north hall #m1");
-  ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
+  w.sendRequest(r, "tell me of the north hall #m1");
+  ASSERT_TRUE(w.until([&] { return r.finalCount > 0; }));
   EXPECT_EQ(r.status->code, Code::ok);
   const fake_engine::Answer answer("tell me of the north hall #m1", 40);
   EXPECT_EQ(r.text, answer.text());
@@ -46,17 +46,17 @@
 
 TEST(Path, ACancelWhileTheStateIsInTransferReleasesItWithin500Ms) {
   World w;
-  w.eachEngine("prefill", [](auto& e) { e.faults.link = 1e7; });  // the transfer takes minutes
+  w.forEachEngine("prefill", [](auto& e) { e.faults.link = 1e7; });  // the transfer takes minutes
   Reply r;
-  const auto id = w.ask(r);
+  const auto id = w.sendRequest(r);
   ASSERT_TRUE(w.until([&] { return w.count("engine.request") == 2; }));
   w.pass(50'000);
   EXPECT_EQ(w.fleet.held(), 1u);
   const Micros cancelled = w.loop.now();
   w.channel->cancel(id);
   ASSERT_TRUE(w.until([&] { return w.fleet.held() == 0; }, 1'000'000));
-  EXPECT_LT(w.when("state.released") - cancelled, 500'000);
-  EXPECT_EQ(r.finals, 0);
+  EXPECT_LT(w.latestEventTime("state.released") - cancelled, 500'000);
+  EXPECT_EQ(r.finalCount, 0);
   w.expectClean();
 }
 
@@ -65,7 +65,7 @@
       R"({ "engines": [ { "name": "read", "kind": "prefill", "role": "reader", "read_base_ms": 300, "cancel_stops": false },
                             { "name": "write", "kind": "decode", "role": "writer" } ] })");
   Reply r;
-  const auto id = w.ask(r);
+  const auto id = w.sendRequest(r);
   ASSERT_TRUE(w.until([&] { return w.count("engine.request") == 1; }));
   w.pass(30'000);
   w.channel->cancel(id);
@@ -76,33 +76,33 @@
 
 TEST(Path, AWriterThatAcceptsAndNeverAnswersCostsNobodyTheFinalAnswer) {
   World w;
-  w.eachEngine("decode", [](auto& e) { e.faults.silent = true; });
+  w.forEachEngine("decode", [](auto& e) { e.faults.silent = true; });
   Reply r;
   const Micros sent = w.loop.now();
-  w.ask(r, "p #m1", 2'000'000);
-  ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
-  EXPECT_TRUE(r.overWire);
+  w.sendRequest(r, "p #m1", 2'000'000);
+  ASSERT_TRUE(w.until([&] { return r.finalCount > 0; }));
+  EXPECT_TRUE(r.statusFromServer);
   EXPECT_LT(w.loop.now() - sent, 2'000'000);
   EXPECT_NE(r.status->code, Code::ok);
   w.pass(200'000);
-  EXPECT_EQ(r.finals, 1);
+  EXPECT_EQ(r.finalCount, 1);
   w.expectClean();
 }
 
 TEST(Path, AWriterThatGoesQuietAfterSixTokensEndsInOneStatusBeforeTheDeadline) {
   for (const bool longDeadline : {false, true}) {
     World w(kSplitFleet, R"(, "streams": { "silence_ms": 700 })");
-    w.eachEngine("decode", [](auto& e) { e.faults.stallAfter = 6; });
+    w.forEachEngine("decode", [](auto& e) { e.faults.stallAfter = 6; });
     Reply r;
     const Micros sent = w.loop.now();
     const Micros timeout = longDeadline ? 4'000'000 : 500'000;
-    w.ask(r, "p #m1", timeout);
-    ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
+    w.sendRequest(r, "p #m1", timeout);
+    ASSERT_TRUE(w.until([&] { return r.finalCount > 0; }));
     EXPECT_EQ(r.status->code, longDeadline ? Code::aborted : Code::deadlineExceeded);
     EXPECT_EQ(r.tokens, 6u);
     EXPECT_LT(w.loop.now() - sent, longDeadline ? 1'500'000 : 500'000);
     w.pass(100'000);
-    EXPECT_EQ(r.finals, 1);
+    EXPECT_EQ(r.finalCount, 1);
     w.expectClean();
   }
 }
@@ -116,8 +116,8 @@
   request.set_prompt("p #m1");
   const Micros sent = w.loop.now();
   narrow.call("/garnethook.v1.Generation/Generate", request.SerializeAsString(), 800'000, r);
-  ASSERT_TRUE(w.until([&] { return r.finals > 0; }, 1'000'000));
-  EXPECT_TRUE(r.overWire);
+  ASSERT_TRUE(w.until([&] { return r.finalCount > 0; }, 1'000'000));
+  EXPECT_TRUE(r.statusFromServer);
   EXPECT_EQ(r.status->code, Code::deadlineExceeded);
   EXPECT_LT(w.loop.now() - sent, 800'000);
   EXPECT_EQ(r.tokens, 0u);
@@ -126,46 +126,47 @@
 
 TEST(Path, HundredsOfIdleStreamsEachGetOneFinalAnswerWhenTheRouterGoes) {
   World w(kSplitFleet, R"(, "stop_within_ms": 200, "open_requests": 1000)");
-  w.eachEngine("decode", [](auto& e) { e.faults.stallAfter = 1; });
+  w.forEachEngine("decode", [](auto& e) { e.faults.stallAfter = 1; });
   std::array<Reply, 300> replies;
   std::size_t asked = 0;
   // A few at a time: engines have few slots, and stalled answers keep theirs.
-  while (asked < 16) w.ask(replies[asked], "p #m" + std::to_string(asked), 60'000'000), ++asked;
+  while (asked < 16) w.sendRequest(replies[asked], "p #m" + std::to_string(asked), 60'000'000), ++asked;
   ASSERT_TRUE(w.until([&] {
     return std::all_of(replies.begin(), replies.begin() + 16,
-                       [](auto& r) { return r.tokens == 1 || r.finals == 1; });
+                       [](auto& r) { return r.tokens == 1 || r.finalCount == 1; });
   }));
-  while (asked < replies.size()) w.ask(replies[asked], "p #m" + std::to_string(asked), 60'000'000), ++asked;
+  while (asked < replies.size())
+    w.sendRequest(replies[asked], "p #m" + std::to_string(asked), 60'000'000), ++asked;
   // All have reached the router, however busy the machine: what it never took is not its to answer.
   ASSERT_TRUE(w.until([&] { return w.router->router().counters().accepted == replies.size(); }));
   bool drained = false;
   w.router->drain([&] { drained = true; });
   ASSERT_TRUE(w.until([&] { return drained; }, 5'000'000));
   for (const auto& r : replies) {
-    EXPECT_EQ(r.finals, 1);
-    EXPECT_TRUE(r.overWire);
+    EXPECT_EQ(r.finalCount, 1);
+    EXPECT_TRUE(r.statusFromServer);
   }
   EXPECT_EQ(w.router->router().pendingRequests(), 0u);
 }
 
 TEST(Path, ADrainWhileAStateIsHeldStillServesAndSendsNothingNew) {
   World w;
-  w.eachEngine("decode", [](auto& e) { e.faults.full = true; });  // the state waits at its reader
+  w.forEachEngine("decode", [](auto& e) { e.faults.full = true; });  // the state waits at its reader
   Reply r;
-  w.ask(r);
+  w.sendRequest(r);
   ASSERT_TRUE(w.until([&] { return w.fleet.held() == 1; }));
   w.fleet.setListed("read-1", fake_engine::Fleet::Listed::draining);
   w.fleet.setListed("write-1", fake_engine::Fleet::Listed::draining);
-  w.fleet.writeList(w.list(), 0);
+  w.fleet.writeList(w.endpointListPath(), 0);
   w.pass(100'000);
   const auto before = w.count("engine.request", "write-1") + w.count("engine.request", "read-1");
-  w.eachEngine("decode", [](auto& e) { e.faults.full = false; });
-  w.until([&] { return r.finals > 0; });
-  EXPECT_EQ(r.finals, 1);
+  w.forEachEngine("decode", [](auto& e) { e.faults.full = false; });
+  w.until([&] { return r.finalCount > 0; });
+  EXPECT_EQ(r.finalCount, 1);
   for (int i = 0; i < 10; ++i) {
     Reply more;
-    w.ask(more, "q " + std::to_string(i) + " #m" + std::to_string(i + 2));
-    ASSERT_TRUE(w.until([&] { return more.finals > 0; }));
+    w.sendRequest(more, "q " + std::to_string(i) + " #m" + std::to_string(i + 2));
+    ASSERT_TRUE(w.until([&] { return more.finalCount > 0; }));
   }
   EXPECT_EQ(w.count("engine.request", "write-1") + w.count("engine.request", "read-1"), before);
   w.expectClean();
@@ -177,9 +178,9 @@
       World w(
           R"({ "engines": [ { "name": "read", "kind": "prefill", "role": "reader", "read_base_ms": 60, "cancel_stops": false },
                                 { "name": "write", "kind": "decode", "role": "writer", "token_ms": 20 } ] })");
-      if (stage == "transfer") w.eachEngine("prefill", [](auto& e) { e.faults.link = 1e7; });
+      if (stage == "transfer") w.forEachEngine("prefill", [](auto& e) { e.faults.link = 1e7; });
       Reply r;
-      w.ask(r);
+      w.sendRequest(r);
       ASSERT_TRUE(w.until([&] {
         return stage == "read"       ? w.count("engine.request") == 1
                : stage == "transfer" ? w.count("engine.request") == 2
@@ -189,7 +190,7 @@
       const Micros closed = w.loop.now();
       w.pass(200'000);
       w.expectClean();
-      EXPECT_LT(w.when("state.released") - closed, 500'000) << stage;
+      EXPECT_LT(w.latestEventTime("state.released") - closed, 500'000) << stage;
       EXPECT_EQ(w.router->router().counters().cancelled, 1u) << stage;
       EXPECT_LE(w.count("engine.request"), 2u);
     }
@@ -207,12 +208,12 @@
 
 TEST(Path, AnEmptyListRefusesAtOnceWithAHint) {
   World w;
-  std::ofstream(w.list()) << R"({ "engines": [] })";
+  std::ofstream(w.endpointListPath()) << R"({ "engines": [] })";
   w.pass(100'000);
   Reply r;
   const Micros sent = w.loop.now();
-  w.ask(r);
-  ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
+  w.sendRequest(r);
+  ASSERT_TRUE(w.until([&] { return r.finalCount > 0; }));
   EXPECT_EQ(r.status->code, Code::unavailable);
   EXPECT_GT(r.status->retryAfterMs.value_or(0), 0);
   EXPECT_TRUE(http2::find(r.trailers, "grpc-status-details-bin"));
@@ -221,20 +222,21 @@
 
 TEST(Path, EveryReaderGoneEndsEachRequestOnceAndServiceComesBack) {
   World w;
-  w.eachEngine("prefill", [](auto& e) { e.stop(); });
+  w.forEachEngine("prefill", [](auto& e) { e.stop(); });
   std::array<Reply, 20> replies;
-  for (std::size_t i = 0; i < replies.size(); ++i) w.ask(replies[i], "p #m" + std::to_string(i), 1'500'000);
+  for (std::size_t i = 0; i < replies.size(); ++i)
+    w.sendRequest(replies[i], "p #m" + std::to_string(i), 1'500'000);
   ASSERT_TRUE(w.until(
-      [&] { return std::all_of(replies.begin(), replies.end(), [](auto& r) { return r.finals == 1; }); },
+      [&] { return std::all_of(replies.begin(), replies.end(), [](auto& r) { return r.finalCount == 1; }); },
       1'500'000));
-  for (const auto& r : replies) EXPECT_TRUE(r.overWire);
-  w.eachEngine("prefill", [](auto& e) { e.start(); });
-  w.fleet.writeList(w.list(), 0);
+  for (const auto& r : replies) EXPECT_TRUE(r.statusFromServer);
+  w.forEachEngine("prefill", [](auto& e) { e.start(); });
+  w.fleet.writeList(w.endpointListPath(), 0);
   bool back = false;
   for (int i = 0; i < 8 && !back; ++i) {
     Reply r;
-    w.ask(r, "p #back", 1'000'000);
-    ASSERT_TRUE(w.until([&] { return r.finals > 0; }, 2'000'000));
+    w.sendRequest(r, "p #back", 1'000'000);
+    ASSERT_TRUE(w.until([&] { return r.finalCount > 0; }, 2'000'000));
     back = r.status->code == Code::ok;
     w.pass(300'000);
   }
@@ -245,13 +247,13 @@
   for (const int stage : {0, 1, 2, 3}) {
     World w;
     Reply r;
-    if (stage == 0) w.eachEngine("prefill", [](auto& e) { e.faults.reset = true; });
-    if (stage == 1) w.eachEngine("decode", [](auto& e) { e.faults.reset = true; });
-    if (stage == 2) w.eachEngine("decode", [](auto& e) { e.faults.dieAfter = 0; });
-    if (stage == 3) w.eachEngine("decode", [](auto& e) { e.faults.dieAfter = 5; });
-    w.ask(r, "p #m1", 2'000'000, "order");
-    ASSERT_TRUE(w.until([&] { return r.finals > 0; })) << stage;
-    EXPECT_TRUE(r.overWire);
+    if (stage == 0) w.forEachEngine("prefill", [](auto& e) { e.faults.reset = true; });
+    if (stage == 1) w.forEachEngine("decode", [](auto& e) { e.faults.reset = true; });
+    if (stage == 2) w.forEachEngine("decode", [](auto& e) { e.faults.dieAfter = 0; });
+    if (stage == 3) w.forEachEngine("decode", [](auto& e) { e.faults.dieAfter = 5; });
+    w.sendRequest(r, "p #m1", 2'000'000, "order");
+    ASSERT_TRUE(w.until([&] { return r.finalCount > 0; })) << stage;
+    EXPECT_TRUE(r.statusFromServer);
     EXPECT_NE(r.status->code, Code::ok);
     // An unsafe request that may have run is neither tried again nor called refused.
     if (stage >= 1) {
@@ -260,25 +262,25 @@
       EXPECT_LT(r.status->retryAfterMs.value_or(-1), 0);
     }
     w.pass(100'000);
-    EXPECT_EQ(r.finals, 1);
-    w.eachEngine("prefill", [](auto& e) { e.faults.reset = false; });  // a release can be told again
+    EXPECT_EQ(r.finalCount, 1);
+    w.forEachEngine("prefill", [](auto& e) { e.faults.reset = false; });  // a release can be told again
     w.expectClean();
   }
 }
 
 TEST(Path, AStateThatIsGoneIsReadAnewAndTheWriterIsNotBlamed) {
   World w;
-  w.eachEngine("decode", [](auto& e) { e.faults.full = true; });
+  w.forEachEngine("decode", [](auto& e) { e.faults.full = true; });
   Reply r;
-  w.ask(r);
+  w.sendRequest(r);
   ASSERT_TRUE(w.until([&] { return w.fleet.held() == 1; }));
   // The reader restarts while the state waits there.
-  w.eachEngine("prefill", [](auto& e) {
+  w.forEachEngine("prefill", [](auto& e) {
     e.stop();
     e.start();
   });
-  w.eachEngine("decode", [](auto& e) { e.faults.full = false; });
-  ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
+  w.forEachEngine("decode", [](auto& e) { e.faults.full = false; });
+  ASSERT_TRUE(w.until([&] { return r.finalCount > 0; }));
   EXPECT_EQ(r.status->code, Code::ok);
   EXPECT_EQ(w.count("engine.refused") >= 1, true);
   w.expectClean();
@@ -287,11 +289,11 @@
 TEST(Path, LyingEnginesEndInOneFinalAnswer) {
   const auto lie = [](auto how, const std::string& kind) {
     World w;
-    w.eachEngine(kind, how);
+    w.forEachEngine(kind, how);
     Reply r;
-    w.ask(r, "p #m1", 2'000'000);
-    ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
-    EXPECT_TRUE(r.overWire);
+    w.sendRequest(r, "p #m1", 2'000'000);
+    ASSERT_TRUE(w.until([&] { return r.finalCount > 0; }));
+    EXPECT_TRUE(r.statusFromServer);
     EXPECT_NE(r.status->code, Code::ok);
     w.expectClean();
   };
@@ -306,36 +308,36 @@
 TEST(Path, AKilledRouterComesBackWithItsLastListAndServesRetries) {
   World w;
   Reply lost;
-  w.eachEngine("decode", [](auto& e) { e.faults.silent = true; });
-  w.ask(lost);
+  w.forEachEngine("decode", [](auto& e) { e.faults.silent = true; });
+  w.sendRequest(lost);
   ASSERT_TRUE(w.until([&] { return w.count("engine.request") == 2; }));
   const auto port = w.router->address().port();
   w.router.reset();
-  ASSERT_TRUE(w.until([&] { return lost.finals == 1; }));
-  EXPECT_FALSE(lost.overWire);
-  w.eachEngine("decode", [](auto& e) { e.faults.silent = false; });
-  std::filesystem::remove(w.list());
+  ASSERT_TRUE(w.until([&] { return lost.finalCount == 1; }));
+  EXPECT_FALSE(lost.statusFromServer);
+  w.forEachEngine("decode", [](auto& e) { e.faults.silent = false; });
+  std::filesystem::remove(w.endpointListPath());
   w.startRouter(port);
   Reply r;
-  w.ask(r);
-  ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
+  w.sendRequest(r);
+  ASSERT_TRUE(w.until([&] { return r.finalCount > 0; }));
   EXPECT_EQ(r.status->code, Code::ok);
 }
 
 TEST(Path, SigtermsDrainGivesEveryRequestItsFinalAnswer) {
   World w(kSplitFleet, R"(, "stop_within_ms": 300)");
-  w.eachEngine("decode", [](auto& e) { e.faults.stallAfter = 3; });
+  w.forEachEngine("decode", [](auto& e) { e.faults.stallAfter = 3; });
   std::array<Reply, 10> replies;
   for (std::size_t i = 0; i < replies.size(); ++i)
-    w.ask(replies[i], "p #m" + std::to_string(i), 5'000'000, i % 2 ? "order" : "chat");
+    w.sendRequest(replies[i], "p #m" + std::to_string(i), 5'000'000, i % 2 ? "order" : "chat");
   ASSERT_TRUE(w.until(
       [&] { return std::all_of(replies.begin(), replies.end(), [](auto& r) { return r.tokens == 3; }); }));
   bool drained = false;
   w.router->drain([&] { drained = true; });
   ASSERT_TRUE(w.until([&] { return drained; }, 3'000'000));
   for (const auto& r : replies) {
-    EXPECT_EQ(r.finals, 1);
-    EXPECT_TRUE(r.overWire);
+    EXPECT_EQ(r.finalCount, 1);
+    EXPECT_TRUE(r.statusFromServer);
     EXPECT_EQ(r.status->code, Code::aborted);
   }
 }
@@ -347,7 +349,7 @@
     set(request);
     Reply r;
     w.channel->call("/garnethook.v1.Generation/Generate", request.SerializeAsString(), 2'000'000, r);
-    EXPECT_TRUE(w.until([&] { return r.finals > 0; }));
+    EXPECT_TRUE(w.until([&] { return r.finalCount > 0; }));
     return std::string(grpc::name(r.status->code)) + " " + r.status->message;
   };
   EXPECT_EQ(code([](auto&) {}), "INVALID_ARGUMENT prompt: is empty");
@@ -367,7 +369,7 @@
   w.channel->call("/garnethook.v1.Generation/Generate", "\xff\xff\xff", 2'000'000, garbage);
   Reply unknown;
   w.channel->call("/garnethook.v1.Generation/No", "", 2'000'000, unknown);
-  ASSERT_TRUE(w.until([&] { return garbage.finals + unknown.finals == 2; }));
+  ASSERT_TRUE(w.until([&] { return garbage.finalCount + unknown.finalCount == 2; }));
   EXPECT_EQ(garbage.status->code, Code::invalidArgument);
   EXPECT_EQ(unknown.status->code, Code::unimplemented);
   EXPECT_EQ(w.count("engine.request"), 0u);
@@ -376,7 +378,7 @@
 TEST(Path, MalformedFramesEndTheirConnectionAndNoOther) {
   World w;
   Reply good;
-  w.ask(good);
+  w.sendRequest(good);
   struct Raw final : net::StreamEvents {
     void onBytes(std::string_view o) override { bytes.append(o); }
     void onClosed(net::CloseCause) override { closed = true; }
@@ -393,7 +395,7 @@
     EXPECT_TRUE(w.until([&] { return raw.closed; }, 2'000'000));
     EXPECT_NE(raw.bytes.find('\x07'), std::string::npos);  // a GOAWAY
   }
-  ASSERT_TRUE(w.until([&] { return good.finals > 0; }));
+  ASSERT_TRUE(w.until([&] { return good.finalCount > 0; }));
   EXPECT_EQ(good.status->code, Code::ok);
 }
 
--- a/tests/path/world.h
+++ b/tests/path/world.h
@@ -31,18 +31,18 @@
     if (onToken) onToken();
   }
   void onStatus(const grpc::Status& newStatus, const http2::Headers& newTrailers, bool fromServer) override {
-    ++finals;
+    ++finalCount;
     status = newStatus;
     trailers = newTrailers;
-    overWire = fromServer;
+    statusFromServer = fromServer;
   }
   std::uint32_t tokens = 0;
   std::string text;
   v1::Finish finish;
-  int finals = 0;
+  int finalCount = 0;
   std::optional<grpc::Status> status;
   http2::Headers trailers;
-  bool overWire = false;
+  bool statusFromServer = false;
   std::function<void()> onToken;
 };
 
@@ -68,7 +68,7 @@
                  { "name": "mixed", "role": "both", "memory_tokens": 200000 } ],
       "engines": { "release_path": "/v1/kv/release", "poll_ms": 20)" +
                    enginesExtra + "}" + extra + "}";
-    fleet.writeList(list(), 0);
+    fleet.writeList(endpointListPath(), 0);
     startRouter();
   }
   ~World() {
@@ -76,19 +76,19 @@
     std::filesystem::remove_all(folder_);
   }
 
-  std::string list() const { return folder_ + "/engines.json"; }
+  std::string endpointListPath() const { return folder_ + "/engines.json"; }
   void startRouter(std::uint16_t port = 0) {
-    auto settings =
-        server::readSettings(config::Node(config::JsonFile::parse("router", settingsText)), list());
+    auto settings = server::readSettings(config::Node(config::JsonFile::parse("router", settingsText)),
+                                         endpointListPath());
     settings.listen = "127.0.0.1:" + std::to_string(port);
     settings.stateFolder = folder_ + "/state";
     router = std::make_unique<server::RouterServer>(
         loop, settings, 1, "test" + std::to_string(++routerStarts_), log::Log::none());
     channel = std::make_unique<client::Channel>(loop, router->address(), client::Channel::Options{});
   }
-  http2::StreamId ask(Reply& reply, const std::string& prompt = "is the flag on? #m1",
-                      Micros timeout = 5'000'000, const std::string& requestClass = "",
-                      const std::string& path = "/garnethook.v1.Generation/Generate") {
+  http2::StreamId sendRequest(Reply& reply, const std::string& prompt = "is the flag on? #m1",
+                              Micros timeout = 5'000'000, const std::string& requestClass = "",
+                              const std::string& path = "/garnethook.v1.Generation/Generate") {
     v1::GenerateRequest request;
     request.set_prompt(prompt);
     request.set_request_class(requestClass);
@@ -102,13 +102,13 @@
     return matches;
   }
   // Returns the time of the latest event of a kind; -1: none.
-  Micros when(const std::string& kind) const {
+  Micros latestEventTime(const std::string& kind) const {
     Micros time = -1;
     for (const auto& event : recorder.events())
       if (event["what"] == kind) time = event["t"];
     return time;
   }
-  void eachEngine(const std::string& kind, const std::function<void(fake_engine::Engine&)>& function) {
+  void forEachEngine(const std::string& kind, const std::function<void(fake_engine::Engine&)>& function) {
     for (const auto& engine : fleet.engines())
       if (engine->options().kind == kind) function(*engine);
   }
