--- a/src/fault_scenario/audit.cpp
+++ b/src/fault_scenario/audit.cpp
@@ -29,7 +29,7 @@
 };
 
 struct RequestHistory {
-  Time sent = -1;
+  Time sentTime = -1;
   Time deadline = kNever;
   std::string idempotency;
   std::string router;
@@ -37,7 +37,7 @@
   Time finalTime = kNever;
   bool rejected = false;  // the final response marks the request as safe to retry
   bool cancelled = false;
-  bool lost = false;  // the connection broke
+  bool connectionLost = false;
   Time lostTime = 0;
   bool expired = false;
   std::vector<AttemptInterval> attempts;
@@ -63,13 +63,13 @@
 
   AuditReport report() {
     for (auto& [marker, history] : histories_) {
-      if (history.sent >= 0) checkFinalResponses(marker, history);
+      if (history.sentTime >= 0) checkFinalResponses(marker, history);
       checkAttempts(marker, history);
       checkStates(marker, history);
     }
     count("requests", static_cast<std::uint64_t>(
                           std::count_if(histories_.begin(), histories_.end(),
-                                        [](const auto& entry) { return entry.second.sent >= 0; })));
+                                        [](const auto& entry) { return entry.second.sentTime >= 0; })));
     count("states-left", unreleasedStates_);
     return std::move(report_);
   }
@@ -88,7 +88,7 @@
     const std::string engine = textField(event, "engine");
     if (kind == "client.sent") {
       RequestHistory& history = histories_[marker];
-      history.sent = time;
+      history.sentTime = time;
       history.deadline = event.value("deadline", kNever);
       history.idempotency = textField(event, "effect");
       history.router = textField(event, "router");
@@ -104,7 +104,7 @@
     } else if (kind == "client.cancelled") {
       histories_[marker].cancelled = true;
     } else if (kind == "client.lost") {
-      histories_[marker].lost = true;
+      histories_[marker].connectionLost = true;
       histories_[marker].lostTime = time;
     } else if (kind == "client.expired") {
       histories_[marker].expired = true;
@@ -176,7 +176,7 @@
                   " ms after the deadline");
     if (!history.finalCodes.empty()) return;
     if (history.cancelled) return count("cancelled by the client");
-    if (history.lost) {
+    if (history.connectionLost) {
       if (routerWasDown(history, history.lostTime)) return count("lost with a killed router");
       return violate(1, marker, "the connection was lost without a final response");
     }
@@ -189,7 +189,7 @@
     const auto outages = routerOutages_.find(history.router);
     return outages != routerOutages_.end() &&
            std::any_of(outages->second.begin(), outages->second.end(), [&](const Outage& outage) {
-             return outage.start <= end && outage.end >= history.sent;
+             return outage.start <= end && outage.end >= history.sentTime;
            });
   }
 
@@ -235,7 +235,7 @@
   void checkStates(const std::string& marker, const RequestHistory& history) {
     for (const KvStateInterval& state : history.states) {
       count("states");
-      if (history.lost && routerWasDown(history, history.lostTime)) {
+      if (history.connectionLost && routerWasDown(history, history.lostTime)) {
         count("states of a killed router");
         continue;
       }
--- a/src/fault_scenario/script.h
+++ b/src/fault_scenario/script.h
@@ -40,13 +40,13 @@
 };
 
 struct Fault {
-  Micros start = 0;
+  Micros start = 0;     // since the start of the scenario
   Micros duration = 0;  // 0: until the end
   std::string action;
   std::vector<std::string> engines;
   std::string zone;
   std::size_t router = 0;
-  double size = 1;
+  double size = 1;  // a factor, number of tokens, milliseconds or a seed, depending on the action
 };
 
 struct Script {
