--- a/src/engine/attempt_exchange.h
+++ b/src/engine/attempt_exchange.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the exchanges of attempts share, whatever protocol the engine speaks: how their result is reported.
+/// Base class of the exchanges that carry attempts, independent of the engine's protocol.
 #pragma once
 
 #include <span>
@@ -12,8 +12,8 @@
 
 namespace garnethook::engine {
 
-/// An exchange that carries an attempt of the router. Reports the attempt's result once, unless it is
-/// detached before.
+/// An exchange that carries one attempt. Reports the attempt's result exactly once, unless it is detached
+/// first.
 class AttemptExchange : public Exchange {
  public:
   void onFailed(Outcome outcome, const std::string& text, bool reusedConnection) override {
@@ -31,21 +31,21 @@
   /// @param id the attempt
   AttemptExchange(routing::EngineClientEvents& events, routing::AttemptId id) : events_(events), id_(id) {}
 
-  /// Whether the result has been reported, or is not wanted.
+  /// Returns whether the result has been reported or the exchange has been detached.
   bool isFinished() const { return isFinished_; }
-  /// What is known of the result so far; finish() adds outcome and text.
+  /// The result collected so far; finish() adds the outcome and the text.
   routing::AttemptResult& result() { return result_; }
-  /// Passes tokens on to the router.
+  /// Forwards generated tokens to the router.
   void reportTokens(std::string_view text, std::uint32_t count, std::span<const std::uint32_t> ids) {
     events_.onTokens(id_, text, count, ids);
   }
-  /// Reports the result.
+  /// Reports result() with the given outcome and text.
   void finish(Outcome outcome, std::string text) {
     result_.outcome = outcome;
     result_.text = std::move(text);
     finish(result_);
   }
-  /// Reports another result than result().
+  /// Reports the given result in place of result().
   void finish(const routing::AttemptResult& result) {
     if (!std::exchange(isFinished_, true)) events_.onAttemptEnded(id_, result);
   }
--- a/src/engine/completion_exchange.cpp
+++ b/src/engine/completion_exchange.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr std::size_t kMaxErrorBytes = std::size_t{64} * 1024;
-// So much of an unexpected content type is quoted.
-constexpr std::size_t kMaxQuotedType = 60;
+// Limits how much of an unexpected content type is quoted in the error text.
+constexpr std::size_t kMaxQuotedTypeBytes = 60;
 
 }  // namespace
 
@@ -20,13 +20,13 @@
 
 bool CompletionExchange::onHead(const http1::Head& head) {
   status_ = head.status;
-  if (const auto metrics = http1::find(head.fields, "endpoint-load-metrics"))
-    result().report = parseLoadMetrics(*metrics);
-  const auto type = http1::find(head.fields, "content-type").value_or("");
+  if (const auto loadMetrics = http1::find(head.fields, "endpoint-load-metrics"))
+    result().report = parseLoadMetrics(*loadMetrics);
+  const auto contentType = http1::find(head.fields, "content-type").value_or("");
   isStreamed_ = status_ == 200 && phase_ != routing::Phase::prefill;
-  if (!isStreamed_ || type.starts_with("text/event-stream")) return true;
-  finish(Outcome::error,
-         "an event stream was asked for, not \"" + std::string(type.substr(0, kMaxQuotedType)) + "\"");
+  if (!isStreamed_ || contentType.starts_with("text/event-stream")) return true;
+  finish(Outcome::error, "an event stream was asked for, not \"" +
+                             std::string(contentType.substr(0, kMaxQuotedTypeBytes)) + "\"");
   return false;
 }
 
@@ -35,8 +35,8 @@
     if (!parser_.receive(bytes)) finish(Outcome::error, "an event of the answer is too large");
     return !isFinished();
   }
-  const std::size_t limit = status_ == 200 ? options_.answerBytes : kMaxErrorBytes;
-  if (body_.size() + bytes.size() > limit) {
+  const std::size_t maxBodyBytes = status_ == 200 ? options_.answerBytes : kMaxErrorBytes;
+  if (body_.size() + bytes.size() > maxBodyBytes) {
     if (status_ == 200)
       finish(Outcome::error, "the answer is too large");
     else
@@ -56,9 +56,9 @@
 }
 
 void CompletionExchange::finishErrorResponse() {
-  auto failed = parseErrorResponse(status_, body_);
-  failed.report = result().report;
-  finish(failed);
+  auto errorResult = parseErrorResponse(status_, body_);
+  errorResult.report = result().report;
+  finish(errorResult);
 }
 
 void CompletionExchange::finishPrefill() {
--- a/src/engine/completion_exchange.h
+++ b/src/engine/completion_exchange.h
@@ -1,5 +1,5 @@
 /// @file
-/// The exchange of one attempt in the OpenAI-compatible completions protocol.
+/// Exchange of one attempt over the OpenAI-compatible completions protocol.
 #pragma once
 
 #include <string>
@@ -11,13 +11,14 @@
 
 namespace garnethook::engine {
 
-/// Carries one attempt: a JSON response to a prefill, a stream of events for decode and combined attempts.
+/// Carries one attempt. Expects a JSON response to a prefill, and an event stream for decode and combined
+/// attempts.
 class CompletionExchange final : public AttemptExchange {
  public:
   /// @param events notified of tokens and of the result; must outlive the exchange
   /// @param id the attempt
-  /// @param phase decides which form of response is expected
-  /// @param options limits on sizes; must outlive the exchange
+  /// @param phase determines the expected form of the response
+  /// @param options size limits; must outlive the exchange
   CompletionExchange(routing::EngineClientEvents& events, routing::AttemptId id, routing::Phase phase,
                      const Options& options);
   bool onHead(const http1::Head& head) override;
@@ -35,7 +36,7 @@
   std::string body_;
   int status_ = 0;
   bool isStreamed_ = false;
-  bool hasFinishReason_ = false;  // an event named the reason for which generation ended
+  bool hasFinishReason_ = false;  // an event carried a finish_reason
 };
 
 }  // namespace garnethook::engine
--- a/src/engine/completions.cpp
+++ b/src/engine/completions.cpp
@@ -10,49 +10,50 @@
 
 using nlohmann::json;
 
-constexpr double kMaxCount = 4e9;    // beyond that a count is nonsense
-constexpr double kMaxMetric = 1e12;  // and a metric
-constexpr std::size_t kMaxErrorText = 300;
+constexpr double kMaxCount = 4e9;    // larger counts are implausible and ignored
+constexpr double kMaxMetric = 1e12;  // larger metric values are implausible and ignored
+constexpr std::size_t kMaxErrorTextBytes = 300;
 
-// Discarded where it is not JSON, or nested so deep that serialising it again would exhaust the stack.
+// Returns a discarded value if the text is not JSON, or is nested so deeply that serialising it again would
+// exhaust the stack.
 json parseJson(std::string_view text) {
   if (config::jsonDepth(text) > config::kDeepest) return json(json::value_t::discarded);
   return json::parse(text, nullptr, false);
 }
 
-const json* member(const json& object, const char* key) {
+const json* findMember(const json& object, const char* key) {
   if (!object.is_object()) return nullptr;
-  const auto at = object.find(key);
-  return at == object.end() || at->is_null() ? nullptr : &*at;
+  const auto found = object.find(key);
+  return found == object.end() || found->is_null() ? nullptr : &*found;
 }
 
-std::optional<double> number(const json& object, const char* key) {
-  const json* value = member(object, key);
+std::optional<double> findNumber(const json& object, const char* key) {
+  const json* value = findMember(object, key);
   if (value == nullptr || !value->is_number()) return std::nullopt;
   const double result = value->get<double>();
   return result >= 0 && result < kMaxCount ? std::optional(result) : std::nullopt;
 }
 
-std::optional<std::uint32_t> count(const json& object, const char* key) {
-  const auto value = number(object, key);
+std::optional<std::uint32_t> findCount(const json& object, const char* key) {
+  const auto value = findNumber(object, key);
   return value ? std::optional(static_cast<std::uint32_t>(*value)) : std::nullopt;
 }
 
 std::optional<double> cachedTokensOf(const json& usage) {
-  const json* details = member(usage, "prompt_tokens_details");
-  return details == nullptr ? std::nullopt : number(*details, "cached_tokens");
+  const json* details = findMember(usage, "prompt_tokens_details");
+  return details == nullptr ? std::nullopt : findNumber(*details, "cached_tokens");
 }
 
 std::string errorText(const json& body) {
-  const json* error = member(body, "error");
-  const json& container = error != nullptr && error->is_object() ? *error : body;
-  if (const json* text = member(container, "message"); text != nullptr && text->is_string())
-    return text->get<std::string>().substr(0, kMaxErrorText);
-  if (error != nullptr && error->is_string()) return error->get<std::string>().substr(0, kMaxErrorText);
+  const json* error = findMember(body, "error");
+  const json& messageParent = error != nullptr && error->is_object() ? *error : body;
+  if (const json* text = findMember(messageParent, "message"); text != nullptr && text->is_string())
+    return text->get<std::string>().substr(0, kMaxErrorTextBytes);
+  if (error != nullptr && error->is_string()) return error->get<std::string>().substr(0, kMaxErrorTextBytes);
   return {};
 }
 
-// Returns whether the metric is known and its value plausible.
+// Returns whether the metric is known and its value is plausible.
 bool applyMetric(std::string_view name, double value, LoadReport& report) {
   if (!(value >= 0) || value > kMaxMetric) return false;
   if (name == "kv_cache_usage_perc")
@@ -66,17 +67,18 @@
   return true;
 }
 
-// `{"named_metrics": {name: value, ...}}`
+// Parses `{"named_metrics": {name: value, ...}}`.
 bool applyJsonMetrics(std::string_view text, LoadReport& report) {
   bool anyKnown = false;
   const json body = parseJson(text);
-  if (const json* named = member(body, "named_metrics"); named != nullptr && named->is_object())
-    for (const auto& [name, value] : named->items())
+  if (const json* namedMetrics = findMember(body, "named_metrics");
+      namedMetrics != nullptr && namedMetrics->is_object())
+    for (const auto& [name, value] : namedMetrics->items())
       if (value.is_number() && applyMetric(name, value.get<double>(), report)) anyKnown = true;
   return anyKnown;
 }
 
-// `named_metrics.name=value, ...`
+// Parses `named_metrics.name=value, ...`.
 bool applyTextMetrics(std::string_view text, LoadReport& report) {
   constexpr std::string_view kPrefix = "named_metrics.";
   bool anyKnown = false;
@@ -100,7 +102,7 @@
           {"remote_block_ids", nullptr}, {"remote_host", nullptr},     {"remote_port", nullptr}};
 }
 
-// What the prefill's response said, with the roles the other way round.
+// Returns the prefill response's parameters with the prefill and decode flags swapped.
 json decodeTransferParams(std::string_view prefillParams) {
   json params = parseJson(prefillParams);
   if (!params.is_object()) params = json::object();
@@ -114,16 +116,16 @@
 }
 
 void applyChoice(const json& choice, CompletionChunk& chunk) {
-  if (const json* text = member(choice, "text"); text != nullptr && text->is_string())
+  if (const json* text = findMember(choice, "text"); text != nullptr && text->is_string())
     chunk.text = text->get<std::string>();
-  if (const json* ids = member(choice, "token_ids"); ids != nullptr && ids->is_array())
+  if (const json* ids = findMember(choice, "token_ids"); ids != nullptr && ids->is_array())
     for (const json& id : *ids)
       if (id.is_number_unsigned()) chunk.tokenIds.push_back(id.get<std::uint32_t>());
   if (!chunk.tokenIds.empty())
     chunk.tokens = static_cast<std::uint32_t>(chunk.tokenIds.size());
   else
     chunk.tokens = chunk.text.empty() ? 0 : 1;
-  if (const json* reason = member(choice, "finish_reason"); reason != nullptr && reason->is_string())
+  if (const json* reason = findMember(choice, "finish_reason"); reason != nullptr && reason->is_string())
     chunk.finishReason = *reason == "length" ? routing::FinishReason::length : routing::FinishReason::stop;
 }
 
@@ -168,13 +170,13 @@
 Result<PrefillResponse, CompletionError> parsePrefillResponse(std::string_view text) {
   const json body = parseJson(text);
   if (!body.is_object()) return Failure{CompletionError::prefillResponseNotObject};
-  const json* params = member(body, "kv_transfer_params");
+  const json* params = findMember(body, "kv_transfer_params");
   if (params == nullptr || !params->is_object()) return Failure{CompletionError::noKvTransferParams};
   PrefillResponse response;
   response.kvTransferParams = serialise(*params);
-  if (const json* usage = member(body, "usage")) {
+  if (const json* usage = findMember(body, "usage")) {
     response.cachedTokens = cachedTokensOf(*usage).value_or(0);
-    response.promptTokens = count(*usage, "prompt_tokens").value_or(0);
+    response.promptTokens = findCount(*usage, "prompt_tokens").value_or(0);
   }
   return response;
 }
@@ -183,17 +185,17 @@
   const json body = parseJson(data);
   if (!body.is_object()) return Failure{CompletionError::eventNotObject};
   CompletionChunk chunk;
-  if (member(body, "error") != nullptr) {
+  if (findMember(body, "error") != nullptr) {
     chunk.engineError = errorText(body);
     if (chunk.engineError.empty()) chunk.engineError = "the engine reports an error";
     return chunk;
   }
-  if (const json* choices = member(body, "choices");
+  if (const json* choices = findMember(body, "choices");
       choices != nullptr && choices->is_array() && !choices->empty())
     applyChoice(choices->front(), chunk);
-  if (const json* usage = member(body, "usage")) {
-    chunk.promptTokens = count(*usage, "prompt_tokens");
-    chunk.outputTokens = count(*usage, "completion_tokens");
+  if (const json* usage = findMember(body, "usage")) {
+    chunk.promptTokens = findCount(*usage, "prompt_tokens");
+    chunk.outputTokens = findCount(*usage, "completion_tokens");
     chunk.cachedTokens = cachedTokensOf(*usage);
   }
   return chunk;
@@ -204,8 +206,8 @@
   const json body = parseJson(text);
   const std::string engineError = body.is_discarded() ? std::string() : errorText(body);
   result.text = "HTTP " + std::to_string(status) + (engineError.empty() ? "" : ": " + engineError);
-  const json* error = body.is_object() ? member(body, "error") : nullptr;
-  const json* code = error != nullptr ? member(*error, "code") : nullptr;
+  const json* error = body.is_object() ? findMember(body, "error") : nullptr;
+  const json* code = error != nullptr ? findMember(*error, "code") : nullptr;
   if (code != nullptr && code->is_string() && *code == "kv_state_missing") {
     result.outcome = Outcome::rejected;
     result.kvStateMissing = true;
--- a/src/engine/connection.cpp
+++ b/src/engine/connection.cpp
@@ -43,7 +43,7 @@
   finish(false);
 }
 
-void Connection::parkIdle() {
+void Connection::markIdle() {
   idleSince_ = loop_.now();
   timer_.start(options_.idleTimeout, [this] { finish(false); });
 }
@@ -57,7 +57,7 @@
 void Connection::sendRequest() {
   const auto text = std::exchange(request_, {})(loop_.now());
   if (text) return stream_->send(*text);
-  loop_.post([this, alive = std::weak_ptr<bool>(alive_)] {  // the owner may be in the middle of start()
+  loop_.post([this, alive = std::weak_ptr<bool>(alive_)] {  // deferred, as the owner may still be in start()
     if (!alive.expired() && exchange_) fail(Outcome::connectFailed, "it was too late to send it");
   });
 }
@@ -69,16 +69,17 @@
   const bool isValid = parser_.receive(bytes);
   if (exchange_ && !isValid) return fail(Outcome::error, "bad HTTP: " + std::string(parser_.error()));
   if (!std::exchange(isExchangeOver_, false)) return;
-  // The rest of a request that was answered early would come before the next one.
+  // If the response came before the whole request was written, the rest of the request would precede the next
+  // request on this connection.
   finish(isValid && keepAlive_ && !parser_.midway() && stream_->pending() == 0);
 }
 
 void Connection::onClosed(CloseCause cause) {
   if (!exchange_) return finish(false);
   if (!stream_->connected()) return onClosedBeforeConnected(cause);
-  // This machine's own failure says nothing about the endpoint, like a pool without a free connection.
+  // A local failure is not evidence against the endpoint, just as a full connection pool is not.
   if (cause == CloseCause::unavailable) return failNotSent("this machine can't connect at the moment");
-  // A request that was never written completely was never executed.
+  // A request that was never written completely cannot have been executed.
   if (stream_->unsent() > 0 && !hasResponseHead_)
     return fail(Outcome::connectFailed, "the connection broke off before the request was written");
   if (cause == CloseCause::peerClosed && parser_.close() && isExchangeOver_) return finish(false);
@@ -96,7 +97,7 @@
   fail(Outcome::connectFailed, cause == CloseCause::timedOut ? "no connection in time" : "no connection");
 }
 
-// The stream is calling, so it is replaced in the loop's next turn.
+// Called from within the stream, so the stream is replaced in the next iteration of the loop.
 void Connection::retryConnect() {
   loop_.post([this, alive = std::weak_ptr<bool>(alive_)] {
     if (!alive.expired() && exchange_) connect();
@@ -113,7 +114,7 @@
   if (exchange_ && !exchange_->onBody(bytes)) dropExchange();
 }
 
-// The exchange knows enough, though the response is not complete.
+// Ends the exchange before the response is complete, as it does not need the rest.
 void Connection::dropExchange() {
   exchange_.reset();
   isExchangeOver_ = true;
--- a/src/engine/connection.h
+++ b/src/engine/connection.h
@@ -1,5 +1,5 @@
 /// @file
-/// One connection to an endpoint: one exchange at a time, idle in between.
+/// A connection to an endpoint that carries one exchange at a time and is idle between exchanges.
 #pragma once
 
 #include <memory>
@@ -15,55 +15,56 @@
 
 class Connection;
 
-/// Owns connections and is notified of what happens to them.
+/// Owns connections and receives their events.
 class ConnectionOwner {
  public:
   virtual ~ConnectionOwner() = default;
-  /// The exchange is over, or an idle connection ended.
-  /// @param connection which one; must not be destroyed from within this call
-  /// @param isReusable false: the connection is closed
+  /// The exchange has ended, or an idle connection has been closed.
+  /// @param connection the connection; must not be destroyed during this call
+  /// @param isReusable false if the connection is closed
   virtual void onFinished(Connection& connection, bool isReusable) = 0;
-  /// The endpoint has sent something, or was given up on: no connection, no response, or a reset.
+  /// The endpoint has sent data, or did not respond: no connection, no response, or a reset.
   virtual void onResponsiveness(Connection& connection, bool isResponsive) = 0;
-  /// How a request on a reused connection fared.
-  /// @param connection which one
-  /// @param idleTime microseconds for which it had been idle
-  /// @param wasDead it broke without any response
+  /// Reports the outcome of a request on a reused connection.
+  /// @param connection the connection
+  /// @param idleTime microseconds for which the connection had been idle
+  /// @param wasDead whether the connection broke without any response
   virtual void onReuseOutcome(Connection& connection, Micros idleTime, bool wasDead) = 0;
 };
 
-/// A connection to an endpoint. Starts to connect when it is constructed; lives on the loop's thread.
+/// A connection to an endpoint. Starts connecting on construction. Must be used on the loop's thread.
 class Connection final : private net::StreamEvents, private http1::MessageEvents {
  public:
-  /// @param loop runs everything
+  /// @param loop event loop that runs the connection
   /// @param options timeouts and limits; must outlive the connection's last event
-  /// @param address of the endpoint
-  /// @param endpoint whose connection it is
-  /// @param owner is notified; must outlive the connection's last event
+  /// @param address address of the endpoint
+  /// @param endpoint the endpoint that is connected to
+  /// @param owner receives the connection's events; must outlive the connection's last event
   Connection(net::Loop& loop, const Options& options, const Poco::Net::SocketAddress& address,
              EndpointId endpoint, ConnectionOwner& owner);
 
-  /// Starts an exchange; none may be under way.
+  /// Starts an exchange; no other may be in progress.
   /// @param exchange handles the response
-  /// @param request makes the request's text once the connection is established
-  /// @param timeout the exchange fails with timedOut after these microseconds; 0: never
-  /// @param retryIfRefused a refused connection is tried once more before the exchange fails
+  /// @param request creates the request's text once the connection is established
+  /// @param timeout microseconds after which the exchange fails with timedOut; 0: never
+  /// @param retryIfRefused whether to retry a refused connection once before the exchange fails
   void start(std::unique_ptr<Exchange> exchange, RequestWriter request, Micros timeout,
              bool retryIfRefused = false);
-  /// Ends the exchange and the connection; nothing of the exchange is reported any more.
+  /// Detaches the exchange and closes the connection; the exchange reports nothing more.
   void cancel();
-  /// The connection stays open without an exchange, and ends itself after the idle timeout.
-  void parkIdle();
-  /// Whether the idle connection may carry an exchange: unsolicited bytes would be taken for the response.
+  /// Keeps the connection open without an exchange; it closes itself after the idle timeout.
+  void markIdle();
+  /// Returns whether the idle connection may carry another exchange. Unsolicited bytes or a close by the peer
+  /// rule that out; such bytes would be taken for the response.
   bool isReusable() const { return !parser_.midway() && stream_->quiet(); }
-  /// Whose connection it is.
+  /// The endpoint that this connection belongs to.
   EndpointId endpoint() const { return endpoint_; }
-  /// How far the request has got.
+  /// Returns how far delivery of the request has progressed.
   routing::DeliveryState deliveryState() const;
-  /// Microseconds since the connection became idle; 0 before it ever was.
+  /// Microseconds since the connection last became idle; 0 if it never was.
   Micros idleTime() const { return idleSince_ == 0 ? 0 : loop_.now() - idleSince_; }
 
-  /// The attempt that it carries, for its owner's bookkeeping.
+  /// The attempt that the connection carries, maintained by its owner.
   std::optional<routing::AttemptId> attempt;
 
  private:
@@ -88,18 +89,18 @@
   Poco::Net::SocketAddress address_;
   EndpointId endpoint_;
   ConnectionOwner& owner_;
-  timing::Alarm timer_;  // of the exchange, or of the idle timeout
+  timing::Alarm timer_;  // timeout of the exchange, or idle timeout
   http1::MessageParser parser_;
   std::unique_ptr<Exchange> exchange_;
-  std::unique_ptr<Exchange> cancelledExchange_;  // may be in the middle of a call
-  RequestWriter request_;                        // until it is written
+  std::unique_ptr<Exchange> cancelledExchange_;  // kept alive, as one of its methods may be running
+  RequestWriter request_;                        // empty once it is written
   bool hasReceivedBytes_ = false;                // since the exchange started
-  bool hasResponseHead_ = false;                 // of the exchange
+  bool hasResponseHead_ = false;                 // of the current exchange
   bool keepAlive_ = false;
-  bool isExchangeOver_ = false;  // within the bytes that are being parsed
+  bool isExchangeOver_ = false;  // ended by the bytes that are being parsed
   bool retryIfRefused_ = false;
   Micros idleSince_ = 0;
-  // How long the connection had been idle before the exchange, until the outcome of the reuse is reported.
+  // Idle time before the exchange; reset once the outcome of the reuse has been reported.
   std::optional<Micros> idleBeforeReuse_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::unique_ptr<net::Stream> stream_;
--- a/src/engine/connection_pool.cpp
+++ b/src/engine/connection_pool.cpp
@@ -53,7 +53,7 @@
   std::unordered_set<std::uint64_t> listed;
   for (const auto& [name, spec] : endpoints) listed.insert(spec.id.value);
   for (auto& [id, endpoint] : endpoints_)
-    if (!listed.contains(id)) unlist(endpoint);
+    if (!listed.contains(id)) markUnlisted(endpoint);
   apply(endpoints);
 }
 
@@ -61,46 +61,46 @@
   listedEndpoints_.reset();
   for (const auto& [name, spec] : changes) {
     if (spec.state != EndpointState::removed)
-      list(spec);
-    else if (Endpoint* const known = findEndpoint(spec.id))
-      unlist(*known);
+      addOrUpdate(spec);
+    else if (Endpoint* const existing = findEndpoint(spec.id))
+      markUnlisted(*existing);
   }
-  forgetUnlisted();
+  removeUnlisted();
 }
 
-void ConnectionPool::list(const membership::EndpointSpec& spec) {
+void ConnectionPool::addOrUpdate(const membership::EndpointSpec& spec) {
   Endpoint& endpoint = endpoints_[spec.id.value];
-  const bool hasMoved = endpoint.spec.host != spec.host || endpoint.spec.port != spec.port;
-  if (hasMoved || endpoint.spec.startedAt != spec.startedAt) {
+  const bool hasAddressChanged = endpoint.spec.host != spec.host || endpoint.spec.port != spec.port;
+  if (hasAddressChanged || endpoint.spec.startedAt != spec.startedAt) {
     closeIdle(endpoint);
     endpoint.responsiveness = Responsiveness::unknown;
   }
   endpoint.spec = spec;
   endpoint.isListed = true;
-  if (!hasMoved && endpoint.isResolved) return;
+  if (!hasAddressChanged && endpoint.isResolved) return;
   try {
     endpoint.address = Poco::Net::SocketAddress(spec.host, spec.port);
     endpoint.isResolved = true;
   } catch (const Poco::Exception&) {
-    endpoint.isResolved = false;  // attempts there fail without a connection
+    endpoint.isResolved = false;  // attempts at this endpoint fail without a connection
   }
 }
 
-void ConnectionPool::unlist(Endpoint& endpoint) {
+void ConnectionPool::markUnlisted(Endpoint& endpoint) {
   if (std::exchange(endpoint.isListed, false)) endpoint.unlistedAt = loop_.now();
   closeIdle(endpoint);
-  unlisted_.insert(endpoint.spec.id.value);
+  unlistedEndpoints_.insert(endpoint.spec.id.value);
 }
 
-// Endpoints that have left are forgotten once their exchanges are over and nothing of them needs to be
-// released.
-void ConnectionPool::forgetUnlisted() {
-  std::erase_if(unlisted_, [this](std::uint64_t id) {
+// Removes endpoints that left the list once their exchanges have ended and the retention time for releases
+// has passed.
+void ConnectionPool::removeUnlisted() {
+  std::erase_if(unlistedEndpoints_, [this](std::uint64_t id) {
     const auto found = endpoints_.find(id);
     if (found == endpoints_.end() || found->second.isListed) return true;
-    const bool isNeeded = loop_.now() - found->second.unlistedAt < options_.keepUnlisted;
-    if (found->second.busyCount > 0 || isNeeded) return false;
-    withIdle_.erase(&found->second);
+    const bool isRetained = loop_.now() - found->second.unlistedAt < options_.unlistedRetention;
+    if (found->second.busyCount > 0 || isRetained) return false;
+    endpointsWithIdle_.erase(&found->second);
     endpoints_.erase(found);
     return true;
   });
@@ -119,26 +119,26 @@
   return options_.controlConnections > 0 && busy_.size() - attempts_.size() >= options_.controlConnections;
 }
 
-// Idle connections give way to new ones where there is a limit on all together: the endpoint with most of
-// them gives up the one that has been idle for the longest time.
-void ConnectionPool::makeRoom() {
+// If the limit on the total number of connections is reached, closes the connection that has been idle for
+// the longest time at the endpoint with the most idle connections.
+void ConnectionPool::evictIdleAtLimit() {
   if (options_.allConnections == 0 || busy_.size() + idleCount_ < options_.allConnections) return;
-  std::erase_if(withIdle_, [](const Endpoint* endpoint) { return endpoint->idle.empty(); });
-  Endpoint* most = nullptr;
-  for (Endpoint* endpoint : withIdle_)
-    if (most == nullptr || endpoint->idle.size() > most->idle.size()) most = endpoint;
-  if (most == nullptr) return;
-  discard(std::move(most->idle.front()));
-  most->idle.erase(most->idle.begin());
+  std::erase_if(endpointsWithIdle_, [](const Endpoint* endpoint) { return endpoint->idle.empty(); });
+  Endpoint* largest = nullptr;
+  for (Endpoint* endpoint : endpointsWithIdle_)
+    if (largest == nullptr || endpoint->idle.size() > largest->idle.size()) largest = endpoint;
+  if (largest == nullptr) return;
+  discard(std::move(largest->idle.front()));
+  largest->idle.erase(largest->idle.begin());
   --idleCount_;
 }
 
 // ---- idle connections ----
 
-void ConnectionPool::park(Endpoint& endpoint, std::unique_ptr<Connection> connection) {
-  connection->parkIdle();
+void ConnectionPool::addIdle(Endpoint& endpoint, std::unique_ptr<Connection> connection) {
+  connection->markIdle();
   endpoint.idle.push_back(std::move(connection));
-  withIdle_.insert(&endpoint);
+  endpointsWithIdle_.insert(&endpoint);
   ++idleCount_;
 }
 
@@ -148,8 +148,8 @@
   endpoint.idle.clear();
 }
 
-// Takes the connection that has been idle for the shortest time, except those on which a stray response may
-// still arrive; where that one has been idle for too long, no other will do. Nothing where none may be used.
+// Takes the connection that has been idle for the shortest time, skipping those on which a stray response may
+// still arrive. If its idle time rules out reuse, older ones are not tried. Returns null if none may be used.
 std::unique_ptr<Connection> ConnectionPool::takeIdle(Endpoint& endpoint, ConnectionReuse reuse) {
   if (reuse == ConnectionReuse::never) return nullptr;
   const bool nonRepeatable = reuse == ConnectionReuse::onlyIfProven;
@@ -166,7 +166,8 @@
   return nullptr;
 }
 
-// A connection is often given up from within its own call, so it ends in the loop's next turn.
+// A connection is often discarded from within one of its own methods, so it is destroyed in the next
+// iteration of the loop.
 void ConnectionPool::discard(std::unique_ptr<Connection> connection) {
   loop_.post([owned = std::shared_ptr<Connection>(std::move(connection))] {});
 }
@@ -182,7 +183,7 @@
 void ConnectionPool::start(routing::AttemptId attempt, EndpointId endpoint,
                            std::unique_ptr<Exchange> exchange, RequestWriter request, ConnectionReuse reuse) {
   Endpoint& target = endpoints_.at(endpoint.value);
-  // An endpoint with other open connections refuses one only by chance, and is tried once more.
+  // A refusal by an endpoint with other open connections is most likely transient, so it is retried once.
   const bool retryIfRefused = target.busyCount > 0 || !target.idle.empty();
   Connection& connection = acquire(target, reuse);
   connection.attempt = attempt;
@@ -193,7 +194,7 @@
 Connection& ConnectionPool::acquire(Endpoint& endpoint, ConnectionReuse reuse) {
   std::unique_ptr<Connection> owned = takeIdle(endpoint, reuse);
   if (!owned) {
-    makeRoom();
+    evictIdleAtLimit();
     ++opened_;
     owned = std::make_unique<Connection>(loop_, options_, endpoint.address, endpoint.spec.id,
                                          static_cast<ConnectionOwner&>(*this));
@@ -223,17 +224,17 @@
 
 void ConnectionPool::onFinished(Connection& connection, bool isReusable) {
   Endpoint* const endpoint = findEndpoint(connection.endpoint());
-  std::unique_ptr<Connection> owned = release(connection, endpoint);
+  std::unique_ptr<Connection> owned = removeConnection(connection, endpoint);
   if (!owned) return;
   if (owned->attempt) attempts_.erase(*std::exchange(owned->attempt, std::nullopt));
   if (isReusable && endpoint != nullptr && endpoint->isListed && endpoint->idle.size() < options_.idle)
-    park(*endpoint, std::move(owned));
+    addIdle(*endpoint, std::move(owned));
   else
     discard(std::move(owned));
 }
 
-// Takes a connection, busy or idle, out of the pool's books. Nothing where it has been discarded already.
-std::unique_ptr<Connection> ConnectionPool::release(Connection& connection, Endpoint* endpoint) {
+// Removes a busy or idle connection from the pool's containers. Returns null if it was already discarded.
+std::unique_ptr<Connection> ConnectionPool::removeConnection(Connection& connection, Endpoint* endpoint) {
   std::unique_ptr<Connection> owned;
   if (const auto busy = busy_.find(&connection); busy != busy_.end()) {
     owned = std::move(busy->second);
@@ -250,17 +251,18 @@
   return owned;
 }
 
-// Where one connection was dead, those that have been idle for longer most likely are so too.
+// If a reused connection was dead, the endpoint's connections that have been idle for longer most likely are
+// too, so they are discarded.
 void ConnectionPool::onReuseOutcome(Connection& connection, Micros idleTime, bool wasDead) {
   reusePolicy_.record(idleTime, wasDead, loop_.now());
   Endpoint* const endpoint = findEndpoint(connection.endpoint());
   if (!wasDead || endpoint == nullptr) return;
   auto& idle = endpoint->idle;
-  const auto older = std::partition(idle.begin(), idle.end(),
-                                    [&](const auto& candidate) { return candidate->idleTime() < idleTime; });
-  idleCount_ -= static_cast<std::size_t>(idle.end() - older);
-  for (auto dead = older; dead != idle.end(); ++dead) discard(std::move(*dead));
-  idle.erase(older, idle.end());
+  const auto firstOlder = std::partition(
+      idle.begin(), idle.end(), [&](const auto& candidate) { return candidate->idleTime() < idleTime; });
+  idleCount_ -= static_cast<std::size_t>(idle.end() - firstOlder);
+  for (auto dead = firstOlder; dead != idle.end(); ++dead) discard(std::move(*dead));
+  idle.erase(firstOlder, idle.end());
 }
 
 }  // namespace garnethook::engine
--- a/src/engine/connection_pool.h
+++ b/src/engine/connection_pool.h
@@ -1,6 +1,6 @@
 /// @file
-/// Pooled, bounded connections to endpoints, with one exchange at a time on each. Every protocol towards
-/// engines uses this pool.
+/// Bounded pool of connections to endpoints, with one exchange at a time on each connection. All engine
+/// protocols use this pool.
 #pragma once
 
 #include <cstdint>
@@ -21,63 +21,64 @@
 
 namespace garnethook::engine {
 
-/// How an attempt may reuse connections.
+/// Returns how an attempt may reuse idle connections.
 inline ConnectionReuse reuseFor(const routing::AttemptSpec& attempt) {
   if (attempt.requiresNewConnection) return ConnectionReuse::never;
   return attempt.nonRepeatable ? ConnectionReuse::onlyIfProven : ConnectionReuse::allowed;
 }
 
-/// The connections to all endpoints. Lives on the loop's thread.
+/// The connections to all endpoints. Must be used on the loop's thread.
 class ConnectionPool final : private ConnectionOwner {
  public:
-  /// @param loop runs everything; must outlive the pool
+  /// @param loop event loop that runs the connections; must outlive the pool
   /// @param options limits and timeouts
   ConnectionPool(net::Loop& loop, const Options& options) : loop_(loop), options_(options) {}
   ~ConnectionPool() override { *alive_ = false; }
   ConnectionPool(const ConnectionPool&) = delete;
   ConnectionPool& operator=(const ConnectionPool&) = delete;
 
-  /// Replaces the list of endpoints. Exchanges with one that left go on; its idle connections are closed.
+  /// Replaces the endpoint list. Exchanges with endpoints that left the list continue; their idle connections
+  /// are closed.
   void update(const membership::EndpointMap& endpoints);
-  /// Applies changes; endpoints that are not among them stay as they are.
+  /// Applies a delta; endpoints that it does not contain are unchanged.
   void apply(const membership::EndpointMap& changes);
-  /// The endpoint; nothing where it is not known, or its address can't be used. One that has left the list is
-  /// known for some seconds more, as it may hold what has to be released.
+  /// Returns the endpoint, or null if it is not known or its address is unusable. An endpoint that has left
+  /// the list remains known for Options::unlistedRetention, as it may hold KV reservations to be released.
   const membership::EndpointSpec* find(EndpointId endpoint) const;
-  /// Whether the endpoint is listed as running, so that it may get new requests.
+  /// Returns whether the endpoint is listed as running and may receive new requests.
   bool isRunning(EndpointId endpoint) const;
-  /// Every endpoint that is listed and has an address, in order of ids; valid until the list changes.
+  /// Returns all listed endpoints with a usable address, ordered by id; valid until the list changes.
   const std::vector<EndpointId>& listedEndpoints() const;
-  /// The latest news of the endpoint.
+  /// Returns the latest responsiveness observed for the endpoint.
   Responsiveness responsiveness(EndpointId endpoint) const;
-  /// When the endpoint's latest response began, in microseconds on the monotonic clock; 0: there was none.
+  /// When the endpoint's latest response began, in microseconds on the monotonic clock; 0: no response yet.
   Micros lastHeardAt(EndpointId endpoint) const;
-  /// Whether no connection may be used for another attempt at the endpoint.
+  /// Returns whether the connection limits prevent another attempt at the endpoint.
   bool isFull(EndpointId endpoint) const;
-  /// Whether as many releases, probes and the like are under way as may be.
+  /// Returns whether the limit on connections for releases, probes and other control exchanges is reached.
   bool isControlFull() const;
 
-  /// Starts an exchange that is no attempt.
+  /// Starts a control exchange, that is, one that is not an attempt.
   /// @param endpoint must be found by find()
   /// @param exchange handles the response
-  /// @param request the request's text
-  /// @param timeout as for Connection::start
-  /// @param reuse whether an idle connection will do
+  /// @param request text of the request
+  /// @param timeout see Connection::start
+  /// @param reuse whether an idle connection may be used
   void start(EndpointId endpoint, std::unique_ptr<Exchange> exchange, std::string request, Micros timeout,
              ConnectionReuse reuse = ConnectionReuse::allowed);
-  /// Starts the exchange of an attempt, on an idle connection or a new one.
-  /// @param attempt names the exchange for cancel() and deliveryState()
+  /// Starts the exchange of an attempt on an idle or a new connection.
+  /// @param attempt identifies the exchange for cancel() and deliveryState()
   /// @param endpoint must be found by find()
   /// @param exchange handles the response
-  /// @param request makes the request's text once the connection is established
-  /// @param reuse whether an idle connection will do
+  /// @param request creates the request's text once the connection is established
+  /// @param reuse whether an idle connection may be used
   void start(routing::AttemptId attempt, EndpointId endpoint, std::unique_ptr<Exchange> exchange,
              RequestWriter request, ConnectionReuse reuse = ConnectionReuse::allowed);
-  /// Ends the attempt's exchange and its connection; nothing of it is reported any more.
+  /// Cancels the attempt's exchange and closes its connection; the exchange reports nothing more.
   void cancel(routing::AttemptId attempt);
   /// How far the attempt's request has got; undelivered where the attempt is not under way.
   routing::DeliveryState deliveryState(routing::AttemptId attempt) const;
-  /// Runs the task in the loop's next turn, unless the pool has ended by then.
+  /// Runs the task in the next iteration of the loop, unless the pool has been destroyed by then.
   void post(std::function<void()> task);
 
   /// The limits and timeouts in use.
@@ -86,9 +87,9 @@
   std::size_t busyConnections() const { return busy_.size(); }
   /// Connections that are idle.
   std::size_t idleConnections() const { return idleCount_; }
-  /// Attempts that are under way.
+  /// Attempts in progress.
   std::size_t attempts() const { return attempts_.size(); }
-  /// Connections opened since the start.
+  /// Total number of connections opened.
   std::uint64_t opened() const { return opened_; }
 
  private:
@@ -98,7 +99,7 @@
     bool isResolved = false;
     bool isListed = false;
     Micros unlistedAt = 0;                          // when it left the list
-    std::vector<std::unique_ptr<Connection>> idle;  // the latest last
+    std::vector<std::unique_ptr<Connection>> idle;  // most recently used last
     std::size_t busyCount = 0;
     Responsiveness responsiveness = Responsiveness::unknown;
     Micros lastHeardAt = 0;
@@ -114,14 +115,14 @@
   void onReuseOutcome(Connection& connection, Micros idleTime, bool wasDead) override;
   Connection& acquire(Endpoint& endpoint, ConnectionReuse reuse);
   std::unique_ptr<Connection> takeIdle(Endpoint& endpoint, ConnectionReuse reuse);
-  std::unique_ptr<Connection> release(Connection& connection, Endpoint* endpoint);
-  void makeRoom();
-  void park(Endpoint& endpoint, std::unique_ptr<Connection> connection);
+  std::unique_ptr<Connection> removeConnection(Connection& connection, Endpoint* endpoint);
+  void evictIdleAtLimit();
+  void addIdle(Endpoint& endpoint, std::unique_ptr<Connection> connection);
   void discard(std::unique_ptr<Connection> connection);
   void closeIdle(Endpoint& endpoint);
-  void list(const membership::EndpointSpec& spec);
-  void unlist(Endpoint& endpoint);
-  void forgetUnlisted();
+  void addOrUpdate(const membership::EndpointSpec& spec);
+  void markUnlisted(Endpoint& endpoint);
+  void removeUnlisted();
   Endpoint* findEndpoint(EndpointId id);
 
   net::Loop& loop_;
@@ -130,8 +131,8 @@
   std::unordered_map<Connection*, std::unique_ptr<Connection>> busy_;
   std::unordered_map<routing::AttemptId, Connection*, AttemptHash> attempts_;
   ReusePolicy reusePolicy_;
-  std::unordered_set<Endpoint*> withIdle_;      // have idle connections; some may have lost theirs since
-  std::unordered_set<std::uint64_t> unlisted_;  // not listed any more, maybe with exchanges under way
+  std::unordered_set<Endpoint*> endpointsWithIdle_;      // may contain endpoints without idle connections
+  std::unordered_set<std::uint64_t> unlistedEndpoints_;  // no longer listed; may have exchanges in progress
   mutable std::optional<std::vector<EndpointId>> listedEndpoints_;
   std::size_t idleCount_ = 0;
   std::uint64_t opened_ = 0;
--- a/src/engine/control_exchange.h
+++ b/src/engine/control_exchange.h
@@ -1,5 +1,5 @@
 /// @file
-/// Exchanges beside those of attempts: releases, probes, and documents that are fetched.
+/// Exchanges that are not attempts: releases, probes and fetched documents.
 #pragma once
 
 #include <functional>
@@ -11,12 +11,12 @@
 
 namespace garnethook::engine {
 
-/// An exchange of which only the status counts, such as a release or a probe.
+/// An exchange that uses only the response's status and load report, such as a release or a probe.
 class ControlExchange final : public Exchange {
  public:
-  /// Called once with the response's status, or 0 where there was none, and its load report.
+  /// Called once with the response's status and load report; the status is 0 if there was no response.
   using Done = std::function<void(int status, const std::optional<LoadReport>& report)>;
-  /// @param done called once, unless the exchange is detached before
+  /// @param done called once, unless the exchange is detached first
   explicit ControlExchange(Done done) : done_(std::move(done)) {}
   bool onHead(const http1::Head& head) override;
   bool onBody(std::string_view bytes) override;
@@ -35,14 +35,14 @@
   std::optional<LoadReport> report_;
 };
 
-/// An exchange that collects a body of bounded size.
+/// An exchange that collects a response body of bounded size.
 class DocumentExchange final : public Exchange {
  public:
-  /// Longest body in bytes.
+  /// Maximum size of the body in bytes.
   static constexpr std::size_t kMaxBytes = std::size_t{256} << 10;
-  /// Called once with status and body, or with 0 and an empty body where there was no complete response.
+  /// Called once with the status and the body, or with 0 and an empty body if the response was not complete.
   using Done = std::function<void(int status, const std::string& body)>;
-  /// @param done called once, unless the exchange is detached before
+  /// @param done called once, unless the exchange is detached first
   explicit DocumentExchange(Done done) : done_(std::move(done)) {}
   bool onHead(const http1::Head& head) override;
   bool onBody(std::string_view bytes) override;
--- a/src/engine/http_engine_client.cpp
+++ b/src/engine/http_engine_client.cpp
@@ -11,14 +11,14 @@
 
 std::string formatRequest(const membership::EndpointSpec& spec, std::string_view method,
                           const std::string& path, std::string_view traceId, std::string_view body) {
-  std::string out;
-  out.reserve(body.size() + 256);
-  out.append(method).append(" ").append(path).append(" HTTP/1.1\r\nHost: ");
-  out.append(spec.host).append(":").append(std::to_string(spec.port)).append("\r\n");
-  if (!traceId.empty()) out.append("X-Request-Id: ").append(traceId).append("\r\n");
-  if (!body.empty()) out.append("Content-Type: application/json\r\n");
-  out.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n\r\n").append(body);
-  return out;
+  std::string request;
+  request.reserve(body.size() + 256);
+  request.append(method).append(" ").append(path).append(" HTTP/1.1\r\nHost: ");
+  request.append(spec.host).append(":").append(std::to_string(spec.port)).append("\r\n");
+  if (!traceId.empty()) request.append("X-Request-Id: ").append(traceId).append("\r\n");
+  if (!body.empty()) request.append("Content-Type: application/json\r\n");
+  request.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n\r\n").append(body);
+  return request;
 }
 
 }  // namespace
@@ -57,7 +57,7 @@
   const std::string& path = connections().options().releasePath;
   if (path.empty()) return connections().post([this, call] { events().onReleaseEnded(call, true); });
   const auto done = [this, call](int status, const std::optional<LoadReport>&) {
-    // 404: the endpoint holds nothing for the request, which is what is wanted.
+    // 404 counts as success: the endpoint holds no KV state for the request.
     events().onReleaseEnded(call, (status >= 200 && status < 300) || status == 404);
   };
   sendControl(call.endpoint, "POST", path, traceId, nlohmann::json{{"request_id", traceId}}.dump(), done);
--- a/src/engine/http_engine_client.h
+++ b/src/engine/http_engine_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// Engines that speak the OpenAI-compatible completions protocol over HTTP/1.1.
+/// Client for engines that serve the OpenAI-compatible completions protocol over HTTP/1.1.
 #pragma once
 
 #include <functional>
@@ -14,28 +14,28 @@
 /// Sends attempts, releases and probes to engines, and fetches documents from them.
 class HttpEngineClient final : public PooledEngineClient {
  public:
-  /// @param loop runs everything; must outlive the client
+  /// @param loop event loop that runs the client; must outlive the client
   /// @param options paths, limits and timeouts
   HttpEngineClient(net::Loop& loop, const Options& options) : PooledEngineClient(loop, options) {}
 
   /// Sends an attempt; its result is reported later.
   void begin(const routing::AttemptSpec& attempt) override;
-  /// Frees the KV cache of a request; the result is reported later.
+  /// Releases the KV state of a request; the result is reported later.
   void release(const routing::ReleaseCall& call, const std::string& traceId) override;
   bool canRelease() const override { return !connections().options().releasePath.empty(); }
   /// Probes an endpoint; the result is reported later.
   void probe(EndpointId endpoint) override;
-  /// Fetches a document of at most 256 KiB by GET.
-  /// @param endpoint where from
-  /// @param path of the document
-  /// @param done called later, with status 0 where there is no complete response
+  /// Fetches a document of at most 256 KiB with a GET request.
+  /// @param endpoint endpoint to fetch the document from
+  /// @param path path of the document
+  /// @param done called later; the status is 0 if the response is not complete
   void fetch(EndpointId endpoint, const std::string& path, std::function<void(int, const std::string&)> done);
 
-  /// Path of the description of an engine's tokeniser; empty: engines are not asked for it.
+  /// Path of an engine's tokeniser description; empty: it is not fetched.
   const std::string& tokeniserPath() const { return pool().options().tokeniserPath; }
   /// Connections that carry an exchange.
   std::size_t busyConnections() const { return pool().busyConnections(); }
-  /// Attempts that are under way.
+  /// Attempts in progress.
   std::size_t attempts() const { return pool().attempts(); }
 
  private:
--- a/src/engine/options.h
+++ b/src/engine/options.h
@@ -12,40 +12,41 @@
 
 /// Settings of an engine client; all times are in microseconds.
 struct Options {
-  /// Model of requests that name none.
+  /// Model for requests that do not specify one.
   std::string model = "default";
   /// Path of attempts.
   std::string completionsPath = "/v1/completions";
-  /// Path of releases; empty: engines free KV caches by their own timeout.
+  /// Path of releases; empty: engines free the KV state after a timeout of their own.
   std::string releasePath;
   /// Path of probes.
   std::string probePath = "/health";
-  /// Path of the description of an engine's tokeniser; empty: engines are not asked for it.
+  /// Path of an engine's tokeniser description; empty: it is not fetched.
   std::string tokeniserPath = "/tokenizer_info";
-  /// Local address of connections; empty: the system's choice.
+  /// Local address of connections; empty: chosen by the operating system.
   std::string sourceAddress;
-  /// Time to establish a connection.
+  /// Timeout for establishing a connection.
   Micros connectTimeout = 250'000;
-  /// Time for a release or a probe.
+  /// Timeout of a release or a probe.
   Micros controlTimeout = 400'000;
-  /// An idle connection is closed after this time.
+  /// Time after which an idle connection is closed.
   Micros idleTimeout = 30'000'000;
-  /// An endpoint that has left the list can be reached for this long, to release what it holds.
-  Micros keepUnlisted = 10'000'000;
-  /// Connections to one endpoint, those of releases and probes not counted.
+  /// Time for which an endpoint that has left the list stays reachable, so that its KV reservations can be
+  /// released.
+  Micros unlistedRetention = 10'000'000;
+  /// Maximum number of connections to one endpoint, excluding those of releases and probes.
   std::size_t connections = 1024;
-  /// Idle connections that are kept to one endpoint.
+  /// Maximum number of idle connections to one endpoint.
   std::size_t idle = 64;
-  /// Connections to all endpoints, those of releases and probes not counted; 0: unlimited.
+  /// Maximum number of connections to all endpoints, excluding those of releases and probes; 0: unlimited.
   std::size_t allConnections = 0;
-  /// Connections that are busy with releases, probes and the like; 0: unlimited.
+  /// Maximum number of connections that carry releases, probes and other control exchanges; 0: unlimited.
   std::size_t controlConnections = 0;
-  /// Bytes of a response that is not streamed.
+  /// Maximum size in bytes of a response that is not streamed.
   std::size_t answerBytes = std::size_t{4} << 20;
-  /// Bytes of one event of a streamed response.
+  /// Maximum size in bytes of one event of a streamed response.
   std::size_t eventBytes = std::size_t{256} << 10;
-  /// Limits on every response. A streamed one has no limit of its own here: its events have, and the router
-  /// ends those that go on for too long.
+  /// Limits on every response. A streamed response has no size limit of its own, since its events are limited
+  /// and the router ends streams that take too long.
   http1::MessageLimits message{.headBytes = std::size_t{32} * 1024, .bodyBytes = std::size_t{1} << 32};
 };
 
--- a/src/engine/pooled_engine_client.h
+++ b/src/engine/pooled_engine_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// What engine clients share, whatever protocol they speak: a pool of connections and where its events go.
+/// Protocol-independent base class of engine clients: a connection pool and the receiver of events.
 #pragma once
 
 #include <string_view>
@@ -9,45 +9,47 @@
 
 namespace garnethook::engine {
 
-/// An engine client on pooled connections. Lives on the loop's thread.
+/// An engine client that uses pooled connections. Must be used on the loop's thread.
 class PooledEngineClient : public routing::EngineClient {
  public:
-  /// Who is notified; to be called before anything else.
+  /// Sets the receiver of events; must be called before any other method.
   void setEvents(routing::EngineClientEvents& events) { events_ = &events; }
-  /// Replaces the list of endpoints. Exchanges with one that left go on; its idle connections are closed.
+  /// Replaces the endpoint list. Exchanges with endpoints that left the list continue; their idle connections
+  /// are closed.
   void update(const membership::EndpointMap& endpoints) { pool_.update(endpoints); }
 
-  /// Ends an attempt; nothing of it is reported any more.
+  /// Cancels an attempt; nothing more is reported for it.
   void cancel(routing::AttemptId attempt) override { pool_.cancel(attempt); }
-  /// How far the request of an attempt has got.
+  /// Returns how far delivery of an attempt's request has progressed.
   routing::DeliveryState deliveryState(routing::AttemptId attempt) const override {
     return pool_.deliveryState(attempt);
   }
 
-  /// When anything came from the endpoint last.
+  /// When the endpoint's latest response began; 0: no response yet.
   std::optional<Micros> lastHeardAt(EndpointId endpoint) const override {
     return pool_.lastHeardAt(endpoint);
   }
 
-  /// The connections.
+  /// The connection pool.
   const ConnectionPool& pool() const { return pool_; }
 
  protected:
-  /// The connections.
+  /// The connection pool.
   const ConnectionPool& connections() const { return pool_; }
-  /// @param loop runs everything; must outlive the client
+  /// @param loop event loop that runs the client; must outlive the client
   /// @param options limits and timeouts
   PooledEngineClient(net::Loop& loop, const Options& options) : pool_(loop, options) {}
 
-  /// The endpoint of an attempt. Where the attempt can't be sent, because the endpoint has no address or all
-  /// connections are in use, its failure is reported in the loop's next turn and nothing is returned.
-  /// @param attempt names endpoint and attempt
-  /// @param fullText text of the failure where all connections are in use
+  /// Returns the endpoint of an attempt. If the attempt cannot be sent because the endpoint has no usable
+  /// address or all connections are in use, returns null and reports the failure in the next iteration of the
+  /// loop.
+  /// @param attempt the attempt, which specifies the endpoint
+  /// @param poolFullText text of the failure if all connections are in use
   const membership::EndpointSpec* findForAttempt(const routing::AttemptSpec& attempt,
-                                                 std::string_view fullText);
-  /// The connections, to start exchanges on.
+                                                 std::string_view poolFullText);
+  /// The connection pool, for starting exchanges.
   ConnectionPool& connections() { return pool_; }
-  /// Who is notified.
+  /// The receiver of events.
   routing::EngineClientEvents& events() { return *events_; }
 
  private:
--- a/src/engine/responsiveness.h
+++ b/src/engine/responsiveness.h
@@ -1,14 +1,14 @@
 /// @file
-/// What a router knows about an endpoint from its own connections. Free of I/O.
+/// Responsiveness of an endpoint, as observed on this router's connections. Performs no I/O.
 #pragma once
 
 namespace garnethook::engine {
 
-/// The latest news of an endpoint. In order of preference: earlier values are better.
+/// The latest observation of an endpoint, in order of preference: earlier values are better.
 enum class Responsiveness {
-  responsive,   ///< It has sent something.
-  unknown,      ///< This router has not tried it since it started.
-  unresponsive  ///< It was given up on: no connection, no response, or a reset.
+  responsive,   ///< It has sent data.
+  unknown,      ///< This router has not contacted it since it was listed, restarted or moved.
+  unresponsive  ///< It did not respond: no connection, no response, or a reset.
 };
 
 }  // namespace garnethook::engine
--- a/tests/engine/completions_test.cpp
+++ b/tests/engine/completions_test.cpp
@@ -1,4 +1,4 @@
-// The JSON of the completions protocol, byte for byte, and what its responses mean.
+// Tests the JSON of completions requests byte for byte, and the parsing of responses.
 #include "engine/completions.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
   return request;
 }
 
-// Engines read these bytes.
+// These bytes are what engines receive.
 TEST(Completions, WritesTheRequestOfEachPhaseByteForByte) {
   const routing::Request request = completionRequest();
   EXPECT_EQ(
@@ -51,14 +51,14 @@
   EXPECT_EQ(response->kvTransferParams, R"({"a":1})");
   EXPECT_EQ(response->promptTokens, 9u);
   EXPECT_DOUBLE_EQ(response->cachedTokens, 4);
-  const auto noObject = parsePrefillResponse("[]");
-  ASSERT_FALSE(noObject.hasValue());
-  EXPECT_EQ(noObject.error(), CompletionError::prefillResponseNotObject);
-  EXPECT_EQ(message(noObject.error()), "the answer to a read is not a JSON object");
-  const auto noParams = parsePrefillResponse("{}");
-  ASSERT_FALSE(noParams.hasValue());
-  EXPECT_EQ(noParams.error(), CompletionError::noKvTransferParams);
-  EXPECT_EQ(message(noParams.error()), "the answer to a read has no kv_transfer_params");
+  const auto notAnObject = parsePrefillResponse("[]");
+  ASSERT_FALSE(notAnObject.hasValue());
+  EXPECT_EQ(notAnObject.error(), CompletionError::prefillResponseNotObject);
+  EXPECT_EQ(message(notAnObject.error()), "the answer to a read is not a JSON object");
+  const auto withoutParams = parsePrefillResponse("{}");
+  ASSERT_FALSE(withoutParams.hasValue());
+  EXPECT_EQ(withoutParams.error(), CompletionError::noKvTransferParams);
+  EXPECT_EQ(message(withoutParams.error()), "the answer to a read has no kv_transfer_params");
 }
 
 TEST(Completions, ParsesTheEventsOfAStream) {
@@ -73,9 +73,9 @@
   EXPECT_EQ(parseChunk(R"({"choices":[{"text":"a"}]})")->tokens, 1u);
   EXPECT_EQ(parseChunk(R"({"error":{"message":"out of memory"}})")->engineError, "out of memory");
   EXPECT_EQ(parseChunk(R"({"error":{}})")->engineError, "the engine reports an error");
-  const auto noObject = parseChunk("1");
-  ASSERT_FALSE(noObject.hasValue());
-  EXPECT_EQ(message(noObject.error()), "an event of the answer is not a JSON object");
+  const auto notAnObject = parseChunk("1");
+  ASSERT_FALSE(notAnObject.hasValue());
+  EXPECT_EQ(message(notAnObject.error()), "an event of the answer is not a JSON object");
 }
 
 TEST(Completions, ReadsLoadMetricsInBothForms) {
--- a/tests/engine/connection_pool_test.cpp
+++ b/tests/engine/connection_pool_test.cpp
@@ -1,4 +1,4 @@
-// The pool of connections to engines, against peers that refuse, reset and talk out of turn.
+// Tests the connection pool against peers that refuse, reset and send unsolicited bytes.
 #include "engine/connection_pool.h"
 
 #include <gtest/gtest.h>
@@ -9,107 +9,111 @@
 namespace garnethook::test {
 namespace {
 
-// Bytes that came unasked and were not read yet must not become the next answer.
+// Prevents unsolicited bytes that were not read yet from being taken for the next response.
 TEST(ConnectionPool, DoesNotReuseAConnectionWithUnreadBytes) {
-  LoopRunner w;
-  ScriptedEngine e(w.loop);
-  engine::ConnectionPool pool(w.loop, {});
-  Heard second;
-  ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
-  rest(w);
-  e.seen[0].stream->send(answer("foreign"));  // and in the same turn, before the loop sees it:
-  pool.start({7}, std::make_unique<Listening>(second), kGet, 0);
-  ASSERT_TRUE(w.until([&] { return second.ends == 1; }, 1'000'000));
-  EXPECT_EQ(second.body, "mine");
+  LoopRunner runner;
+  ScriptedEngine scriptedEngine(runner.loop);
+  engine::ConnectionPool pool(runner.loop, {});
+  RecordedResponse secondResponse;
+  ASSERT_NO_FATAL_FAILURE(createIdleConnection(runner, scriptedEngine, pool));
+  waitUntilReusable(runner);
+  scriptedEngine.seen[0].stream->send(okResponse("foreign"));
+  // The next request starts before the loop reads these bytes.
+  pool.start({7}, std::make_unique<RecordingExchange>(secondResponse), kGetRequest, 0);
+  ASSERT_TRUE(runner.until([&] { return secondResponse.completions == 1; }, 1'000'000));
+  EXPECT_EQ(secondResponse.body, "mine");
   EXPECT_EQ(pool.opened(), 2u);
 }
 
-// A second answer may follow some milliseconds behind the first: a request that is sent in between would get
-// it for its own.
+// A second response may arrive some milliseconds after the first. Prevents a request that is sent in between
+// from receiving it as its own response.
 TEST(ConnectionPool, DoesNotReuseAConnectionRightAfterItsResponse) {
-  LoopRunner w;
-  ScriptedEngine e(w.loop);
-  engine::ConnectionPool pool(w.loop, {});
-  Heard second;
-  ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
-  pool.start({7}, std::make_unique<Listening>(second), kGet, 0);
-  e.seen[0].stream->send(answer("stray"));  // right behind the second request
-  ASSERT_TRUE(w.until([&] { return second.ends == 1; }, 1'000'000));
-  EXPECT_EQ(second.body, "mine");
+  LoopRunner runner;
+  ScriptedEngine scriptedEngine(runner.loop);
+  engine::ConnectionPool pool(runner.loop, {});
+  RecordedResponse secondResponse;
+  ASSERT_NO_FATAL_FAILURE(createIdleConnection(runner, scriptedEngine, pool));
+  pool.start({7}, std::make_unique<RecordingExchange>(secondResponse), kGetRequest, 0);
+  scriptedEngine.seen[0].stream->send(okResponse("stray"));  // immediately after the second request
+  ASSERT_TRUE(runner.until([&] { return secondResponse.completions == 1; }, 1'000'000));
+  EXPECT_EQ(secondResponse.body, "mine");
   EXPECT_EQ(pool.opened(), 2u);
 }
 
-// Seen in a drill with an empty list: what an endpoint held could not be released until it was listed again.
+// With an empty endpoint list, KV reservations could not be released until their endpoint was listed again.
 TEST(ConnectionPool, ReachesAnEndpointThatHasLeftTheListForSomeSeconds) {
-  LoopRunner w;
-  ScriptedEngine e(w.loop);
-  engine::ConnectionPool pool(w.loop, {});
-  ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
+  LoopRunner runner;
+  ScriptedEngine scriptedEngine(runner.loop);
+  engine::ConnectionPool pool(runner.loop, {});
+  ASSERT_NO_FATAL_FAILURE(createIdleConnection(runner, scriptedEngine, pool));
   pool.update({});
   EXPECT_FALSE(pool.isRunning({7}));
   EXPECT_TRUE(pool.listedEndpoints().empty());
   ASSERT_NE(pool.find({7}), nullptr);
-  Heard second;
-  pool.start({7}, std::make_unique<Listening>(second), kGet, 0);
-  ASSERT_TRUE(w.until([&] { return second.ends == 1; }, 1'000'000));
-  EXPECT_EQ(second.body, "mine");
+  RecordedResponse secondResponse;
+  pool.start({7}, std::make_unique<RecordingExchange>(secondResponse), kGetRequest, 0);
+  ASSERT_TRUE(runner.until([&] { return secondResponse.completions == 1; }, 1'000'000));
+  EXPECT_EQ(secondResponse.body, "mine");
 }
 
-// The time that a request tells must be what is left when it goes out, not when it was ordered.
+// The remaining time that a request states must be that at the time of writing, not at the start of the
+// attempt.
 TEST(ConnectionPool, MakesTheRequestWhenItsConnectionIsEstablished) {
-  constexpr net::Micros kLate = 200'000;
-  LoopRunner w;
-  ScriptedEngine e(w.loop);
-  engine::ConnectionPool pool(w.loop, {});
-  pool.update(only(Poco::Net::SocketAddress(e.address())));
-  Heard heard;
-  net::Micros written = 0;
-  const net::Micros ordered = w.loop.now();
-  pool.start({{1}, 0}, {7}, std::make_unique<Listening>(heard), [&](net::Micros now) {
-    written = now;
-    return kGet;
+  constexpr net::Micros kConnectDelay = 200'000;
+  LoopRunner runner;
+  ScriptedEngine scriptedEngine(runner.loop);
+  engine::ConnectionPool pool(runner.loop, {});
+  pool.update(singleEndpoint(Poco::Net::SocketAddress(scriptedEngine.address())));
+  RecordedResponse response;
+  net::Micros writtenAt = 0;
+  const net::Micros startedAt = runner.loop.now();
+  pool.start({{1}, 0}, {7}, std::make_unique<RecordingExchange>(response), [&](net::Micros now) {
+    writtenAt = now;
+    return kGetRequest;
   });
-  w.stall(kLate);  // the loop sees the connection only then
-  ASSERT_TRUE(w.until([&] { return e.seen.size() == 1; }, 1'000'000));
-  EXPECT_GE(written - ordered, kLate);
+  runner.stall(kConnectDelay);  // the loop does not process the connection before
+  ASSERT_TRUE(runner.until([&] { return scriptedEngine.seen.size() == 1; }, 1'000'000));
+  EXPECT_GE(writtenAt - startedAt, kConnectDelay);
   pool.cancel({{1}, 0});
 }
 
 TEST(ConnectionPool, DoesNotWriteARequestThatIsTooLateWhenItsConnectionIsEstablished) {
-  for (const bool kept : {false, true}) {
-    LoopRunner w;
-    ScriptedEngine e(w.loop);
-    engine::ConnectionPool pool(w.loop, {});
-    if (kept) {
-      ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
-      rest(w);
+  for (const bool useIdle : {false, true}) {
+    LoopRunner runner;
+    ScriptedEngine scriptedEngine(runner.loop);
+    engine::ConnectionPool pool(runner.loop, {});
+    if (useIdle) {
+      ASSERT_NO_FATAL_FAILURE(createIdleConnection(runner, scriptedEngine, pool));
+      waitUntilReusable(runner);
     } else {
-      pool.update(only(Poco::Net::SocketAddress(e.address())));
+      pool.update(singleEndpoint(Poco::Net::SocketAddress(scriptedEngine.address())));
     }
-    const std::size_t before = e.seen.size();
-    Heard heard;
-    pool.start({{1}, 0}, {7}, std::make_unique<Listening>(heard), [](net::Micros) { return std::nullopt; });
-    EXPECT_FALSE(heard.failed);  // not from within the call
-    ASSERT_TRUE(w.until([&] { return heard.failed.has_value(); }, 1'000'000));
-    EXPECT_EQ(*heard.failed, Outcome::connectFailed);
-    w.pass(20'000);
-    EXPECT_EQ(e.seen.size(), before);
+    const std::size_t requestsBefore = scriptedEngine.seen.size();
+    RecordedResponse response;
+    pool.start({{1}, 0}, {7}, std::make_unique<RecordingExchange>(response),
+               [](net::Micros) { return std::nullopt; });
+    EXPECT_FALSE(response.failure);  // must not be reported from within start()
+    ASSERT_TRUE(runner.until([&] { return response.failure.has_value(); }, 1'000'000));
+    EXPECT_EQ(*response.failure, Outcome::connectFailed);
+    runner.pass(20'000);
+    EXPECT_EQ(scriptedEngine.seen.size(), requestsBefore);
     EXPECT_EQ(pool.attempts(), 0u);
   }
 }
 
-// A request whose arrival has to show goes on a new connection, though a kept one is good.
+// A request whose delivery must be verifiable is sent on a new connection even if an idle one is usable.
 TEST(ConnectionPool, OpensANewConnectionWhenReuseIsNotAllowed) {
   for (const auto reuse : {engine::ConnectionReuse::allowed, engine::ConnectionReuse::never}) {
-    LoopRunner w;
-    ScriptedEngine e(w.loop);
-    engine::ConnectionPool pool(w.loop, {});
-    Heard second;
-    ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
-    rest(w);
-    e.script = nullptr;  // it takes the request and says nothing
-    pool.start({{1}, 0}, {7}, std::make_unique<Listening>(second), engine::fixedRequest(kGet), reuse);
-    ASSERT_TRUE(w.until([&] { return e.seen.size() == 2; }, 1'000'000));
+    LoopRunner runner;
+    ScriptedEngine scriptedEngine(runner.loop);
+    engine::ConnectionPool pool(runner.loop, {});
+    RecordedResponse secondResponse;
+    ASSERT_NO_FATAL_FAILURE(createIdleConnection(runner, scriptedEngine, pool));
+    waitUntilReusable(runner);
+    scriptedEngine.script = nullptr;  // reads the request and does not respond
+    pool.start({{1}, 0}, {7}, std::make_unique<RecordingExchange>(secondResponse),
+               engine::fixedRequest(kGetRequest), reuse);
+    ASSERT_TRUE(runner.until([&] { return scriptedEngine.seen.size() == 2; }, 1'000'000));
     EXPECT_EQ(pool.opened(), reuse == engine::ConnectionReuse::never ? 2u : 1u);
     EXPECT_EQ(pool.deliveryState({{1}, 0}), reuse == engine::ConnectionReuse::never
                                                 ? routing::DeliveryState::connected
@@ -118,179 +122,186 @@
   }
 }
 
-// Releases that wait for silent engines took the connections of attempts: sound engines counted as full.
+// Releases waiting for unresponsive engines used up the connections of attempts, so that healthy engines
+// appeared to be at their limit.
 TEST(ConnectionPool, DoesNotCountReleasesAgainstTheLimitOfAttempts) {
-  LoopRunner w;
-  ScriptedEngine e(w.loop);  // says nothing
+  LoopRunner runner;
+  ScriptedEngine scriptedEngine(runner.loop);  // does not respond
   engine::Options options;
   options.allConnections = 2;
   options.controlConnections = 3;
-  engine::ConnectionPool pool(w.loop, options);
-  pool.update(only(Poco::Net::SocketAddress(e.address())));
-  Heard heard;
-  for (int i = 0; i < 3; ++i) {
+  engine::ConnectionPool pool(runner.loop, options);
+  pool.update(singleEndpoint(Poco::Net::SocketAddress(scriptedEngine.address())));
+  RecordedResponse response;
+  for (int index = 0; index < 3; ++index) {
     EXPECT_FALSE(pool.isControlFull());
-    pool.start({7}, std::make_unique<Listening>(heard), kGet, 0);
+    pool.start({7}, std::make_unique<RecordingExchange>(response), kGetRequest, 0);
   }
   EXPECT_TRUE(pool.isControlFull());
-  for (int i = 0; i < 2; ++i) {
+  for (int index = 0; index < 2; ++index) {
     EXPECT_FALSE(pool.isFull({7}));
-    pool.start({{1}, i}, {7}, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
+    pool.start({{1}, index}, {7}, std::make_unique<RecordingExchange>(response),
+               engine::fixedRequest(kGetRequest));
   }
   EXPECT_TRUE(pool.isFull({7}));
   pool.cancel({{1}, 0});
   EXPECT_FALSE(pool.isFull({7}));
 }
 
-// A list of changes leaves the others as they are; what has gone is forgotten once its exchanges are over.
+// A delta leaves other endpoints unchanged; a removed endpoint is forgotten once its exchanges have ended.
 TEST(ConnectionPool, LeavesOtherEndpointsAloneWhenChangesAreApplied) {
-  LoopRunner w;
-  ScriptedEngine e(w.loop);  // answers when the test says so
-  engine::ConnectionPool pool(w.loop, {.keepUnlisted = 0});
-  auto engine = only(Poco::Net::SocketAddress(e.address()));
-  pool.update(engine);
-  membership::EndpointMap changes{{"f", engine.at("e")}};
+  LoopRunner runner;
+  ScriptedEngine scriptedEngine(runner.loop);  // responds when the test sends the response
+  engine::ConnectionPool pool(runner.loop, {.unlistedRetention = 0});
+  auto endpointMap = singleEndpoint(Poco::Net::SocketAddress(scriptedEngine.address()));
+  pool.update(endpointMap);
+  membership::EndpointMap changes{{"f", endpointMap.at("e")}};
   changes["f"].name = "f";
   changes["f"].id = {8};
   pool.apply(changes);
   EXPECT_EQ(pool.listedEndpoints(), (std::vector<EndpointId>{{7}, {8}}));
-  Heard heard;
-  pool.start({{1}, 0}, {7}, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
-  ASSERT_TRUE(w.until([&] { return e.seen.size() == 1; }, 1'000'000));
-  engine["e"].state = EndpointState::removed;
-  pool.apply(engine);
+  RecordedResponse response;
+  pool.start({{1}, 0}, {7}, std::make_unique<RecordingExchange>(response), engine::fixedRequest(kGetRequest));
+  ASSERT_TRUE(runner.until([&] { return scriptedEngine.seen.size() == 1; }, 1'000'000));
+  endpointMap["e"].state = EndpointState::removed;
+  pool.apply(endpointMap);
   EXPECT_EQ(pool.listedEndpoints(), (std::vector<EndpointId>{{8}}));
   EXPECT_FALSE(pool.isRunning({7}));
-  EXPECT_NE(pool.find({7}), nullptr);  // its exchange goes on
-  e.seen[0].stream->send(answer("whole"));
-  ASSERT_TRUE(w.until([&] { return heard.ends == 1; }, 1'000'000));
+  EXPECT_NE(pool.find({7}), nullptr);  // its exchange continues
+  scriptedEngine.seen[0].stream->send(okResponse("whole"));
+  ASSERT_TRUE(runner.until([&] { return response.completions == 1; }, 1'000'000));
   pool.apply({});
   EXPECT_EQ(pool.find({7}), nullptr);
   EXPECT_TRUE(pool.isRunning({8}));
 }
 
-// An engine that others of its connections stand with is dialled once more; one that none stands with is not.
+// A refused connection is retried once if the engine has other open connections, and not otherwise.
 TEST(ConnectionPool, RetriesARefusedConnectionOnceWhenOthersAreOpen) {
-  for (const bool standing : {true, false}) {
-    LoopRunner w;
-    auto e = std::make_unique<ScriptedEngine>(w.loop);
-    const Poco::Net::SocketAddress address(e->address());
-    engine::ConnectionPool pool(w.loop, {});
-    pool.update(only(address));
-    Heard open, tried;
-    if (standing) {
-      pool.start({{1}, 0}, {7}, std::make_unique<Listening>(open), engine::fixedRequest(kGet));
-      ASSERT_TRUE(w.until([&] { return e->seen.size() == 1; }, 1'000'000));
+  for (const bool hasOpenConnection : {true, false}) {
+    LoopRunner runner;
+    auto scriptedEngine = std::make_unique<ScriptedEngine>(runner.loop);
+    const Poco::Net::SocketAddress address(scriptedEngine->address());
+    engine::ConnectionPool pool(runner.loop, {});
+    pool.update(singleEndpoint(address));
+    RecordedResponse openResponse, retriedResponse;
+    if (hasOpenConnection) {
+      pool.start({{1}, 0}, {7}, std::make_unique<RecordingExchange>(openResponse),
+                 engine::fixedRequest(kGetRequest));
+      ASSERT_TRUE(runner.until([&] { return scriptedEngine->seen.size() == 1; }, 1'000'000));
     }
-    e->stopListening();
-    std::unique_ptr<net::Listener> again;
+    scriptedEngine->stopListening();
+    std::unique_ptr<net::Listener> reopenedListener;
     std::vector<Poco::Net::StreamSocket> accepted;
-    pool.start({{2}, 0}, {7}, std::make_unique<Listening>(tried), engine::fixedRequest(kGet));
-    w.loop.post([&] {
-      again = std::make_unique<net::Listener>(w.loop, address, [&](auto s) { accepted.push_back(s); });
+    pool.start({{2}, 0}, {7}, std::make_unique<RecordingExchange>(retriedResponse),
+               engine::fixedRequest(kGetRequest));
+    runner.loop.post([&] {
+      reopenedListener = std::make_unique<net::Listener>(runner.loop, address,
+                                                         [&](auto socket) { accepted.push_back(socket); });
     });
-    EXPECT_EQ(w.until([&] { return !accepted.empty(); }, 300'000), standing);
-    EXPECT_EQ(tried.failed.has_value(), !standing);
-    EXPECT_EQ(tried.failed.value_or(Outcome::connectFailed), Outcome::connectFailed);
+    EXPECT_EQ(runner.until([&] { return !accepted.empty(); }, 300'000), hasOpenConnection);
+    EXPECT_EQ(retriedResponse.failure.has_value(), !hasOpenConnection);
+    EXPECT_EQ(retriedResponse.failure.value_or(Outcome::connectFailed), Outcome::connectFailed);
   }
 }
 
-// A request that never was written whole has not run; one that was may have.
+// A request that was not written completely was not executed; one that was is possibly executed.
 TEST(ConnectionPool, ReportsABreakBeforeTheRequestIsWrittenAsNotExecuted) {
-  for (const bool whole : {false, true}) {
-    LoopRunner w;
+  for (const bool isComplete : {false, true}) {
+    LoopRunner runner;
     std::vector<Poco::Net::StreamSocket> accepted;  // never read
-    net::Listener listener(w.loop, Poco::Net::SocketAddress("127.0.0.1", 0),
-                           [&](auto s) { accepted.push_back(s); });
-    engine::ConnectionPool pool(w.loop, {});
-    pool.update(only(listener.address()));
-    Heard heard;
-    pool.start({{1}, 0}, {7}, std::make_unique<Listening>(heard),
-               engine::fixedRequest(kGet + (whole ? std::string() : std::string(32u << 20, 'x'))));
-    ASSERT_TRUE(w.until([&] { return accepted.size() == 1; }, 1'000'000));
-    w.pass(30'000);
+    net::Listener listener(runner.loop, Poco::Net::SocketAddress("127.0.0.1", 0),
+                           [&](auto socket) { accepted.push_back(socket); });
+    engine::ConnectionPool pool(runner.loop, {});
+    pool.update(singleEndpoint(listener.address()));
+    RecordedResponse response;
+    pool.start(
+        {{1}, 0}, {7}, std::make_unique<RecordingExchange>(response),
+        engine::fixedRequest(kGetRequest + (isComplete ? std::string() : std::string(32u << 20, 'x'))));
+    ASSERT_TRUE(runner.until([&] { return accepted.size() == 1; }, 1'000'000));
+    runner.pass(30'000);
     accepted[0].setLinger(true, 0);
     accepted[0].close();
-    ASSERT_TRUE(w.until([&] { return heard.failed.has_value(); }, 1'000'000));
-    EXPECT_EQ(*heard.failed, whole ? Outcome::connectionReset : Outcome::connectFailed);
+    ASSERT_TRUE(runner.until([&] { return response.failure.has_value(); }, 1'000'000));
+    EXPECT_EQ(*response.failure, isComplete ? Outcome::connectionReset : Outcome::connectFailed);
   }
 }
 
-// What changed between the order and the moment in which its connection is up.
-enum class Meanwhile { nothing, drains, goes, tooLate };
-class LateConnection : public testing::TestWithParam<Meanwhile> {};
+// What changes between the start of an attempt and the establishment of its connection.
+enum class ChangeBeforeConnect { none, endpointDraining, endpointRemoved, pastDeadline };
+class LateConnection : public testing::TestWithParam<ChangeBeforeConnect> {};
 INSTANTIATE_TEST_SUITE_P(All, LateConnection,
-                         testing::Values(Meanwhile::nothing, Meanwhile::drains, Meanwhile::goes,
-                                         Meanwhile::tooLate));
+                         testing::Values(ChangeBeforeConnect::none, ChangeBeforeConnect::endpointDraining,
+                                         ChangeBeforeConnect::endpointRemoved,
+                                         ChangeBeforeConnect::pastDeadline));
 
 TEST_P(LateConnection, SendsNothingToADrainingEndpointOrAfterItsDeadline) {
-  LoopRunner w;
-  ScriptedEngine e(w.loop);
-  AttemptEnds ends;
-  platform::PlatformEngineClient engines(w.loop, {}, {}, 0, "a");
-  engines.setEvents(ends);
-  membership::EndpointMap map = only(Poco::Net::SocketAddress(e.address()));
-  engines.update(map);
+  LoopRunner runner;
+  ScriptedEngine scriptedEngine(runner.loop);
+  AttemptRecorder attemptRecorder;
+  platform::PlatformEngineClient engineClient(runner.loop, {}, {}, 0, "a");
+  engineClient.setEvents(attemptRecorder);
+  membership::EndpointMap endpoints = singleEndpoint(Poco::Net::SocketAddress(scriptedEngine.address()));
+  engineClient.update(endpoints);
   routing::Request request;
   request.target = "/v1/chat/completions";
   request.body = std::make_shared<const std::string>("{}");
-  routing::AttemptSpec order{
+  routing::AttemptSpec attemptSpec{
       .attempt = {{1}, 0}, .endpoint = {7}, .request = &request, .traceId = "x", .timeout = 1'000'000};
-  if (GetParam() == Meanwhile::tooLate) order.sendBy = w.loop.now() + 1'000;
-  engines.begin(order);
-  if (GetParam() == Meanwhile::drains) map["e"].state = EndpointState::draining;
-  if (GetParam() == Meanwhile::goes) map.clear();
-  engines.update(map);
-  w.stall(10'000);
-  if (GetParam() == Meanwhile::nothing) {
-    EXPECT_TRUE(w.until([&] { return e.seen.size() == 1; }, 1'000'000));
-    return engines.cancel(order.attempt);
+  if (GetParam() == ChangeBeforeConnect::pastDeadline) attemptSpec.sendBy = runner.loop.now() + 1'000;
+  engineClient.begin(attemptSpec);
+  if (GetParam() == ChangeBeforeConnect::endpointDraining) endpoints["e"].state = EndpointState::draining;
+  if (GetParam() == ChangeBeforeConnect::endpointRemoved) endpoints.clear();
+  engineClient.update(endpoints);
+  runner.stall(10'000);
+  if (GetParam() == ChangeBeforeConnect::none) {
+    EXPECT_TRUE(runner.until([&] { return scriptedEngine.seen.size() == 1; }, 1'000'000));
+    return engineClient.cancel(attemptSpec.attempt);
   }
-  ASSERT_TRUE(w.until([&] { return !ends.ends.empty(); }, 1'000'000));
-  EXPECT_EQ(ends.ends[0].outcome, Outcome::connectFailed);
-  w.pass(20'000);
-  EXPECT_TRUE(e.seen.empty());
+  ASSERT_TRUE(runner.until([&] { return !attemptRecorder.results.empty(); }, 1'000'000));
+  EXPECT_EQ(attemptRecorder.results[0].outcome, Outcome::connectFailed);
+  runner.pass(20'000);
+  EXPECT_TRUE(scriptedEngine.seen.empty());
 }
 
-// An engine whose address can't be used, or that is not listed, was never reached.
+// No connection is made to an engine whose address is unusable or that is not listed.
 TEST(PlatformEngineClient, ReportsAnAttemptAtAnUnusableAddressAsNotSent) {
-  for (const bool listed : {true, false}) {
-    LoopRunner w;
-    AttemptEnds ends;
-    platform::PlatformEngineClient engines(w.loop, {}, {}, 0, "a");
-    engines.setEvents(ends);
-    membership::EndpointMap map = only(Poco::Net::SocketAddress("127.0.0.1", 1));
-    map["e"].host = "::nowhere::";
-    if (listed) engines.update(map);
+  for (const bool isListed : {true, false}) {
+    LoopRunner runner;
+    AttemptRecorder attemptRecorder;
+    platform::PlatformEngineClient engineClient(runner.loop, {}, {}, 0, "a");
+    engineClient.setEvents(attemptRecorder);
+    membership::EndpointMap endpoints = singleEndpoint(Poco::Net::SocketAddress("127.0.0.1", 1));
+    endpoints["e"].host = "::nowhere::";
+    if (isListed) engineClient.update(endpoints);
     routing::Request request;
     request.target = "/v1/chat/completions";
     request.body = std::make_shared<const std::string>("{}");
-    engines.begin(
+    engineClient.begin(
         {.attempt = {{1}, 0}, .endpoint = {7}, .request = &request, .traceId = "x", .timeout = 1'000'000});
-    ASSERT_TRUE(w.until([&] { return !ends.ends.empty(); }, 1'000'000));
-    EXPECT_EQ(ends.ends[0].outcome, Outcome::connectFailed);
+    ASSERT_TRUE(runner.until([&] { return !attemptRecorder.results.empty(); }, 1'000'000));
+    EXPECT_EQ(attemptRecorder.results[0].outcome, Outcome::connectFailed);
   }
 }
 
-// An attempt that found no room among the router's own connections tells nothing of its engine.
+// An attempt that fails for lack of a free connection on the router is not evidence against its engine.
 TEST(PlatformEngineClient, ReportsAnAttemptWithoutAFreeConnectionAsNotSent) {
-  LoopRunner w;
-  ScriptedEngine e(w.loop);
-  AttemptEnds ends;
-  platform::PlatformEngineClient engines(w.loop, {.connections = 1}, {}, 0, "a");
-  engines.setEvents(ends);
-  engines.update(only(Poco::Net::SocketAddress(e.address())));
+  LoopRunner runner;
+  ScriptedEngine scriptedEngine(runner.loop);
+  AttemptRecorder attemptRecorder;
+  platform::PlatformEngineClient engineClient(runner.loop, {.connections = 1}, {}, 0, "a");
+  engineClient.setEvents(attemptRecorder);
+  engineClient.update(singleEndpoint(Poco::Net::SocketAddress(scriptedEngine.address())));
   routing::Request request;
   request.target = "/v1/chat/completions";
   request.body = std::make_shared<const std::string>("{}");
-  engines.begin(
+  engineClient.begin(
       {.attempt = {{1}, 0}, .endpoint = {7}, .request = &request, .traceId = "x", .timeout = 1'000'000});
-  engines.begin(
+  engineClient.begin(
       {.attempt = {{2}, 0}, .endpoint = {7}, .request = &request, .traceId = "y", .timeout = 1'000'000});
-  ASSERT_TRUE(w.until([&] { return !ends.ends.empty(); }, 1'000'000));
-  EXPECT_EQ(ends.ends[0].outcome, Outcome::rejected);
-  EXPECT_FALSE(ends.ends[0].leftRouter);
-  engines.cancel({{1}, 0});
+  ASSERT_TRUE(runner.until([&] { return !attemptRecorder.results.empty(); }, 1'000'000));
+  EXPECT_EQ(attemptRecorder.results[0].outcome, Outcome::rejected);
+  EXPECT_FALSE(attemptRecorder.results[0].leftRouter);
+  engineClient.cancel({{1}, 0});
 }
 
 }  // namespace
--- a/tests/engine/connection_test.cpp
+++ b/tests/engine/connection_test.cpp
@@ -1,5 +1,5 @@
-// How connections to engines end, by rows of docs/endings.md: at rest, as they come up, beside their
-// exchange.
+// Tests how connections to engines end, by rows of docs/endings.md: while idle, while connecting and during
+// an exchange.
 #include <sys/socket.h>
 
 #include "engine/connection_pool.h"
@@ -8,23 +8,24 @@
 namespace garnethook::test {
 namespace {
 
-constexpr net::Micros kShort = 50'000;
+constexpr net::Micros kShortTimeout = 50'000;
 constexpr net::Micros kSecond = 1'000'000;
 
 struct EngineConnection : testing::Test {
-  // An exchange with the engine, as an attempt.
-  void run(engine::ConnectionPool& pool, std::uint64_t attempt = 1, EndpointId endpoint = {7}) {
-    pool.start({{attempt}, 0}, endpoint, std::make_unique<Listening>(heard), engine::fixedRequest(kGet));
+  // Starts an exchange with the engine as an attempt.
+  void startAttempt(engine::ConnectionPool& pool, std::uint64_t attempt = 1, EndpointId endpoint = {7}) {
+    pool.start({{attempt}, 0}, endpoint, std::make_unique<RecordingExchange>(response),
+               engine::fixedRequest(kGetRequest));
   }
-  LoopRunner w;
-  ScriptedEngine e{w.loop};
-  Heard heard;
+  LoopRunner runner;
+  ScriptedEngine scriptedEngine{runner.loop};
+  RecordedResponse response;
 };
 
-// A machine on which connections never come up: its queue is full, and nobody accepts.
-class SilentMachine {
+// A listener on which connections are never established: its backlog is full, and nothing accepts from it.
+class FullBacklogListener {
  public:
-  SilentMachine() {
+  FullBacklogListener() {
     listener_.bind(Poco::Net::SocketAddress("127.0.0.1", 0), true, false);
     listener_.listen(0);
     for (auto& filler : fillers_) filler.connectNB(listener_.address());
@@ -36,166 +37,169 @@
   std::array<Poco::Net::StreamSocket, 4> fillers_;
 };
 
-// ---- at rest ----
+// ---- while idle ----
 
 TEST_F(EngineConnection, IsNotReusedWhenItsEngineClosedItWhileIdle) {
-  engine::ConnectionPool pool(w.loop, {});
-  ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
-  rest(w);
-  e.seen[0].stream->close();
-  run(pool);  // the close is there, unread
-  ASSERT_TRUE(w.until([&] { return heard.ends == 1; }, kSecond));
+  engine::ConnectionPool pool(runner.loop, {});
+  ASSERT_NO_FATAL_FAILURE(createIdleConnection(runner, scriptedEngine, pool));
+  waitUntilReusable(runner);
+  scriptedEngine.seen[0].stream->close();
+  startAttempt(pool);  // the close has arrived but has not been read
+  ASSERT_TRUE(runner.until([&] { return response.completions == 1; }, kSecond));
   EXPECT_EQ(pool.opened(), 2u);
-  EXPECT_FALSE(heard.failed);
+  EXPECT_FALSE(response.failure);
 }
 
 TEST_F(EngineConnection, DoesNotMixUnsolicitedBytesIntoTheNextResponse) {
-  for (const bool seenBefore : {false, true}) {
-    ScriptedEngine engine(w.loop);
-    engine::ConnectionPool pool(w.loop, {});
-    ASSERT_NO_FATAL_FAILURE(keepOne(w, engine, pool));
-    rest(w);
-    engine.seen[0].stream->send("HTTP/1.1 20");
-    if (seenBefore) {
-      EXPECT_TRUE(w.until([&] { return pool.idleConnections() == 0; }, kSecond));
+  for (const bool isReadWhileIdle : {false, true}) {
+    ScriptedEngine localEngine(runner.loop);
+    engine::ConnectionPool pool(runner.loop, {});
+    ASSERT_NO_FATAL_FAILURE(createIdleConnection(runner, localEngine, pool));
+    waitUntilReusable(runner);
+    localEngine.seen[0].stream->send("HTTP/1.1 20");
+    if (isReadWhileIdle) {
+      EXPECT_TRUE(runner.until([&] { return pool.idleConnections() == 0; }, kSecond));
     }
-    Heard second;
-    pool.start({{1}, 0}, {7}, std::make_unique<Listening>(second), engine::fixedRequest(kGet));
-    ASSERT_TRUE(w.until([&] { return second.ends == 1; }, kSecond));
-    EXPECT_EQ(second.body, "mine");
+    RecordedResponse secondResponse;
+    pool.start({{1}, 0}, {7}, std::make_unique<RecordingExchange>(secondResponse),
+               engine::fixedRequest(kGetRequest));
+    ASSERT_TRUE(runner.until([&] { return secondResponse.completions == 1; }, kSecond));
+    EXPECT_EQ(secondResponse.body, "mine");
     EXPECT_EQ(pool.opened(), 2u);
   }
 }
 
 TEST_F(EngineConnection, IsClosedAfterItsIdleTimeout) {
-  engine::ConnectionPool pool(w.loop, {.idleTimeout = kShort});
-  ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
-  EXPECT_TRUE(w.until([&] { return e.gone() == 1; }, kSecond));
+  engine::ConnectionPool pool(runner.loop, {.idleTimeout = kShortTimeout});
+  ASSERT_NO_FATAL_FAILURE(createIdleConnection(runner, scriptedEngine, pool));
+  EXPECT_TRUE(runner.until([&] { return scriptedEngine.gone() == 1; }, kSecond));
   EXPECT_EQ(pool.idleConnections(), 0u);
 }
 
 TEST_F(EngineConnection, KeepsItsExchangeWhenItIsReusedAsItsIdleTimeoutFires) {
-  engine::ConnectionPool pool(w.loop, {.idleTimeout = kShort});
-  ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
-  w.stall(2 * kShort);  // the timer is due
-  run(pool);
-  ASSERT_TRUE(w.until([&] { return heard.ends == 1; }, kSecond));
-  EXPECT_FALSE(heard.failed);
+  engine::ConnectionPool pool(runner.loop, {.idleTimeout = kShortTimeout});
+  ASSERT_NO_FATAL_FAILURE(createIdleConnection(runner, scriptedEngine, pool));
+  runner.stall(2 * kShortTimeout);  // the idle timer is due
+  startAttempt(pool);
+  ASSERT_TRUE(runner.until([&] { return response.completions == 1; }, kSecond));
+  EXPECT_FALSE(response.failure);
   EXPECT_EQ(pool.opened(), 1u);
 }
 
 TEST_F(EngineConnection, IsEvictedWhileIdleWhenAllConnectionsAreInUse) {
-  ScriptedEngine other(w.loop);
-  engine::ConnectionPool pool(w.loop, {.allConnections = 1});
-  ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
-  auto engines = only(Poco::Net::SocketAddress(e.address()));
-  engines["f"] = only(Poco::Net::SocketAddress(other.address())).at("e");
-  engines["f"].name = "f";
-  engines["f"].id = {8};
-  pool.update(engines);
-  other.script = e.script;
-  run(pool, 1, {8});
-  ASSERT_TRUE(w.until([&] { return heard.ends == 1 && e.gone() == 1; }, kSecond));
+  ScriptedEngine otherEngine(runner.loop);
+  engine::ConnectionPool pool(runner.loop, {.allConnections = 1});
+  ASSERT_NO_FATAL_FAILURE(createIdleConnection(runner, scriptedEngine, pool));
+  auto endpoints = singleEndpoint(Poco::Net::SocketAddress(scriptedEngine.address()));
+  endpoints["f"] = singleEndpoint(Poco::Net::SocketAddress(otherEngine.address())).at("e");
+  endpoints["f"].name = "f";
+  endpoints["f"].id = {8};
+  pool.update(endpoints);
+  otherEngine.script = scriptedEngine.script;
+  startAttempt(pool, 1, {8});
+  ASSERT_TRUE(runner.until([&] { return response.completions == 1 && scriptedEngine.gone() == 1; }, kSecond));
   EXPECT_EQ(pool.idleConnections(), 1u);
 }
 
-// ---- its engine leaves, moves or starts anew ----
+// ---- its engine leaves the list or restarts ----
 
 TEST_F(EngineConnection, IsClosedWhileIdleWhenItsEngineRestarts) {
-  engine::ConnectionPool pool(w.loop, {});
-  ASSERT_NO_FATAL_FAILURE(keepOne(w, e, pool));
-  auto restarted = only(Poco::Net::SocketAddress(e.address()));
+  engine::ConnectionPool pool(runner.loop, {});
+  ASSERT_NO_FATAL_FAILURE(createIdleConnection(runner, scriptedEngine, pool));
+  auto restarted = singleEndpoint(Poco::Net::SocketAddress(scriptedEngine.address()));
   restarted["e"].startedAt = {1};
   pool.update(restarted);
   EXPECT_EQ(pool.idleConnections(), 0u);
-  EXPECT_TRUE(w.until([&] { return e.gone() == 1; }, kSecond));
+  EXPECT_TRUE(runner.until([&] { return scriptedEngine.gone() == 1; }, kSecond));
 }
 
 TEST_F(EngineConnection, KeepsItsExchangeWhenItsEngineLeavesTheListDrainsOrRestarts) {
   enum class Change { leaves, drains, restarts };
   for (const Change change : {Change::leaves, Change::drains, Change::restarts}) {
-    ScriptedEngine engine(w.loop);  // answers when the test says so
-    engine::ConnectionPool pool(w.loop, {});
-    auto list = only(Poco::Net::SocketAddress(engine.address()));
-    pool.update(list);
-    Heard open;
-    pool.start({{1}, 0}, {7}, std::make_unique<Listening>(open), engine::fixedRequest(kGet));
-    ASSERT_TRUE(w.until([&] { return engine.seen.size() == 1; }, kSecond));
-    if (change == Change::leaves) list.clear();
-    if (change == Change::drains) list["e"].state = EndpointState::draining;
-    if (change == Change::restarts) list["e"].startedAt = {1};
-    pool.update(list);
-    engine.seen[0].stream->send(answer("whole"));
-    ASSERT_TRUE(w.until([&] { return open.ends == 1; }, kSecond));
-    EXPECT_EQ(open.body, "whole");
-    EXPECT_FALSE(open.failed);
+    ScriptedEngine localEngine(runner.loop);  // responds when the test sends the response
+    engine::ConnectionPool pool(runner.loop, {});
+    auto endpointList = singleEndpoint(Poco::Net::SocketAddress(localEngine.address()));
+    pool.update(endpointList);
+    RecordedResponse openResponse;
+    pool.start({{1}, 0}, {7}, std::make_unique<RecordingExchange>(openResponse),
+               engine::fixedRequest(kGetRequest));
+    ASSERT_TRUE(runner.until([&] { return localEngine.seen.size() == 1; }, kSecond));
+    if (change == Change::leaves) endpointList.clear();
+    if (change == Change::drains) endpointList["e"].state = EndpointState::draining;
+    if (change == Change::restarts) endpointList["e"].startedAt = {1};
+    pool.update(endpointList);
+    localEngine.seen[0].stream->send(okResponse("whole"));
+    ASSERT_TRUE(runner.until([&] { return openResponse.completions == 1; }, kSecond));
+    EXPECT_EQ(openResponse.body, "whole");
+    EXPECT_FALSE(openResponse.failure);
     EXPECT_EQ(pool.attempts(), 0u);
     EXPECT_EQ(pool.idleConnections(), change == Change::leaves ? 0u : 1u);
   }
 }
 
-// ---- as it comes up ----
+// ---- while connecting ----
 
 TEST_F(EngineConnection, ReportsAConnectTimeoutAsNotExecuted) {
-  SilentMachine machine;
-  engine::ConnectionPool pool(w.loop, {.connectTimeout = kShort});
-  pool.update(only(machine.address()));
-  const net::Micros before = w.loop.now();
-  run(pool);
-  ASSERT_TRUE(w.until([&] { return heard.failed.has_value(); }, kSecond));
-  EXPECT_EQ(*heard.failed, Outcome::connectFailed);
-  EXPECT_GE(w.loop.now() - before, kShort);
+  FullBacklogListener fullListener;
+  engine::ConnectionPool pool(runner.loop, {.connectTimeout = kShortTimeout});
+  pool.update(singleEndpoint(fullListener.address()));
+  const net::Micros startTime = runner.loop.now();
+  startAttempt(pool);
+  ASSERT_TRUE(runner.until([&] { return response.failure.has_value(); }, kSecond));
+  EXPECT_EQ(*response.failure, Outcome::connectFailed);
+  EXPECT_GE(runner.loop.now() - startTime, kShortTimeout);
   EXPECT_EQ(pool.busyConnections(), 0u);
 }
 
 TEST_F(EngineConnection, SendsNothingWhenItIsEstablishedAsItsTimeoutFires) {
-  engine::ConnectionPool pool(w.loop, {.connectTimeout = kShort});
-  pool.update(only(Poco::Net::SocketAddress(e.address())));
-  run(pool);
-  w.stall(2 * kShort);  // it is up, and its timer is due
-  ASSERT_TRUE(w.until([&] { return heard.failed.has_value(); }, kSecond));
-  EXPECT_EQ(*heard.failed, Outcome::connectFailed);
-  w.pass(kShort);
-  EXPECT_TRUE(e.seen.empty());
+  engine::ConnectionPool pool(runner.loop, {.connectTimeout = kShortTimeout});
+  pool.update(singleEndpoint(Poco::Net::SocketAddress(scriptedEngine.address())));
+  startAttempt(pool);
+  runner.stall(2 * kShortTimeout);  // the connection is established, and its timer is due
+  ASSERT_TRUE(runner.until([&] { return response.failure.has_value(); }, kSecond));
+  EXPECT_EQ(*response.failure, Outcome::connectFailed);
+  runner.pass(kShortTimeout);
+  EXPECT_TRUE(scriptedEngine.seen.empty());
 }
 
 TEST_F(EngineConnection, SendsNothingForAnAttemptCancelledWhileItConnects) {
-  engine::ConnectionPool pool(w.loop, {});
-  pool.update(only(Poco::Net::SocketAddress(e.address())));
-  run(pool);
+  engine::ConnectionPool pool(runner.loop, {});
+  pool.update(singleEndpoint(Poco::Net::SocketAddress(scriptedEngine.address())));
+  startAttempt(pool);
   pool.cancel({{1}, 0});
-  w.pass(2 * kShort);
-  EXPECT_TRUE(e.seen.empty());
+  runner.pass(2 * kShortTimeout);
+  EXPECT_TRUE(scriptedEngine.seen.empty());
   EXPECT_EQ(pool.busyConnections() + pool.idleConnections(), 0u);
-  EXPECT_FALSE(heard.failed);
+  EXPECT_FALSE(response.failure);
 }
 
-// ---- beside its exchange ----
+// ---- during an exchange ----
 
 TEST_F(EngineConnection, EndsAnExchangeWithoutResponseAtItsTimeout) {
-  engine::ConnectionPool pool(w.loop, {});
-  pool.update(only(Poco::Net::SocketAddress(e.address())));
-  pool.start({7}, std::make_unique<Listening>(heard), kGet, kShort);
-  ASSERT_TRUE(w.until([&] { return heard.failed.has_value() && e.gone() == 1; }, kSecond));
-  EXPECT_EQ(*heard.failed, Outcome::timedOut);
+  engine::ConnectionPool pool(runner.loop, {});
+  pool.update(singleEndpoint(Poco::Net::SocketAddress(scriptedEngine.address())));
+  pool.start({7}, std::make_unique<RecordingExchange>(response), kGetRequest, kShortTimeout);
+  ASSERT_TRUE(
+      runner.until([&] { return response.failure.has_value() && scriptedEngine.gone() == 1; }, kSecond));
+  EXPECT_EQ(*response.failure, Outcome::timedOut);
   EXPECT_EQ(pool.busyConnections(), 0u);
 }
 
-// What is left of a request must not come before the next one on the same connection.
+// Prevents the unwritten rest of a request from preceding the next request on the same connection.
 TEST_F(EngineConnection, IsNotReusedWhenItsResponseCameBeforeTheRequestWasWritten) {
   std::vector<Poco::Net::StreamSocket> accepted;  // never read
-  net::Listener listener(w.loop, Poco::Net::SocketAddress("127.0.0.1", 0),
+  net::Listener listener(runner.loop, Poco::Net::SocketAddress("127.0.0.1", 0),
                          [&](auto socket) { accepted.push_back(socket); });
-  engine::ConnectionPool pool(w.loop, {});
-  pool.update(only(listener.address()));
-  pool.start({{1}, 0}, {7}, std::make_unique<Listening>(heard),
-             engine::fixedRequest(kGet + std::string(32u << 20, 'x')));
-  ASSERT_TRUE(w.until([&] { return accepted.size() == 1; }, kSecond));
-  w.pass(kShort);
-  const std::string early = answer("early");
-  accepted[0].sendBytes(early.data(), static_cast<int>(early.size()));
-  ASSERT_TRUE(w.until([&] { return heard.ends == 1; }, kSecond));
-  EXPECT_EQ(heard.body, "early");
+  engine::ConnectionPool pool(runner.loop, {});
+  pool.update(singleEndpoint(listener.address()));
+  pool.start({{1}, 0}, {7}, std::make_unique<RecordingExchange>(response),
+             engine::fixedRequest(kGetRequest + std::string(32u << 20, 'x')));
+  ASSERT_TRUE(runner.until([&] { return accepted.size() == 1; }, kSecond));
+  runner.pass(kShortTimeout);
+  const std::string earlyResponse = okResponse("early");
+  accepted[0].sendBytes(earlyResponse.data(), static_cast<int>(earlyResponse.size()));
+  ASSERT_TRUE(runner.until([&] { return response.completions == 1; }, kSecond));
+  EXPECT_EQ(response.body, "early");
   EXPECT_EQ(pool.idleConnections(), 0u);
 }
 
--- a/tests/engine/reuse_policy_test.cpp
+++ b/tests/engine/reuse_policy_test.cpp
@@ -1,4 +1,4 @@
-// Whether idle connections to engines are reused.
+// Tests when idle connections to engines are reused.
 #include "engine/reuse_policy.h"
 
 #include <gtest/gtest.h>
@@ -15,11 +15,11 @@
   for (int i = 0; i < 20; ++i) policy.record(3 * kMillisecond, false, kSecond);
   for (int i = 0; i < 5; ++i) policy.record(600 * kMillisecond, true, kSecond);
   EXPECT_TRUE(policy.mayReuse(3 * kMillisecond, false, kSecond));
-  EXPECT_FALSE(policy.mayReuse(3 * kMillisecond, true, kSecond));  // one in fifty would be too many
+  EXPECT_FALSE(policy.mayReuse(3 * kMillisecond, true, kSecond));  // a dead share of 1 in 50 is too high
   EXPECT_FALSE(policy.mayReuse(600 * kMillisecond, false, kSecond));
   for (int i = 0; i < 200; ++i) policy.record(3 * kMillisecond, false, 2 * kSecond);
   EXPECT_TRUE(policy.mayReuse(3 * kMillisecond, true, 2 * kSecond));
-  EXPECT_TRUE(policy.mayReuse(600 * kMillisecond, true, 60 * kSecond));  // forgotten
+  EXPECT_TRUE(policy.mayReuse(600 * kMillisecond, true, 60 * kSecond));  // outside the history window
 }
 
 }  // namespace
--- a/tests/support/pool_peers.h
+++ b/tests/support/pool_peers.h
@@ -1,5 +1,5 @@
-// What tests of the pool of connections to engines share: exchanges that remember what they heard, and a pool
-// with one kept connection.
+// Shared by tests of the connection pool: exchanges and clients that record responses and results, and a pool
+// with one idle connection.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,58 +15,61 @@
 
 namespace garnethook::test {
 
-struct Heard {
+struct RecordedResponse {
   std::string body;
-  int ends = 0;
-  std::optional<Outcome> failed;
+  int completions = 0;
+  std::optional<Outcome> failure;
 };
-struct Listening final : engine::Exchange {
-  explicit Listening(Heard& to) : heard(to) {}
+struct RecordingExchange final : engine::Exchange {
+  explicit RecordingExchange(RecordedResponse& recorded) : response(recorded) {}
   bool onHead(const http1::Head&) override { return true; }
   bool onBody(std::string_view bytes) override {
-    heard.body += bytes;
+    response.body += bytes;
     return true;
   }
-  void onEnd() override { ++heard.ends; }
-  void onFailed(Outcome outcome, const std::string&, bool) override { heard.failed = outcome; }
-  void onNotSent(const std::string&) override { heard.failed = Outcome::rejected; }
+  void onEnd() override { ++response.completions; }
+  void onFailed(Outcome outcome, const std::string&, bool) override { response.failure = outcome; }
+  void onNotSent(const std::string&) override { response.failure = Outcome::rejected; }
   void detach() override {}
-  Heard& heard;
+  RecordedResponse& response;
 };
 
-inline membership::EndpointMap only(const Poco::Net::SocketAddress& address) {
-  membership::EndpointSpec e;
-  e.name = "e";
-  e.id = {7};
-  e.host = address.host().toString();
-  e.port = address.port();
-  return {{"e", e}};
+inline membership::EndpointMap singleEndpoint(const Poco::Net::SocketAddress& address) {
+  membership::EndpointSpec spec;
+  spec.name = "e";
+  spec.id = {7};
+  spec.host = address.host().toString();
+  spec.port = address.port();
+  return {{"e", spec}};
 }
-inline const std::string kGet = "GET / HTTP/1.1\r\nHost: e\r\n\r\n";
-inline std::string answer(const std::string& body) {
+inline const std::string kGetRequest = "GET / HTTP/1.1\r\nHost: e\r\n\r\n";
+inline std::string okResponse(const std::string& body) {
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// One exchange with an engine that answers "mine", after which its connection is kept.
-inline void keepOne(LoopRunner& w, ScriptedEngine& e, engine::ConnectionPool& pool) {
-  e.script = [](ScriptedEngine::Request& r) { r.stream->send(answer("mine")); };
-  pool.update(only(Poco::Net::SocketAddress(e.address())));
-  Heard first;
-  pool.start({7}, std::make_unique<Listening>(first), kGet, 0);
-  ASSERT_TRUE(w.until([&] { return pool.idleConnections() == 1; }, 1'000'000));
-  EXPECT_EQ(first.ends, 1);
+// Completes one exchange with an engine that responds with "mine", after which the connection is idle.
+inline void createIdleConnection(LoopRunner& runner, ScriptedEngine& scriptedEngine,
+                                 engine::ConnectionPool& pool) {
+  scriptedEngine.script = [](ScriptedEngine::Request& request) { request.stream->send(okResponse("mine")); };
+  pool.update(singleEndpoint(Poco::Net::SocketAddress(scriptedEngine.address())));
+  RecordedResponse firstResponse;
+  pool.start({7}, std::make_unique<RecordingExchange>(firstResponse), kGetRequest, 0);
+  ASSERT_TRUE(runner.until([&] { return pool.idleConnections() == 1; }, 1'000'000));
+  EXPECT_EQ(firstResponse.completions, 1);
 }
-// Until a kept connection may be used again.
-inline void rest(LoopRunner& w) { w.pass(30'000); }
+// Waits until the idle connection is past the time in which a stray response rules out its reuse.
+inline void waitUntilReusable(LoopRunner& runner) { runner.pass(30'000); }
 
-// Told of by the router; remembers how attempts ended.
-struct AttemptEnds final : routing::EngineClientEvents {
+// Records the results of attempts.
+struct AttemptRecorder final : routing::EngineClientEvents {
   void onTokens(routing::AttemptId, std::string_view, std::uint32_t,
                 std::span<const std::uint32_t>) override {}
-  void onAttemptEnded(routing::AttemptId, const routing::AttemptResult& r) override { ends.push_back(r); }
+  void onAttemptEnded(routing::AttemptId, const routing::AttemptResult& result) override {
+    results.push_back(result);
+  }
   void onProbeEnded(EndpointId, bool, const std::optional<LoadReport>&) override {}
   void onReleaseEnded(const routing::ReleaseCall&, bool) override {}
-  std::vector<routing::AttemptResult> ends;
+  std::vector<routing::AttemptResult> results;
 };
 
 }  // namespace garnethook::test
