--- a/src/engine/completion_exchange.cpp
+++ b/src/engine/completion_exchange.cpp
@@ -35,7 +35,7 @@
     if (!parser_.receive(bytes)) finish(Outcome::error, "an event of the answer is too large");
     return !isFinished();
   }
-  const std::size_t maxBodyBytes = status_ == 200 ? options_.answerBytes : kMaxErrorBytes;
+  const std::size_t maxBodyBytes = status_ == 200 ? options_.responseBytes : kMaxErrorBytes;
   if (body_.size() + bytes.size() > maxBodyBytes) {
     if (status_ == 200)
       finish(Outcome::error, "the answer is too large");
--- a/src/engine/connection_pool.cpp
+++ b/src/engine/connection_pool.cpp
@@ -112,17 +112,17 @@
   const auto found = endpoints_.find(endpoint.value);
   if (found == endpoints_.end()) return false;
   return found->second.busyCount >= options_.connections ||
-         (options_.allConnections > 0 && attempts_.size() >= options_.allConnections);
+         (options_.totalConnections > 0 && attempts_.size() >= options_.totalConnections);
 }
 
-bool ConnectionPool::isControlFull() const {
+bool ConnectionPool::isControlLimitReached() const {
   return options_.controlConnections > 0 && busy_.size() - attempts_.size() >= options_.controlConnections;
 }
 
 // If the limit on the total number of connections is reached, closes the connection that has been idle for
 // the longest time at the endpoint with the most idle connections.
 void ConnectionPool::evictIdleAtLimit() {
-  if (options_.allConnections == 0 || busy_.size() + idleCount_ < options_.allConnections) return;
+  if (options_.totalConnections == 0 || busy_.size() + idleCount_ < options_.totalConnections) return;
   std::erase_if(endpointsWithIdle_, [](const Endpoint* endpoint) { return endpoint->idle.empty(); });
   Endpoint* largest = nullptr;
   for (Endpoint* endpoint : endpointsWithIdle_)
--- a/src/engine/connection_pool.h
+++ b/src/engine/connection_pool.h
@@ -56,7 +56,7 @@
   /// Returns whether the connection limits prevent another attempt at the endpoint.
   bool isFull(EndpointId endpoint) const;
   /// Returns whether the limit on connections for releases, probes and other control exchanges is reached.
-  bool isControlFull() const;
+  bool isControlLimitReached() const;
 
   /// Starts a control exchange, that is, one that is not an attempt.
   /// @param endpoint must be found by find()
--- a/src/engine/options.h
+++ b/src/engine/options.h
@@ -38,11 +38,11 @@
   /// Maximum number of idle connections to one endpoint.
   std::size_t idle = 64;
   /// Maximum number of connections to all endpoints, excluding those of releases and probes; 0: unlimited.
-  std::size_t allConnections = 0;
+  std::size_t totalConnections = 0;
   /// Maximum number of connections that carry releases, probes and other control exchanges; 0: unlimited.
   std::size_t controlConnections = 0;
   /// Maximum size in bytes of a response that is not streamed.
-  std::size_t answerBytes = std::size_t{4} << 20;
+  std::size_t responseBytes = std::size_t{4} << 20;
   /// Maximum size in bytes of one event of a streamed response.
   std::size_t eventBytes = std::size_t{256} << 10;
   /// Limits on every response. A streamed response has no size limit of its own, since its events are limited
--- a/src/platform/engine/platform_engine_client.cpp
+++ b/src/platform/engine/platform_engine_client.cpp
@@ -66,7 +66,7 @@
 
 // Releases have a time to keep, and go first.
 void PlatformEngineClient::probe(EndpointId endpoint) {
-  if (releases_.waitingCalls() > 0 || connections().isControlFull()) {
+  if (releases_.waitingCalls() > 0 || connections().isControlLimitReached()) {
     timers_.after(kProbeRetryDelay, [this, endpoint] { probe(endpoint); });
     return;
   }
--- a/src/platform/engine/release_dispatcher.cpp
+++ b/src/platform/engine/release_dispatcher.cpp
@@ -55,7 +55,7 @@
 }
 
 void ReleaseDispatcher::sendWaiting() {
-  for (auto item = waiting_.begin(); item != waiting_.end() && !connections_.isControlFull();) {
+  for (auto item = waiting_.begin(); item != waiting_.end() && !connections_.isControlLimitReached();) {
     const PendingCallPointer pending = *item;
     if (!pending->isFinished && !canSend(*pending)) {
       ++item;
--- a/src/platform/process/router_options.cpp
+++ b/src/platform/process/router_options.cpp
@@ -39,7 +39,7 @@
   options.controlTimeout = options.connectTimeout;
   options.idleTimeout = engineIdleTimeout(config.deployment.engineIdleTimeout);
   options.connections = budget.attemptConnections;
-  options.allConnections = budget.attemptConnections;
+  options.totalConnections = budget.attemptConnections;
   options.controlConnections = budget.controlConnections;
   options.message = {
       .headBytes = kMaxEngineHeadBytes, .bodyBytes = kMaxEngineBodyBytes, .chunkLine = kMaxChunkLineBytes};
--- a/src/server/settings.cpp
+++ b/src/server/settings.cpp
@@ -154,7 +154,8 @@
   out.engine.idle = static_cast<std::size_t>(engines.integer("idle_connections", 64, 0, 1'000'000));
   out.engine.idleTimeout = engines.micros("idle_timeout_ms", 30'000, 1, kHour);
   out.engine.eventBytes = static_cast<std::size_t>(engines.integer("event_bytes", 256 << 10, 1024, 1 << 30));
-  out.engine.answerBytes = static_cast<std::size_t>(engines.integer("answer_bytes", 4 << 20, 1024, 1 << 30));
+  out.engine.responseBytes =
+      static_cast<std::size_t>(engines.integer("answer_bytes", 4 << 20, 1024, 1 << 30));
   engines.done();
 
   const Node grpc = root.object("grpc");
--- a/tests/engine/connection_pool_test.cpp
+++ b/tests/engine/connection_pool_test.cpp
@@ -128,16 +128,16 @@
   LoopRunner runner;
   ScriptedEngine scriptedEngine(runner.loop);  // does not respond
   engine::Options options;
-  options.allConnections = 2;
+  options.totalConnections = 2;
   options.controlConnections = 3;
   engine::ConnectionPool pool(runner.loop, options);
   pool.update(singleEndpoint(Poco::Net::SocketAddress(scriptedEngine.address())));
   RecordedResponse response;
   for (int index = 0; index < 3; ++index) {
-    EXPECT_FALSE(pool.isControlFull());
+    EXPECT_FALSE(pool.isControlLimitReached());
     pool.start({7}, std::make_unique<RecordingExchange>(response), kGetRequest, 0);
   }
-  EXPECT_TRUE(pool.isControlFull());
+  EXPECT_TRUE(pool.isControlLimitReached());
   for (int index = 0; index < 2; ++index) {
     EXPECT_FALSE(pool.isFull({7}));
     pool.start({{1}, index}, {7}, std::make_unique<RecordingExchange>(response),
--- a/tests/engine/connection_test.cpp
+++ b/tests/engine/connection_test.cpp
@@ -88,7 +88,7 @@
 
 TEST_F(EngineConnection, IsEvictedWhileIdleWhenAllConnectionsAreInUse) {
   ScriptedEngine otherEngine(runner.loop);
-  engine::ConnectionPool pool(runner.loop, {.allConnections = 1});
+  engine::ConnectionPool pool(runner.loop, {.totalConnections = 1});
   ASSERT_NO_FATAL_FAILURE(createIdleConnection(runner, scriptedEngine, pool));
   auto endpoints = singleEndpoint(Poco::Net::SocketAddress(scriptedEngine.address()));
   endpoints["f"] = singleEndpoint(Poco::Net::SocketAddress(otherEngine.address())).at("e");
