--- a/src/engine/completion_exchange.cpp
+++ b/src/engine/completion_exchange.cpp
@@ -5,7 +5,7 @@
 namespace garnethook::engine {
 namespace {
 
-constexpr std::size_t kMaxErrorBytes = std::size_t{64} * 1024;
+constexpr std::size_t kMaxErrorResponseBytes = std::size_t{64} * 1024;
 // Limits how much of an unexpected content type is quoted in the error text.
 constexpr std::size_t kMaxQuotedTypeBytes = 60;
 
@@ -35,7 +35,7 @@
     if (!parser_.receive(bytes)) finish(Outcome::error, "an event of the answer is too large");
     return !isFinished();
   }
-  const std::size_t maxBodyBytes = status_ == 200 ? options_.responseBytes : kMaxErrorBytes;
+  const std::size_t maxBodyBytes = status_ == 200 ? options_.responseBytes : kMaxErrorResponseBytes;
   if (body_.size() + bytes.size() > maxBodyBytes) {
     if (status_ == 200)
       finish(Outcome::error, "the answer is too large");
--- a/src/engine/connection_pool.cpp
+++ b/src/engine/connection_pool.cpp
@@ -108,7 +108,7 @@
 
 // ---- limits ----
 
-bool ConnectionPool::isFull(EndpointId endpoint) const {
+bool ConnectionPool::isAttemptLimitReached(EndpointId endpoint) const {
   const auto found = endpoints_.find(endpoint.value);
   if (found == endpoints_.end()) return false;
   return found->second.busyCount >= options_.connections ||
--- a/src/engine/connection_pool.h
+++ b/src/engine/connection_pool.h
@@ -54,7 +54,7 @@
   /// When the endpoint's latest response began, in microseconds on the monotonic clock; 0: no response yet.
   Micros lastHeardAt(EndpointId endpoint) const;
   /// Returns whether the connection limits prevent another attempt at the endpoint.
-  bool isFull(EndpointId endpoint) const;
+  bool isAttemptLimitReached(EndpointId endpoint) const;
   /// Returns whether the limit on connections for releases, probes and other control exchanges is reached.
   bool isControlLimitReached() const;
 
--- a/src/engine/control_exchange.cpp
+++ b/src/engine/control_exchange.cpp
@@ -5,7 +5,7 @@
 namespace garnethook::engine {
 namespace {
 
-constexpr std::size_t kMaxControlBytes = std::size_t{64} * 1024;
+constexpr std::size_t kMaxControlResponseBytes = std::size_t{64} * 1024;
 
 }  // namespace
 
@@ -18,7 +18,7 @@
 
 bool ControlExchange::onBody(std::string_view bytes) {
   bodyBytes_ += bytes.size();
-  if (bodyBytes_ <= kMaxControlBytes) return true;
+  if (bodyBytes_ <= kMaxControlResponseBytes) return true;
   finish(0);
   return false;
 }
--- a/tests/engine/connection_pool_test.cpp
+++ b/tests/engine/connection_pool_test.cpp
@@ -139,13 +139,13 @@
   }
   EXPECT_TRUE(pool.isControlLimitReached());
   for (int index = 0; index < 2; ++index) {
-    EXPECT_FALSE(pool.isFull({7}));
+    EXPECT_FALSE(pool.isAttemptLimitReached({7}));
     pool.start({{1}, index}, {7}, std::make_unique<RecordingExchange>(response),
                engine::fixedRequest(kGetRequest));
   }
-  EXPECT_TRUE(pool.isFull({7}));
+  EXPECT_TRUE(pool.isAttemptLimitReached({7}));
   pool.cancel({{1}, 0});
-  EXPECT_FALSE(pool.isFull({7}));
+  EXPECT_FALSE(pool.isAttemptLimitReached({7}));
 }
 
 // A delta leaves other endpoints unchanged; a removed endpoint is forgotten once its exchanges have ended.
