--- a/src/engine/http_engine_client.h
+++ b/src/engine/http_engine_client.h
@@ -22,6 +22,7 @@
   void begin(const routing::AttemptSpec& attempt) override;
   /// Releases the KV state of a request; the result is reported later.
   void release(const routing::ReleaseCall& call, const std::string& traceId) override;
+  /// Returns whether a path for releases is configured.
   bool canRelease() const override { return !connections().options().releasePath.empty(); }
   /// Probes an endpoint; the result is reported later.
   void probe(EndpointId endpoint) override;
