--- a/src/app/run_command.cpp
+++ b/src/app/run_command.cpp
@@ -20,7 +20,7 @@
 // A file that cannot be read at the moment is tried again for a while.
 platform::PlatformConfig loadConfigWithRetry() {
   return timing::retryFor<config::UnavailableError>(
-      timing::kStartWithin, [] { return platform::loadPlatformConfig(platform::systemEnvironment); });
+      timing::kStartRetryTimeout, [] { return platform::loadPlatformConfig(platform::systemEnvironment); });
 }
 
 // The life of the process: it serves from here until a signal has ended it in order. Signals are handled by
--- a/src/app/signals.cpp
+++ b/src/app/signals.cpp
@@ -31,7 +31,8 @@
       loop.post([handler, signal] { handler(signal); });
   };
   // The system may be unable to create a thread for a moment.
-  thread_ = timing::retryFor<std::system_error>(timing::kStartWithin, [&] { return std::thread(wait); });
+  thread_ =
+      timing::retryFor<std::system_error>(timing::kStartRetryTimeout, [&] { return std::thread(wait); });
 }
 
 Signals::~Signals() {
--- a/src/config/json_depth.h
+++ b/src/config/json_depth.h
@@ -7,7 +7,7 @@
 namespace garnethook::config {
 
 /// Deepest nesting that is accepted.
-constexpr unsigned kDeepest = 64;
+constexpr unsigned kMaxJsonDepth = 64;
 
 /// Deepest nesting of objects and arrays in JSON text without comments, in one pass. Brackets in strings do
 /// not count.
--- a/src/config/json_file.cpp
+++ b/src/config/json_file.cpp
@@ -64,7 +64,7 @@
   }
   // The depth is taken from the parsed value, as comments in the text may contain anything. The library
   // parses without recursion; this check and the readers of the value recurse.
-  if (deeperThan(file->root_, kDeepest)) throw Error(file->name_ + ":1: (file): nested too deep");
+  if (deeperThan(file->root_, kMaxJsonDepth)) throw Error(file->name_ + ":1: (file): nested too deep");
   if (!file->root_.is_object()) throw Error(file->name_ + ":1: (file): an object is wanted");
   file->lines_ = indexLines(text);
   return file;
--- a/src/config/json_file.h
+++ b/src/config/json_file.h
@@ -34,7 +34,7 @@
 class JsonFile {
  public:
   /// Parses `text`; `name` stands for its origin in error messages. Throws Error where the text is no JSON
-  /// object, or is nested deeper than kDeepest.
+  /// object, or is nested deeper than kMaxJsonDepth.
   static std::shared_ptr<const JsonFile> parse(std::string name, std::string_view text);
   /// Reads and parses the file at `path`. Throws Error or UnavailableError.
   static std::shared_ptr<const JsonFile> load(const std::string& path);
--- a/src/engine/completions.cpp
+++ b/src/engine/completions.cpp
@@ -16,7 +16,7 @@
 
 // Discarded where it is not JSON, or nested so deep that serialising it again would exhaust the stack.
 json parseJson(std::string_view text) {
-  if (config::jsonDepth(text) > config::kDeepest) return json(json::value_t::discarded);
+  if (config::jsonDepth(text) > config::kMaxJsonDepth) return json(json::value_t::discarded);
   return json::parse(text, nullptr, false);
 }
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -37,7 +37,7 @@
     write(spdlog::level::err, event, fields);
   }
   /// Whether lines of level debug are written.
-  bool debugs() const { return logger_->should_log(spdlog::level::debug); }
+  bool isDebugEnabled() const { return logger_->should_log(spdlog::level::debug); }
   /// Sets the least level that is written; names as for open().
   void setLevel(const std::string& level) const;
   /// Writes out what is buffered.
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -48,7 +48,8 @@
 }
 
 std::unique_ptr<Loop> Loop::create() {
-  return timing::retryFor<Poco::Exception>(timing::kStartWithin, [] { return std::make_unique<Loop>(); });
+  return timing::retryFor<Poco::Exception>(timing::kStartRetryTimeout,
+                                           [] { return std::make_unique<Loop>(); });
 }
 
 void Loop::startHeartbeat() {
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -119,8 +119,8 @@
   return unacknowledgedBytes(descriptor()).value_or(0) == 0;
 }
 
-Micros Stream::sinceLatestBytes() const {
-  return isOpen_ && isConnected_ ? net::sinceLatestBytes(descriptor()).value_or(0) : 0;
+Micros Stream::timeSinceLastReceive() const {
+  return isOpen_ && isConnected_ ? net::timeSinceLastReceive(descriptor()).value_or(0) : 0;
 }
 
 bool Stream::peerGone() const {
@@ -270,7 +270,7 @@
   if (!isOpen_ || closesAfterSending_ || std::exchange(finishesSending_, true)) return;
   watchReading(isConnected_ && inbound == Inbound::read);
   shutdownIfSent();
-  if (inbound == Inbound::leave) pollPeerClose(kFirstPeerClosePoll);
+  if (inbound == Inbound::leaveUnread) pollPeerClose(kFirstPeerClosePoll);
 }
 
 // A stream that is not read sees its peer's FIN only by asking for it; unread bytes before it do not hide it.
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -94,13 +94,13 @@
   enum class Inbound {
     read,  ///< Reading continues, since a close with unread bytes would reset the connection and take away
            ///< what the peer has not read yet.
-    leave  ///< Nothing is read any more, so that a request which crosses the FIN stays unread.
+    leaveUnread  ///< Nothing is read any more, so that a request which crosses the FIN stays unread.
   };
   /// Takes nothing more to send; once what is pending has been sent, the peer is told that nothing follows
   /// (FIN). onClosed follows when the peer has closed too; the owner bounds how long that may take.
   void finishSending(Inbound inbound = Inbound::read);
   /// Microseconds since the latest bytes arrived, as far as this system knows; 0 where it does not.
-  Micros sinceLatestBytes() const;
+  Micros timeSinceLastReceive() const;
   /// Whether the peer has closed or reset the connection, even if that was not read yet; asks the system.
   bool peerGone() const;
 
--- a/src/net/system_calls.cpp
+++ b/src/net/system_calls.cpp
@@ -86,7 +86,7 @@
   return static_cast<std::size_t>(count);
 }
 
-std::optional<std::int64_t> sinceLatestBytes(int descriptor) {
+std::optional<std::int64_t> timeSinceLastReceive(int descriptor) {
   tcp_info info{};
   socklen_t size = sizeof info;
   if (::getsockopt(descriptor, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return std::nullopt;
--- a/src/net/system_calls.h
+++ b/src/net/system_calls.h
@@ -55,7 +55,7 @@
 
 /// How long ago the latest bytes came from the peer, read or not, in microseconds by the millisecond; nothing
 /// where the system does not tell.
-std::optional<std::int64_t> sinceLatestBytes(int descriptor);
+std::optional<std::int64_t> timeSinceLastReceive(int descriptor);
 
 /// How an attempt to accept a connection went.
 enum class Accept {
--- a/src/platform/discovery/endpoint_list_parser.cpp
+++ b/src/platform/discovery/endpoint_list_parser.cpp
@@ -116,7 +116,7 @@
 }
 
 EndpointListUpdate parseEndpointList(std::string_view text) {
-  if (config::jsonDepth(text) > config::kDeepest) throw EndpointListError("nested too deep");
+  if (config::jsonDepth(text) > config::kMaxJsonDepth) throw EndpointListError("nested too deep");
   const json root = json::parse(text, nullptr, false);
   if (!root.is_object()) throw EndpointListError("no JSON object");
   EndpointListUpdate update;
--- a/src/platform/http_frontend/http_connection.cpp
+++ b/src/platform/http_frontend/http_connection.cpp
@@ -59,7 +59,7 @@
   if (isRequestOpen_ || !pipelinedInput_.empty()) return bufferInput(bytes);
   // The client's deadline has been running while its connection waited to be accepted.
   const Micros maxDelay = std::exchange(acceptDelay_, 0);
-  const Micros delay = maxDelay > 0 ? std::min(maxDelay, stream_.sinceLatestBytes()) : 0;
+  const Micros delay = maxDelay > 0 ? std::min(maxDelay, stream_.timeSinceLastReceive()) : 0;
   const std::size_t parsed = parseInput(bytes, owner_.loop_.now() - delay);
   if (parsed < bytes.size() && state_ == State::open && !persistence_.isClosingAnnounced())
     bufferInput(bytes.substr(parsed));
@@ -215,7 +215,7 @@
   if (!stream_.quiet() && !std::exchange(timeoutRechecked_, true))
     return timer_.start(kTimeoutRecheckDelay, [this] { onRequestTimeout(); });
   ++owner_.counters_.timedOut;
-  if (!parser_.midway()) return lingeringClose(Inbound::leave, CloseReason::requestTimeout);
+  if (!parser_.midway()) return lingeringClose(Inbound::leaveUnread, CloseReason::requestTimeout);
   reject(408, "the request did not come whole in time");
 }
 
@@ -279,7 +279,7 @@
   if (hasMoreInput()) return postServeNextRequest();
   // The response had begun before the end was known: whatever the client has sent by now is still served.
   if (persistence_.isClosing() && (pipelinedInput_.hasOverflowed() || stream_.quiet()))
-    return lingeringClose(Inbound::leave, CloseReason::draining);
+    return lingeringClose(Inbound::leaveUnread, CloseReason::draining);
   const std::size_t openConnections = owner_.connections_.size() - owner_.lingering_.size();
   timer_.start(owner_.policy_.idleTimeout(openConnections), [this] { onIdleTimeout(); });
 }
@@ -287,7 +287,7 @@
 void HttpFrontend::Connection::onIdleTimeout() {
   if (!stream_.quiet()) return startRequestTimer();  // a request has arrived and is still unread
   ++owner_.counters_.idled;
-  lingeringClose(Inbound::leave, CloseReason::idleTimeout);
+  lingeringClose(Inbound::leaveUnread, CloseReason::idleTimeout);
 }
 
 // ---- end ----
@@ -295,7 +295,7 @@
 void HttpFrontend::Connection::drain(bool includeUnused) {
   persistence_.closeAfterBufferedInput();
   const bool isInactive = activity() == Activity::idle || (includeUnused && activity() == Activity::unused);
-  if (isInactive && stream_.quiet()) lingeringClose(Inbound::leave, CloseReason::draining);
+  if (isInactive && stream_.quiet()) lingeringClose(Inbound::leaveUnread, CloseReason::draining);
 }
 
 void HttpFrontend::Connection::lingeringClose(Inbound inbound, CloseReason reason) {
--- a/src/platform/http_frontend/http_frontend.cpp
+++ b/src/platform/http_frontend/http_frontend.cpp
@@ -92,7 +92,7 @@
   for (auto candidate = candidates.begin(); candidate != checkedEnd; ++candidate) {
     if (!candidate->connection->isQuiet()) continue;
     ++counters_.evicted;
-    candidate->connection->lingeringClose(net::Stream::Inbound::leave, CloseReason::evicted);
+    candidate->connection->lingeringClose(net::Stream::Inbound::leaveUnread, CloseReason::evicted);
     return true;
   }
   return false;
--- a/src/platform/http_frontend/request_decoder.cpp
+++ b/src/platform/http_frontend/request_decoder.cpp
@@ -131,7 +131,7 @@
 // Engines would reject anything but a complete JSON object, such as a body that was cut short, late and at a
 // cost.
 bool isJsonObject(const std::string& body) {
-  return !body.empty() && body.front() == '{' && config::jsonDepth(body) <= config::kDeepest &&
+  return !body.empty() && body.front() == '{' && config::jsonDepth(body) <= config::kMaxJsonDepth &&
          nlohmann::json::accept(body);
 }
 
--- a/src/platform/process/router_logger.cpp
+++ b/src/platform/process/router_logger.cpp
@@ -75,11 +75,11 @@
   if (wasResponseOwed)
     log_.error("rule-violation",
                {{"rule", "closed-without-response"}, {"reason", name(reason)}, {"trace", trace}});
-  if (log_.debugs()) log_.debug("client-closed", {{"reason", name(reason)}, {"trace", trace}});
+  if (log_.isDebugEnabled()) log_.debug("client-closed", {{"reason", name(reason)}, {"trace", trace}});
 }
 
 void RouterLogger::onAttempt(const routing::AttemptSpec& attempt) {
-  if (!log_.debugs()) return;
+  if (!log_.isDebugEnabled()) return;
   const routing::Request& request = *attempt.request;
   log_.debug("attempt", {{"request", attempt.traceId},
                          {"number", attempt.attempt.number},
@@ -94,7 +94,7 @@
 
 void RouterLogger::onAttemptEnded(routing::AttemptId id, EndpointId endpoint,
                                   const routing::AttemptResult& result) {
-  if (!log_.debugs()) return;
+  if (!log_.isDebugEnabled()) return;
   log_.debug("attempt-ended", {{"request", id.request.value},
                                {"number", id.number},
                                {"engine", endpointName(endpoint)},
@@ -105,7 +105,7 @@
 
 void RouterLogger::onCompletion(RequestId id, const routing::Request& request,
                                 const routing::Completion& completion, Micros duration) {
-  if (!log_.debugs()) return;
+  if (!log_.isDebugEnabled()) return;
   log_.debug("request-ended", {{"request", id.value},
                                {"trace", request.traceId},
                                {"class", classNames_[request.requestClass]},
@@ -122,7 +122,7 @@
 }
 
 void RouterLogger::onCancelled(RequestId id) {
-  if (log_.debugs()) log_.debug("client-cancelled", {{"request", id.value}});
+  if (log_.isDebugEnabled()) log_.debug("client-cancelled", {{"request", id.value}});
 }
 
 void RouterLogger::onViolation(routing::Violation violation, RequestId id, const routing::Request& request) {
@@ -131,7 +131,7 @@
 }
 
 void RouterLogger::onRelease(const routing::ReleaseCall& call, std::string_view traceId) {
-  if (!log_.debugs()) return;
+  if (!log_.isDebugEnabled()) return;
   log_.debug("release", {{"request", call.request.value},
                          {"trace", traceId},
                          {"engine", endpointName(call.endpoint)},
@@ -139,7 +139,7 @@
 }
 
 void RouterLogger::onReleaseEnded(const routing::ReleaseCall& call, bool ok) {
-  if (!log_.debugs()) return;
+  if (!log_.isDebugEnabled()) return;
   log_.debug("release-ended", {{"request", call.request.value},
                                {"engine", endpointName(call.endpoint)},
                                {"call", call.number},
@@ -147,7 +147,7 @@
 }
 
 void RouterLogger::onKvReservation(const routing::KvReservationEvent& event) {
-  if (!log_.debugs()) return;
+  if (!log_.isDebugEnabled()) return;
   log_.debug("kv-reservation", {{"request", event.request.value},
                                 {"engine", endpointName(event.endpoint)},
                                 {"change", name(event.change)},
--- a/src/server/router_server.cpp
+++ b/src/server/router_server.cpp
@@ -111,7 +111,7 @@
 }
 
 void RouterServer::onAttempt(const routing::AttemptSpec& order) {
-  if (log_.debugs())
+  if (log_.isDebugEnabled())
     log_.debug("attempt", {{"request", order.attempt.request.value},
                            {"number", order.attempt.number},
                            {"engine", nameOf(order.endpoint)},
@@ -121,7 +121,7 @@
 void RouterServer::onAttemptEnded(routing::AttemptId id, EndpointId server,
                                   const routing::AttemptResult& result) {
   const bool good = result.outcome == Outcome::completed || result.outcome == Outcome::prefillDone;
-  if (good && !log_.debugs()) return;
+  if (good && !log_.isDebugEnabled()) return;
   const Log::Fields fields{{"request", id.request.value},
                            {"number", id.number},
                            {"engine", nameOf(server)},
@@ -136,7 +136,7 @@
 void RouterServer::onCompletion(RequestId id, const routing::Request& request,
                                 const routing::Completion& ending, Micros took) {
   const bool served = ending.disposition == routing::Disposition::completed;
-  if (served && !log_.debugs()) return;
+  if (served && !log_.isDebugEnabled()) return;
   const Log::Fields fields{{"request", id.value},
                            {"class", settings_.classNames[request.requestClass]},
                            {"disposition", served ? "completed"
@@ -157,7 +157,7 @@
 }
 
 void RouterServer::onCancelled(RequestId id) {
-  if (log_.debugs()) log_.debug("client-cancelled", {{"request", id.value}});
+  if (log_.isDebugEnabled()) log_.debug("client-cancelled", {{"request", id.value}});
 }
 
 void RouterServer::onPolicyLog(const std::string& said) {
--- a/src/timing/retry.h
+++ b/src/timing/retry.h
@@ -10,7 +10,7 @@
 
 /// How long a start goes on trying. A process has 10 s until it has to
 /// serve.
-inline constexpr std::chrono::milliseconds kStartWithin{4000};
+inline constexpr std::chrono::milliseconds kStartRetryTimeout{4000};
 /// The pause between two tries.
 inline constexpr std::chrono::milliseconds kStartPause{10};
 
--- a/tests/net/stream_test.cpp
+++ b/tests/net/stream_test.cpp
@@ -112,7 +112,7 @@
 
 // Unread bytes at the close make it a reset: that is how the peer knows that nothing of them was taken.
 TEST_F(StreamTest, FinishSendingWithoutReadingStillSeesThePeersClose) {
-  there.stream->finishSending(Stream::Inbound::leave);
+  there.stream->finishSending(Stream::Inbound::leaveUnread);
   here.stream->send("behind the end");
   ASSERT_TRUE(until([&] { return here.cause.has_value(); }, 1'000'000));  // and closes with it
   EXPECT_EQ(here.cause, CloseCause::peerClosed);
