--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -12,10 +12,10 @@
 namespace garnethook::net {
 namespace {
 
-constexpr int kBacklog = 1024;             // connections that the system queues
-constexpr int kAcceptsPerTurn = 64;        // the rest waits for the next turn of the loop
-constexpr Micros kCloseTimeout = 500'000;  // for those that wait in the queue as the listener closes
-// An address may be taken for a moment, above all by the process before this one.
+constexpr int kBacklog = 1024;             // connections that the kernel queues
+constexpr int kAcceptsPerTurn = 64;        // further connections are accepted in the next turn of the loop
+constexpr Micros kCloseTimeout = 500'000;  // limit for emptying the accept queue while the listener closes
+// The address may still be in use for a short time, typically by the previous process.
 constexpr int kListenAttempts = 100;
 constexpr std::chrono::milliseconds kListenRetryDelay{20};
 
@@ -28,7 +28,7 @@
       retryAlarm_(loop) {
   listenWithRetries(address);
   watch_.attach(socket_);
-  watchQueue(true);
+  setWatching(true);
 }
 
 Listener::~Listener() { closeSocket(); }
@@ -53,7 +53,7 @@
   address_ = socket_.address();
 }
 
-void Listener::watchQueue(bool on) {
+void Listener::setWatching(bool on) {
   isPaused_ = !on;
   if (isPaused_ && !backlogSince_) backlogSince_ = loop_.now();
   watch_.await(on, false);
@@ -62,34 +62,35 @@
 void Listener::pause() {
   if (!isOpen_ || isClosing_) return;
   retryAlarm_.stop();
-  watchQueue(false);
+  setWatching(false);
 }
 
-// Looks at the queue itself, so that an empty one is known to be empty: the owner may pause the listener
-// again before the system reports that it is readable.
+// Checks the accept queue directly, so that an empty queue is detected even if the owner pauses the listener
+// again before the reactor reports it as readable.
 void Listener::resume() {
   if (!isOpen_ || isClosing_ || !isPaused_) return;
-  watchQueue(true);
+  setWatching(true);
   retryAlarm_.start(0, [this] { onReadable(); });
 }
 
 void Listener::close() {
   if (!isOpen_ || std::exchange(isClosing_, true)) return;
-  watchQueue(false);
-  // A connection that came between the last look at the queue and the close of the socket would be reset.
-  refuseNewConnections(socket_.impl()->sockfd());
-  closeOnceEmpty(loop_.now() + kCloseTimeout);
+  setWatching(false);
+  // Without this, a connection that arrives between the last check of the queue and the close of the socket
+  // would be reset.
+  dropNewConnections(socket_.impl()->sockfd());
+  closeWhenQueueIsEmpty(loop_.now() + kCloseTimeout);
 }
 
-void Listener::closeOnceEmpty(Micros deadline) {
-  if (acceptWaiting(kBacklog) || loop_.now() >= deadline) return closeSocket();
+void Listener::closeWhenQueueIsEmpty(Micros deadline) {
+  if (acceptQueued(kBacklog) || loop_.now() >= deadline) return closeSocket();
   retryDelay_ = nextRetryDelay(retryDelay_);
-  retryAlarm_.start(retryDelay_, [this, deadline] { closeOnceEmpty(deadline); });
+  retryAlarm_.start(retryDelay_, [this, deadline] { closeWhenQueueIsEmpty(deadline); });
 }
 
 void Listener::closeSocket() {
   if (!isOpen_) return;
-  watchQueue(false);
+  setWatching(false);
   isOpen_ = false;
   retryAlarm_.stop();
   socket_.close();
@@ -97,27 +98,27 @@
 
 void Listener::onReadable() {
   if (isPaused_) return;
-  if (acceptWaiting(kAcceptsPerTurn))
+  if (acceptQueued(kAcceptsPerTurn))
     retryDelay_ = 0;
   else
     pauseForLackOfResources();
 }
 
-// Leaves the queue alone for a while, so that the loop does not spin on a listener that stays readable.
+// Stops watching the queue for a delay, so that the loop does not spin on a listener that stays readable.
 void Listener::pauseForLackOfResources() {
   retryDelay_ = nextRetryDelay(retryDelay_);
   pause();
   retryAlarm_.start(retryDelay_, [this] { resume(); });
 }
 
-// Accepts connections that wait. Returns false where the system lacks the resources for one of them.
-bool Listener::acceptWaiting(int maxConnections) {
-  const bool wasPaused = isPaused_;  // an owner that pauses the listener from within a call ends the round
-  for (int i = 0; i < maxConnections && isOpen_ && isPaused_ == wasPaused; ++i) {
+// Accepts queued connections. Returns false if the system lacks the resources to accept one of them.
+bool Listener::acceptQueued(int maxConnections) {
+  const bool wasPaused = isPaused_;  // accepting stops if the callback pauses the listener
+  for (int count = 0; count < maxConnections && isOpen_ && isPaused_ == wasPaused; ++count) {
     const AcceptResult result = acceptConnection(socket_.impl()->sockfd());
     switch (result.accept) {
-      case net::Accept::none: backlogSince_.reset(); return true;
-      case net::Accept::noRoom: return false;
+      case net::Accept::queueEmpty: backlogSince_.reset(); return true;
+      case net::Accept::outOfResources: return false;
       case net::Accept::tryAgain: break;
       case net::Accept::done:
         accept_(Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(result.descriptor)));
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,5 +1,5 @@
 /// @file
-/// A listening TCP socket on the loop.
+/// A listening TCP socket that is driven by the event loop.
 #pragma once
 
 #include <Poco/Net/NetException.h>
@@ -15,45 +15,45 @@
 
 namespace garnethook::net {
 
-/// Accepts connections. Lives on the loop's thread.
+/// Accepts TCP connections. Must be used on the loop's thread only.
 class Listener {
  public:
-  /// Called with each accepted connection; may pause or close the listener.
+  /// Called for each accepted connection; may pause or close the listener.
   using Accept = std::function<void(Poco::Net::StreamSocket)>;
-  /// Listens at once; tries again for two seconds where the address is taken.
-  /// @param loop runs everything; must outlive the listener
-  /// @param address where to listen; port 0: the system's choice
-  /// @param accept called with each connection
-  /// @throws Poco::Net::NetException that names the address where it can't listen
+  /// Starts listening immediately; retries for two seconds if the address is in use.
+  /// @param loop event loop that runs the listener; must outlive it
+  /// @param address address to listen on; port 0 selects a free port
+  /// @param accept called for each accepted connection
+  /// @throws Poco::Net::NetException with the address in its message if listening fails
   Listener(Loop& loop, const Poco::Net::SocketAddress& address, Accept accept);
   ~Listener();
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
-  /// Where the listener listens.
+  /// The address that the listener is bound to, with the actual port.
   const Poco::Net::SocketAddress& address() const { return address_; }
-  /// Accepts the connections that wait in the system's queue, since their requests may have been written
-  /// already; then accepts no more and gives up the port. Where the system lacks a descriptor for one of
-  /// them, that is tried again for half a second.
+  /// Accepts the connections in the kernel's accept queue, since their requests may already have been sent;
+  /// then stops accepting and releases the port. If the system lacks a descriptor for one of them, accepting
+  /// is retried for half a second.
   void close();
-  /// Since when connections may have been waiting in the system's queue; nothing where the queue was found
-  /// empty after the latest pause.
+  /// Time since which connections may have been waiting in the kernel's accept queue; `std::nullopt` if the
+  /// queue was found empty after the latest pause.
   std::optional<Micros> backlogSince() const { return backlogSince_; }
-  /// Whether connections may still be accepted.
+  /// Whether the listener may still accept connections.
   bool open() const { return isOpen_; }
-  /// Leaves new connections in the system's queue until resume(). Does nothing once the listener closes.
+  /// Leaves new connections in the kernel's accept queue until resume(). No effect once close() was called.
   void pause();
-  /// Accepts again, in the loop's next turn, first those that wait in the queue. Does nothing once the
-  /// listener closes.
+  /// Accepts connections again from the next turn of the loop, beginning with those already queued. No effect
+  /// once close() was called.
   void resume();
 
  private:
   void listenWithRetries(const Poco::Net::SocketAddress& address);
   void listen(const Poco::Net::SocketAddress& address);
   void onReadable();
-  void watchQueue(bool on);
-  bool acceptWaiting(int maxConnections);
+  void setWatching(bool on);
+  bool acceptQueued(int maxConnections);
   void pauseForLackOfResources();
-  void closeOnceEmpty(Micros deadline);
+  void closeWhenQueueIsEmpty(Micros deadline);
   void closeSocket();
 
   Loop& loop_;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -18,33 +18,35 @@
 namespace garnethook::net {
 namespace {
 
-constexpr Micros kTick = 1000;
-// The monotonic clock may have begun a moment ago, and what is dated on it years before that: 0 stays behind.
-constexpr Micros kOrigin = 1'000'000'000'000'000;
-constexpr Micros kLongestWait = 1'000'000;
-constexpr Micros kHeartbeat = 50'000;  // the latest that a timer can be by a wait that goes on too long
-
-Micros steady() {
+constexpr Micros kTimerResolution = 1000;
+// Added to the monotonic clock, which may have started only a moment ago (at boot): times years before the
+// start must still be greater than 0.
+constexpr Micros kClockOffset = 1'000'000'000'000'000;
+constexpr Micros kMaxPollTimeout = 1'000'000;
+constexpr Micros kPeriodicTimerInterval = 50'000;  // bounds the delay of a timer if a poll takes too long
+
+Micros monotonicNow() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::steady_clock::now().time_since_epoch())
       .count();
 }
 }  // namespace
 
-Loop::Loop() : wheel_(kTick, now()) {
-  std::array<int, 2> ends{};
-  if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends.data()) != 0)
-    throw Poco::IOException("no socket pair for the loop", errno);
-  woken_ = Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(ends[0]));
-  waker_ = ends[1];
+Loop::Loop() : wheel_(kTimerResolution, now()) {
+  std::array<int, 2> descriptors{};
+  if (::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, descriptors.data()) != 0)
+    throw Poco::IOException("cannot create the event loop's wake-up socket pair", errno);
+  wakeReadSocket_ = Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(descriptors[0]));
+  wakeWriteDescriptor_ = descriptors[1];
   try {
-    addEventHandler(woken_, Poco::Observer<Loop, Poco::Net::ReadableNotification>(*this, &Loop::onWake));
-    startHeartbeat();
+    addEventHandler(wakeReadSocket_,
+                    Poco::Observer<Loop, Poco::Net::ReadableNotification>(*this, &Loop::onWake));
+    startPeriodicTimer();
   } catch (const Poco::Exception&) {
-    ::close(waker_);
+    ::close(wakeWriteDescriptor_);
     throw;
   }
-  setWait();
+  updatePollTimeout();
 }
 
 std::unique_ptr<Loop> Loop::create() {
@@ -52,69 +54,73 @@
                                            [] { return std::make_unique<Loop>(); });
 }
 
-void Loop::startHeartbeat() {
-  const int timer = ::timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
-  if (timer < 0) throw Poco::IOException("no timer for the loop", errno);
-  heartbeat_ = Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(timer));  // which closes it
-  constexpr timespec kPeriod{0, kHeartbeat * 1000};
-  const itimerspec period{kPeriod, kPeriod};
-  if (::timerfd_settime(timer, 0, &period, nullptr) != 0)
-    throw Poco::IOException("the loop's timer can't be armed", errno);
-  addEventHandler(heartbeat_,
-                  Poco::Observer<Loop, Poco::Net::ReadableNotification>(*this, &Loop::onHeartbeat));
+void Loop::startPeriodicTimer() {
+  const int descriptor = ::timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
+  if (descriptor < 0) throw Poco::IOException("cannot create the event loop's periodic timer", errno);
+  periodicTimer_ =
+      Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(descriptor));  // owns the descriptor
+  constexpr timespec kInterval{0, kPeriodicTimerInterval * 1000};
+  const itimerspec schedule{kInterval, kInterval};
+  if (::timerfd_settime(descriptor, 0, &schedule, nullptr) != 0)
+    throw Poco::IOException("cannot arm the event loop's periodic timer", errno);
+  addEventHandler(periodicTimer_,
+                  Poco::Observer<Loop, Poco::Net::ReadableNotification>(*this, &Loop::onPeriodicTimer));
 }
 
-// Reading it ends its readiness; the turn that follows runs what is due.
-void Loop::onHeartbeat(Poco::Net::ReadableNotification* notification) {
+// Reads the expiration count to clear the readiness; the turn that follows runs the due timers.
+void Loop::onPeriodicTimer(Poco::Net::ReadableNotification* notification) {
   notification->release();
-  std::uint64_t periods = 0;
-  [[maybe_unused]] const auto count = ::read(heartbeat_.impl()->sockfd(), &periods, sizeof periods);
+  std::uint64_t expirations = 0;
+  [[maybe_unused]] const auto count =
+      ::read(periodicTimer_.impl()->sockfd(), &expirations, sizeof expirations);
 }
 
-// What tasks hold may have timers here, and may post: it goes while both still stand.
+// Destroying a task may cancel timers of this loop or post tasks to it, so all tasks are destroyed while the
+// wheel and the task queue still exist.
 Loop::~Loop() {
-  removeEventHandler(woken_, Poco::Observer<Loop, Poco::Net::ReadableNotification>(*this, &Loop::onWake));
-  removeEventHandler(heartbeat_,
-                     Poco::Observer<Loop, Poco::Net::ReadableNotification>(*this, &Loop::onHeartbeat));
-  ::close(waker_);
+  removeEventHandler(wakeReadSocket_,
+                     Poco::Observer<Loop, Poco::Net::ReadableNotification>(*this, &Loop::onWake));
+  removeEventHandler(periodicTimer_,
+                     Poco::Observer<Loop, Poco::Net::ReadableNotification>(*this, &Loop::onPeriodicTimer));
+  ::close(wakeWriteDescriptor_);
   wheel_.clear();
-  while (!posted_.empty()) {
-    const auto tasks = std::exchange(posted_, {});
+  while (!postedTasks_.empty()) {
+    const auto tasks = std::exchange(postedTasks_, {});
     wheel_.clear();
   }
 }
 
-Micros Loop::now() const { return kOrigin + steady(); }
+Micros Loop::now() const { return kClockOffset + monotonicNow(); }
 
 timing::TimerKey Loop::after(Micros delay, timing::TimerWheel::Task task) {
   const auto key =
       wheel_.add(now() + std::max<Micros>(0, delay), [this, task = std::move(task)] { runTask(task); });
-  setWait();
+  updatePollTimeout();
   return key;
 }
 
 void Loop::post(std::function<void()> task) {
   {
     const std::lock_guard lock(mutex_);
-    posted_.push_back(std::move(task));
+    postedTasks_.push_back(std::move(task));
   }
-  hasPosted_ = true;
+  hasPostedTasks_ = true;
   if (std::this_thread::get_id() == thread_.load())
-    setTimeout(Poco::Timespan(0));  // the poll that comes next must not wait
+    setTimeout(Poco::Timespan(0));  // the next poll must return immediately
   else
     wake();
 }
 
-// A full pair has a byte in it already.
+// A failed send needs no handling: a full socket buffer already contains a byte that ends the poll.
 void Loop::wake() {
   const char byte = 0;
-  [[maybe_unused]] const auto sent = ::send(waker_, &byte, 1, MSG_NOSIGNAL);
+  [[maybe_unused]] const auto sent = ::send(wakeWriteDescriptor_, &byte, 1, MSG_NOSIGNAL);
 }
 
 void Loop::onWake(Poco::Net::ReadableNotification* notification) {
   notification->release();
   std::array<char, 256> bytes{};
-  while (::recv(woken_.impl()->sockfd(), bytes.data(), bytes.size(), 0) > 0) {}
+  while (::recv(wakeReadSocket_.impl()->sockfd(), bytes.data(), bytes.size(), 0) > 0) {}
 }
 
 void Loop::run() {
@@ -129,18 +135,18 @@
 
 void Loop::turn() {
   wheel_.advance(now());
-  if (hasPosted_.exchange(false)) {
+  if (hasPostedTasks_.exchange(false)) {
     std::vector<std::function<void()>> tasks;
     {
       const std::lock_guard lock(mutex_);
-      tasks.swap(posted_);
+      tasks.swap(postedTasks_);
     }
     for (const auto& task : tasks) runTask(task);
   }
-  setWait();
+  updatePollTimeout();
 }
 
-// What one task throws costs no other task its turn.
+// Catches exceptions, so that a task that throws does not prevent the others from running.
 void Loop::runTask(const std::function<void()>& task) {
   try {
     task();
@@ -150,13 +156,14 @@
   }
 }
 
-// The poll's wait is in whole milliseconds and rounds down: a little more keeps it from spinning.
-void Loop::setWait() {
-  const auto next = wheel_.next();
-  Micros wait = next ? std::clamp<Micros>(*next - now(), 0, kLongestWait) : kLongestWait;
-  if (wait > 0) wait = (wait + 999) / 1000 * 1000;
-  if (hasPosted_) wait = 0;
-  setTimeout(Poco::Timespan(wait));
+// The poll timeout has millisecond resolution and is rounded down; rounding up here keeps the loop from
+// spinning until the next timer is due.
+void Loop::updatePollTimeout() {
+  const auto nextDue = wheel_.next();
+  Micros timeout = nextDue ? std::clamp<Micros>(*nextDue - now(), 0, kMaxPollTimeout) : kMaxPollTimeout;
+  if (timeout > 0) timeout = (timeout + 999) / 1000 * 1000;
+  if (hasPostedTasks_) timeout = 0;
+  setTimeout(Poco::Timespan(timeout));
 }
 
 }  // namespace garnethook::net
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,5 +1,6 @@
 /// @file
-/// The event loop: POCO's SocketReactor with a clock, timers on a wheel and tasks for the next turn.
+/// The event loop: POCO's SocketReactor extended with a monotonic clock, a timer wheel and a queue of posted
+/// tasks. A turn is one iteration of the loop: it polls the sockets, then runs due timers and posted tasks.
 #pragma once
 
 #include <Poco/Net/Socket.h>
@@ -21,38 +22,41 @@
 
 using timing::Micros;
 
-/// Runs timers, posted tasks and socket events on the thread that calls run(). Only post() and stop() may be
-/// called from other threads.
+/// Runs timers, posted tasks and socket events on the thread that calls run(). Only post() and stop() are
+/// thread-safe.
 class Loop final : public timing::Timers, private Poco::Net::SocketReactor {
  public:
-  /// @throws Poco::Exception where the system refuses a descriptor or a registration.
+  /// @throws Poco::Exception if the system cannot provide a descriptor or register a socket.
   Loop();
   ~Loop() override;
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
-  /// A loop for the process's life: what the system refuses for a moment is tried again for some seconds.
+  /// Creates the loop of a process; retries for a few seconds if the system is short of resources.
   static std::unique_ptr<Loop> create();
 
-  /// The monotonic clock in microseconds, from an origin of its own: not Unix time.
+  /// Time of the monotonic clock in microseconds; the epoch is arbitrary and not that of Unix time.
   Micros now() const override;
-  /// Runs the task once the delay (microseconds) is over, never inside this call.
+  /// Runs the task after the delay (microseconds), never inside this call.
   timing::TimerKey after(Micros delay, timing::TimerWheel::Task task) override;
-  /// Cancels a timer. @return false: it has run, or was cancelled before
+  /// Cancels a timer. @return false if it has already run or been cancelled
   bool cancel(timing::TimerKey key) override { return wheel_.cancel(key); }
 
-  /// Sets what is called with the error text of each timer's or posted task that throws. The other tasks of
-  /// the turn run all the same. Must not throw.
-  void onTaskFailed(std::function<void(const std::string& what)> call) { taskFailed_ = std::move(call); }
+  /// Sets the callback that receives the error text of each timer task or posted task that throws. The other
+  /// tasks of the turn still run. The callback must not throw.
+  void onTaskFailed(std::function<void(const std::string& what)> callback) {
+    taskFailed_ = std::move(callback);
+  }
   /// Number of tasks that threw.
   std::uint64_t failedTasks() const { return failedTasks_; }
 
-  /// Runs the task on the loop's thread in its next turn. May be called from any thread.
+  /// Runs the task on the loop's thread in its next turn. Thread-safe.
   void post(std::function<void()> task);
   /// Runs the loop on this thread until stop().
   void run() override;
-  /// Ends run() after its turn. May be called from any thread, also one that handles signals.
+  /// Makes run() return after the current turn. Thread-safe; may also be called from a signal handling
+  /// thread.
   void stop();
-  /// For the registration of sockets.
+  /// The reactor with which sockets are registered.
   Poco::Net::SocketReactor& reactor() { return *this; }
 
  private:
@@ -61,24 +65,25 @@
   void onBusy() override { turn(); }
 
   void turn();
-  void setWait();
+  void updatePollTimeout();
   void wake();
   void onWake(Poco::Net::ReadableNotification* notification);
-  void onHeartbeat(Poco::Net::ReadableNotification* notification);
-  void startHeartbeat();
+  void onPeriodicTimer(Poco::Net::ReadableNotification* notification);
+  void startPeriodicTimer();
   void runTask(const std::function<void()>& task);
 
   timing::TimerWheel wheel_;
   std::mutex mutex_;
-  std::vector<std::function<void()>> posted_;
-  std::atomic<bool> hasPosted_ = false;
+  std::vector<std::function<void()>> postedTasks_;
+  std::atomic<bool> hasPostedTasks_ = false;
   std::atomic<std::thread::id> thread_{};
-  // POCO's own wakeUp() ends no poll; a byte on this pair does.
-  Poco::Net::StreamSocket woken_;
-  int waker_ = -1;
-  // A periodic timer of the monotonic clock that ends every wait. POCO (1.11.0) counts what is left of an
-  // interrupted wait on the wall clock: stepped back meanwhile, it would wait for as long as the step.
-  Poco::Net::StreamSocket heartbeat_;
+  // POCO's wakeUp() does not interrupt a poll; a byte written to this socket pair does.
+  Poco::Net::StreamSocket wakeReadSocket_;
+  int wakeWriteDescriptor_ = -1;
+  // Periodic timer on the monotonic clock that bounds every poll. POCO (1.11.0) computes the remaining time
+  // of an interrupted poll from the wall clock: if the clock is stepped back meanwhile, the poll would be
+  // extended by the size of the step.
+  Poco::Net::StreamSocket periodicTimer_;
   std::function<void(const std::string&)> taskFailed_;
   std::uint64_t failedTasks_ = 0;
 };
--- a/src/net/retry_delay.h
+++ b/src/net/retry_delay.h
@@ -1,6 +1,6 @@
 /// @file
-/// How long to wait before something is tried again that this machine refused for lack of resources. Such
-/// failures pass, so the first retry comes soon and each further one after twice the time.
+/// Exponential backoff for operations that failed because this machine is short of resources. Such shortages
+/// are usually brief, so the first retry comes soon and each further delay is twice the previous one.
 #pragma once
 
 #include <algorithm>
@@ -11,13 +11,13 @@
 
 /// Delay before the first retry, in microseconds.
 inline constexpr timing::Micros kFirstRetryDelay = 1'000;
-/// Longest delay between two retries, in microseconds.
-inline constexpr timing::Micros kLongestRetryDelay = 50'000;
+/// Maximum delay between two retries, in microseconds.
+inline constexpr timing::Micros kMaxRetryDelay = 50'000;
 
-/// The delay before the next retry, in microseconds.
-/// @param previous the delay before the latest one; 0: there was none
+/// Returns the delay before the next retry, in microseconds.
+/// @param previous delay before the previous retry; 0 if there was none
 inline timing::Micros nextRetryDelay(timing::Micros previous) {
-  return std::clamp(2 * previous, kFirstRetryDelay, kLongestRetryDelay);
+  return std::clamp(2 * previous, kFirstRetryDelay, kMaxRetryDelay);
 }
 
 }  // namespace garnethook::net
--- a/src/net/socket_watch.cpp
+++ b/src/net/socket_watch.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-// POCO's observers by type of notification, on one object.
+// Bundles POCO's observers, which are typed by notification.
 class SocketWatch::Observers {
  public:
   explicit Observers(Events& events)
@@ -53,13 +53,12 @@
   if (wanted == wanted_) return;
   wanted_ = wanted;
   retryDelay_ = 0;
-  apply();
+  updateRegistration();
 }
 
-// All observers are removed before the wanted ones are added: the reactor (POCO 1.11.0) goes on asking the
-// system for the readiness that a removed observer wanted for as long as the socket has another one, and
-// spins on it.
-void SocketWatch::apply() {
+// Removes all observers before adding the wanted ones: as long as a socket has any observer left, the reactor
+// (POCO 1.11.0) keeps polling for the readiness that a removed observer was registered for, and spins on it.
+void SocketWatch::updateRegistration() {
   retryAlarm_.stop();
   unregister();
   auto& reactor = loop_.reactor();
@@ -68,10 +67,10 @@
     if (wanted_.reading) reactor.addEventHandler(socket_, observers_->read());
     if (wanted_.writing) reactor.addEventHandler(socket_, observers_->write());
     if (wanted_.failure) reactor.addEventHandler(socket_, observers_->failure());
-  } catch (const Poco::Exception&) {  // refused by the system; nothing may be half registered
+  } catch (const Poco::Exception&) {  // refused by the system; a partial registration must not remain
     unregister();
     retryDelay_ = nextRetryDelay(retryDelay_);
-    retryAlarm_.start(retryDelay_, [this] { apply(); });
+    retryAlarm_.start(retryDelay_, [this] { updateRegistration(); });
   }
 }
 
@@ -82,7 +81,7 @@
     isRegistered = false;
     try {
       reactor.removeEventHandler(socket_, observer);
-    } catch (const Poco::Exception&) {  // the system never had it
+    } catch (const Poco::Exception&) {  // the socket was not registered with the system
     }
   };
   remove(registered_.reading, observers_->read());
--- a/src/net/socket_watch.h
+++ b/src/net/socket_watch.h
@@ -1,9 +1,9 @@
 /// @file
-/// The registration of one socket with the reactor: what of reading and writing is awaited. Where the system
-/// refuses a registration for a moment (epoll_ctl: ENOMEM, ENOSPC) it is tried again until it holds, so that
-/// no socket is forgotten and no exception reaches a caller in the middle of its work.
+/// Registration of one socket with the reactor for read, write and error readiness. If the system temporarily
+/// refuses a registration (epoll_ctl: ENOMEM, ENOSPC), it is retried until it succeeds, so that no socket
+/// stays unwatched and no exception reaches a caller in the middle of its work.
 ///
-/// On the loop's thread.
+/// Must be used on the loop's thread only.
 #pragma once
 
 #include <Poco/Net/Socket.h>
@@ -15,33 +15,33 @@
 
 namespace garnethook::net {
 
-/// Registers one socket for what is awaited of it.
+/// Watches one socket for the requested kinds of readiness.
 class SocketWatch {
  public:
-  /// What is called when the socket becomes ready.
+  /// Callbacks for the readiness of the socket.
   struct Events {
-    std::function<void()> readable;  ///< Bytes, a connection or an end can be read.
+    std::function<void()> readable;  ///< Bytes, a connection or the end of the stream can be read.
     std::function<void()> writable;  ///< Bytes can be written.
-    std::function<void()>
-        failed;  ///< The poll reports an error; asked for while a connection comes up. May be empty.
+    std::function<void()> failed;    ///< The poll reports an error; watched while a connection is being
+                                     ///< established. May be empty.
   };
-  /// @param loop whose reactor is used; must outlive the watch
-  /// @param events called on readiness
+  /// @param loop loop whose reactor is used; must outlive the watch
+  /// @param events callbacks for readiness
   SocketWatch(Loop& loop, Events events);
   ~SocketWatch();
   SocketWatch(const SocketWatch&) = delete;
   SocketWatch& operator=(const SocketWatch&) = delete;
 
-  /// The socket to be watched, before the first call of `await`.
+  /// Sets the socket to watch. Must be called before the first call of await().
   void attach(const Poco::Net::Socket& socket) { socket_ = socket; }
-  /// Sets what is awaited from now on.
-  /// @param reading readable
-  /// @param writing writable
-  /// @param failure errors of a connection that is being established
+  /// Replaces the set of watched kinds of readiness.
+  /// @param reading whether to watch for readability
+  /// @param writing whether to watch for writability
+  /// @param failure whether to watch for errors of a connection that is being established
   void await(bool reading, bool writing, bool failure = false);
-  /// Whether reading is awaited.
+  /// Whether the socket is watched for readability.
   bool reading() const { return wanted_.reading; }
-  /// Whether writing is awaited.
+  /// Whether the socket is watched for writability.
   bool writing() const { return wanted_.writing; }
 
  private:
@@ -52,7 +52,7 @@
     friend bool operator==(const Interest&, const Interest&) = default;
   };
   class Observers;
-  void apply();
+  void updateRegistration();
   void unregister();
 
   Loop& loop_;
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -14,13 +14,12 @@
 namespace {
 
 constexpr std::size_t kReadSize = std::size_t{64} * 1024;
-// Reads of one peer in one turn: the rest waits for the next, so that a flooding peer does not keep others
-// waiting.
+// Limit of reads from one peer in a turn of the loop, so that a flooding peer does not delay the others.
 constexpr int kReadsPerTurn = 4;
-// How often a stream that is no longer read checks whether its peer has closed: soon at first, as
-// most peers close at once, then after twice the time.
+// Interval at which a stream that is no longer read checks whether its peer has closed: short at first, since
+// most peers close immediately, then doubled each time.
 constexpr Micros kFirstPeerClosePoll = 1'000;
-constexpr Micros kLongestPeerClosePoll = 32'000;
+constexpr Micros kMaxPeerClosePoll = 32'000;
 
 }  // namespace
 
@@ -38,7 +37,7 @@
       connectTimeoutAlarm_(loop),
       closeAlarm_(loop),
       isConnected_(true) {
-  sendWithoutDelay(descriptor());
+  disableNagle(descriptor());
   watch_.attach(socket_);
   watchReading(true);
 }
@@ -53,8 +52,9 @@
       connectRetryAlarm_(loop),
       connectTimeoutAlarm_(loop),
       closeAlarm_(loop) {
-  connectTimeoutAlarm_.start(connectTimeout,
-                             [this] { finish(hasSocket_ ? CloseCause::timedOut : CloseCause::unavailable); });
+  connectTimeoutAlarm_.start(connectTimeout, [this] {
+    closeWithEvent(hasSocket_ ? CloseCause::timedOut : CloseCause::unavailable);
+  });
   connect();
 }
 
@@ -62,13 +62,13 @@
   const Poco::Net::SocketAddress local =
       sourceAddress_.empty() ? Poco::Net::SocketAddress() : Poco::Net::SocketAddress(sourceAddress_, 0);
   const ConnectResult result =
-      beginConnection(peer_.addr(), peer_.length(), sourceAddress_.empty() ? nullptr : local.addr(),
-                      sourceAddress_.empty() ? 0 : local.length());
+      startConnect(peer_.addr(), peer_.length(), sourceAddress_.empty() ? nullptr : local.addr(),
+                   sourceAddress_.empty() ? 0 : local.length());
   if (result.connect == Connect::refused) return postFailure(CloseCause::refused);
   if (result.connect == Connect::unavailable) return retryConnect();
   hasSocket_ = true;
   socket_ = Poco::Net::StreamSocket(new Poco::Net::StreamSocketImpl(result.descriptor));
-  sendWithoutDelay(descriptor());
+  disableNagle(descriptor());
   watch_.attach(socket_);
   watchWriting(true);
 }
@@ -79,17 +79,17 @@
   connectRetryAlarm_.start(connectRetryDelay_, [this] { connect(); });
 }
 
-// The connection is established, or has failed.
+// Handles a connection attempt that has succeeded or failed.
 void Stream::onConnectProgress() {
   switch (connectionProgress(descriptor())) {
-    case Progress::unknown: return;  // asked again in the next turn
-    case Progress::refused: return finish(CloseCause::refused);
-    case Progress::timedOut: return finish(CloseCause::timedOut);
+    case Progress::unknown: return;  // queried again in the next turn
+    case Progress::refused: return closeWithEvent(CloseCause::refused);
+    case Progress::timedOut: return closeWithEvent(CloseCause::timedOut);
     case Progress::unavailable:
       watch(false, false);
       socket_.close();
       return retryConnect();
-    case Progress::up: break;
+    case Progress::established: break;
   }
   connectTimeoutAlarm_.stop();
   isConnected_ = true;
@@ -98,7 +98,7 @@
 }
 
 Stream::~Stream() {
-  *alive_ = false;
+  *isAlive_ = false;
   close();
 }
 
@@ -110,9 +110,7 @@
   if (isOpen_ && isConnected_ && !closesAfterSending_) watchReading(!paused);
 }
 
-bool Stream::quiet() const {
-  return isOpen_ && isConnected_ && lookAtUnread(descriptor()) == Unread::nothing;
-}
+bool Stream::quiet() const { return isOpen_ && isConnected_ && peekUnread(descriptor()) == Unread::nothing; }
 
 bool Stream::delivered() const {
   if (!isOpen_ || !isConnected_ || pending() > 0) return false;
@@ -135,13 +133,13 @@
 void Stream::onReadable() {
   // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init): filled by the read, too large to clear each time
   std::array<char, kReadSize> buffer;
-  const auto alive = alive_;
-  for (int i = 0; i < kReadsPerTurn && *alive && isOpen_ && watch_.reading(); ++i) {
+  const auto isAlive = isAlive_;
+  for (int count = 0; count < kReadsPerTurn && *isAlive && isOpen_ && watch_.reading(); ++count) {
     const TransferResult read = receiveBytes(descriptor(), buffer);
     switch (read.transfer) {
-      case Transfer::notNow: return;
-      case Transfer::ended: return finish(CloseCause::peerClosed);
-      case Transfer::broken: return finish(CloseCause::reset);
+      case Transfer::retryLater: return;
+      case Transfer::ended: return closeWithEvent(CloseCause::peerClosed);
+      case Transfer::broken: return closeWithEvent(CloseCause::reset);
       case Transfer::done: break;
     }
     if (!closesAfterSending_) events_.onBytes({buffer.data(), read.count});
@@ -151,16 +149,16 @@
 
 void Stream::onWritable() {
   if (!isOpen_) return;
-  const auto alive = alive_;
+  const auto isAlive = isAlive_;
   if (!isConnected_) {
     onConnectProgress();
-    if (!*alive || !isOpen_ || !isConnected_) return;
+    if (!*isAlive || !isOpen_ || !isConnected_) return;
   }
   flush();
-  if (!*alive || !isOpen_) return;
+  if (!*isAlive || !isOpen_) return;
   if (pending() > 0) return watchWriting(true);
   watchWriting(false);
-  if (closesAfterSending_) return finish(CloseCause::local);
+  if (closesAfterSending_) return closeWithEvent(CloseCause::local);
   shutdownIfSent();
   if (std::exchange(notifiesDrained_, false)) events_.onDrained();
 }
@@ -171,21 +169,21 @@
     notifiesDrained_ = true;
     return 0;
   }
-  std::size_t done = 0;
-  while (done < bytes.size()) {
-    const auto written = write(bytes.substr(done));
+  std::size_t accepted = 0;
+  while (accepted < bytes.size()) {
+    const auto written = writeToSocket(bytes.substr(accepted));
     if (!written) {
       postFailure(CloseCause::reset);
       return bytes.size();
     }
     if (*written == 0) break;
-    done += *written;
+    accepted += *written;
   }
-  if (done < bytes.size()) {
+  if (accepted < bytes.size()) {
     notifiesDrained_ = true;
     watchWriting(true);
   }
-  return done;
+  return accepted;
 }
 
 void Stream::send(std::string_view bytes) {
@@ -195,8 +193,8 @@
   if (isOpen_ && isConnected_ && pending() > 0) watchWriting(true);
 }
 
-// Writes as much as the socket takes, 0 bytes where it is full. Nothing where the connection is broken.
-std::optional<std::size_t> Stream::write(std::string_view bytes) {
+// Writes as many bytes as the socket accepts, 0 if it is full; `std::nullopt` if the connection is lost.
+std::optional<std::size_t> Stream::writeToSocket(std::string_view bytes) {
   const TransferResult sent = sendBytes(descriptor(), bytes);
   if (sent.transfer == Transfer::broken) return std::nullopt;
   return sent.count;
@@ -204,7 +202,7 @@
 
 void Stream::flush() {
   while (pending() > 0) {
-    const auto written = write(std::string_view(sendBuffer_).substr(sentBytes_));
+    const auto written = writeToSocket(std::string_view(sendBuffer_).substr(sentBytes_));
     if (!written) {
       unsent_ = pending();
       sendBuffer_.clear();
@@ -223,15 +221,15 @@
   }
 }
 
-// A failure inside a call by the owner is reported in the next turn.
+// Reports a failure in the next turn, since events must not be raised inside a call by the owner.
 void Stream::postFailure(CloseCause cause) {
   if (std::exchange(failurePosted_, true)) return;
-  loop_.post([this, cause, alive = alive_] {
-    if (*alive) finish(cause);
+  loop_.post([this, cause, isAlive = isAlive_] {
+    if (*isAlive) closeWithEvent(cause);
   });
 }
 
-void Stream::finish(CloseCause cause) {
+void Stream::closeWithEvent(CloseCause cause) {
   if (!isOpen_) return;
   const bool isExpected = closesAfterSending_;
   close();
@@ -249,7 +247,7 @@
   try {
     if (abort) socket_.setLinger(true, 0);
     socket_.close();
-  } catch (const Poco::Exception&) {  // it is closed all the same
+  } catch (const Poco::Exception&) {  // the socket is closed nevertheless
   }
 }
 
@@ -263,7 +261,7 @@
   }
   closesAfterSending_ = true;
   watchReading(false);
-  closeAlarm_.start(timeout, [this] { finish(CloseCause::local); });
+  closeAlarm_.start(timeout, [this] { closeWithEvent(CloseCause::local); });
 }
 
 void Stream::finishSending(Inbound inbound) {
@@ -273,11 +271,11 @@
   if (inbound == Inbound::leaveUnread) pollPeerClose(kFirstPeerClosePoll);
 }
 
-// A stream that is not read sees its peer's FIN only by asking for it; unread bytes before it do not hide it.
+// A stream that is not read has to poll for the peer's FIN, which is detected even behind unread bytes.
 void Stream::pollPeerClose(Micros delay) {
   closeAlarm_.start(delay, [this, delay] {
-    if (peerGone()) return finish(CloseCause::peerClosed);
-    pollPeerClose(std::min(2 * delay, kLongestPeerClosePoll));
+    if (peerGone()) return closeWithEvent(CloseCause::peerClosed);
+    pollPeerClose(std::min(2 * delay, kMaxPeerClosePoll));
   });
 }
 
@@ -285,7 +283,7 @@
   if (!finishesSending_ || !isOpen_ || !isConnected_ || pending() > 0) return;
   try {
     socket_.shutdownSend();
-  } catch (const Poco::Exception&) {  // the peer has gone already, which reading shows
+  } catch (const Poco::Exception&) {  // the peer has already closed, which the next read reports
   }
 }
 
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,5 +1,5 @@
 /// @file
-/// A non-blocking TCP connection on the loop.
+/// A non-blocking TCP connection that is driven by the event loop.
 #pragma once
 
 #include <Poco/Net/NetException.h>
@@ -17,18 +17,18 @@
 
 namespace garnethook::net {
 
-/// Why a stream ended.
+/// Why a stream was closed.
 enum class CloseCause {
-  peerClosed,   ///< The peer closed it.
-  reset,        ///< The peer reset it, or it broke.
-  refused,      ///< The peer's machine refused the connection, or the network knows no way to it.
+  peerClosed,   ///< The peer closed the connection.
+  reset,        ///< The peer reset the connection, or it was lost.
+  refused,      ///< The peer's host refused the connection, or the host is unreachable.
   timedOut,     ///< The connection was not established in time.
   unavailable,  ///< This machine could not start the connection in time (no descriptor, memory, port or
-                ///< route), which says nothing about the peer.
-  local         ///< This side closed it.
+                ///< route), which does not indicate a fault of the peer.
+  local         ///< The local side closed the connection.
 };
 
-/// Notified of what happens to a stream, on the loop's thread.
+/// Receives the events of a stream, on the loop's thread.
 class StreamEvents {
  public:
   virtual ~StreamEvents() = default;
@@ -36,72 +36,74 @@
   virtual void onConnected() {}
   /// Bytes have arrived.
   virtual void onBytes(std::string_view bytes) = 0;
-  /// What was pending has been sent; more may be sent.
+  /// All pending bytes have been sent; more may be sent.
   virtual void onDrained() {}
-  /// The peer is gone. Called at most once, never from inside send() or close(); nothing is called after it.
+  /// The connection has ended. Called at most once, never from inside send() or close(); no other event
+  /// follows.
   virtual void onClosed(CloseCause cause) = 0;
 };
 
-/// A TCP connection. Lives on the loop's thread.
+/// A TCP connection. Must be used on the loop's thread only.
 class Stream {
  public:
   /// Wraps an accepted, connected socket.
-  /// @param loop runs everything; must outlive the stream
-  /// @param socket the connection
-  /// @param events is notified; must outlive the stream
+  /// @param loop event loop that drives the stream; must outlive it
+  /// @param socket the connected socket
+  /// @param events receives the stream's events; must outlive the stream
   Stream(Loop& loop, const Poco::Net::StreamSocket& socket, StreamEvents& events);
-  /// Starts to connect; onConnected follows, or onClosed with refused, timedOut or unavailable. Where this
-  /// machine can't start the connection, that is tried again until the timeout.
-  /// @param loop runs everything; must outlive the stream
+  /// Starts to connect; onConnected follows, or onClosed with refused, timedOut or unavailable. If this
+  /// machine cannot start the connection, it is retried until the timeout.
+  /// @param loop event loop that drives the stream; must outlive it
   /// @param peer address to connect to
-  /// @param sourceAddress local address, with a port of the system's choice; empty: the system's choice
+  /// @param sourceAddress local address to bind to, with an ephemeral port; empty: chosen by the system
   /// @param connectTimeout in microseconds
-  /// @param events is notified; must outlive the stream
+  /// @param events receives the stream's events; must outlive the stream
   Stream(Loop& loop, const Poco::Net::SocketAddress& peer, const std::string& sourceAddress,
          Micros connectTimeout, StreamEvents& events);
   ~Stream();
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  /// Takes all bytes; what the socket does not take at once waits in pending().
+  /// Sends all bytes; those that the socket does not accept immediately are buffered, see pending().
   void send(std::string_view bytes);
-  /// Takes as many bytes as the socket does, none while some are pending. Where it was not all, onDrained
-  /// follows.
-  /// @return number of bytes taken
+  /// Sends as many bytes as the socket accepts, none while bytes are pending. If not all were accepted,
+  /// onDrained follows.
+  /// @return number of bytes accepted
   std::size_t trySend(std::string_view bytes);
-  /// Bytes of send() that the socket has not taken yet.
+  /// Number of bytes passed to send() that the socket has not accepted yet.
   std::size_t pending() const { return sendBuffer_.size() - sentBytes_; }
-  /// Once closed: bytes of send() that the socket never took.
+  /// After the close: number of bytes passed to send() that the socket never accepted.
   std::size_t unsent() const { return unsent_; }
-  /// Stops reading, so that the peer's socket fills, or continues.
+  /// Pauses reading, so that TCP flow control stops the peer, or resumes it.
   void pauseReading(bool paused);
   /// Whether the connection has been established.
   bool connected() const { return isConnected_; }
-  /// Whether the stream is connected and the peer has neither sent anything that is still unread nor closed;
-  /// asks the system.
+  /// Whether the stream is connected, no received bytes are unread and the peer has not closed the
+  /// connection; queries the system.
   bool quiet() const;
-  /// Whether the stream is connected and the peer's system has acknowledged all that was sent, as far as this
-  /// system knows.
+  /// Whether the stream is connected and the peer's system has acknowledged all sent bytes, as far as the
+  /// local system can report it.
   bool delivered() const;
   /// Whether the stream has not been closed.
   bool open() const { return isOpen_; }
-  /// Closes at once; nothing is called after it.
-  /// @param abort with a reset instead of an orderly end
+  /// Closes immediately; no event follows.
+  /// @param abort whether to reset the connection instead of closing it in order
   void close(bool abort = false);
-  /// Closes once what is pending has been sent, or after the timeout.
+  /// Closes once all pending bytes have been sent, or after the timeout.
   void closeAfterSending(Micros timeout);
-  /// What happens to input after finishSending().
+  /// How received bytes are handled after finishSending().
   enum class Inbound {
-    read,  ///< Reading continues, since a close with unread bytes would reset the connection and take away
-           ///< what the peer has not read yet.
-    leaveUnread  ///< Nothing is read any more, so that a request which crosses the FIN stays unread.
+    read,  ///< Reading continues, since a close with unread bytes would reset the connection and discard
+           ///< bytes that the peer has not read yet.
+    leaveUnread  ///< Reading stops, so that a request that crosses the FIN stays unread.
   };
-  /// Takes nothing more to send; once what is pending has been sent, the peer is told that nothing follows
-  /// (FIN). onClosed follows when the peer has closed too; the owner bounds how long that may take.
+  /// Accepts no more bytes to send; once all pending bytes have been sent, sends a FIN. onClosed follows when
+  /// the peer has closed too; the owner must bound how long that may take.
   void finishSending(Inbound inbound = Inbound::read);
-  /// Microseconds since the latest bytes arrived, as far as this system knows; 0 where it does not.
+  /// Microseconds since bytes were last received; 0 if the system cannot report it.
   Micros timeSinceLastReceive() const;
-  /// Whether the peer has closed or reset the connection, even if that was not read yet; asks the system.
+  /// Whether the peer has closed or reset the connection, even if that has not been read yet; queries the
+  /// system.
   bool peerGone() const;
 
  private:
@@ -117,8 +119,8 @@
   void watchReading(bool on);
   void watchWriting(bool on);
   void flush();
-  std::optional<std::size_t> write(std::string_view bytes);
-  void finish(CloseCause cause);
+  std::optional<std::size_t> writeToSocket(std::string_view bytes);
+  void closeWithEvent(CloseCause cause);
   void postFailure(CloseCause cause);
   void shutdownIfSent();
   void pollPeerClose(Micros delay);
@@ -130,13 +132,13 @@
   Poco::Net::SocketAddress peer_;
   std::string sourceAddress_;
   Micros connectRetryDelay_ = 0;
-  bool hasSocket_ = false;  // the system has accepted the connection, or started to establish it
+  bool hasSocket_ = false;  // the connection was accepted, or is being established
   timing::Alarm connectRetryAlarm_;
   timing::Alarm connectTimeoutAlarm_;
   timing::Alarm closeAlarm_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true);
   std::string sendBuffer_;
-  std::size_t sentBytes_ = 0;  // of the buffer
+  std::size_t sentBytes_ = 0;  // prefix of the buffer that has been sent
   std::size_t unsent_ = 0;
   bool isConnected_ = false;
   bool isOpen_ = true;
--- a/src/net/system_calls.cpp
+++ b/src/net/system_calls.cpp
@@ -14,18 +14,18 @@
 namespace garnethook::net {
 namespace {
 
-constexpr int kRepeats = 16;  // of an interrupted call; the poll offers the socket again
-constexpr std::size_t kLargestWrite = 1u << 20;
+constexpr int kMaxRetries = 16;  // then the call is left to the next readiness event of the socket
+constexpr std::size_t kMaxWriteBytes = 1u << 20;
 
-bool wouldBlock(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
+bool isWouldBlock(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
 
-// Of a transfer: the socket is sound, and the call is to be made again later.
-bool momentary(int error) {
-  return wouldBlock(error) || error == EINTR || error == ENOMEM || error == ENOBUFS;
+// Whether a transfer failed only temporarily: the connection is intact and the call has to be repeated later.
+bool isTransient(int error) {
+  return isWouldBlock(error) || error == EINTR || error == ENOMEM || error == ENOBUFS;
 }
 
-// Of a connection that could not be made: this machine lacks something, and the peer was not asked.
-bool lacksHere(int error) {
+// Whether a connection attempt failed for a reason on this machine, before the peer was contacted.
+bool isLocalFailure(int error) {
   switch (error) {
     case EADDRNOTAVAIL:
     case EADDRINUSE:
@@ -38,45 +38,46 @@
   }
 }
 
-// Calls again while the call is interrupted, a few times.
+// Repeats an interrupted call a bounded number of times.
 template <class Call>
-auto repeated(Call call) {
+auto retryInterrupted(Call call) {
   auto result = call();
-  for (int i = 0; i < kRepeats && result < 0 && errno == EINTR; ++i) result = call();
+  for (int i = 0; i < kMaxRetries && result < 0 && errno == EINTR; ++i) result = call();
   return result;
 }
 
 }  // namespace
 
-TransferResult receiveBytes(int descriptor, std::span<char> into) {
-  const auto count = repeated([&] { return ::recv(descriptor, into.data(), into.size(), MSG_DONTWAIT); });
+TransferResult receiveBytes(int descriptor, std::span<char> buffer) {
+  const auto count =
+      retryInterrupted([&] { return ::recv(descriptor, buffer.data(), buffer.size(), MSG_DONTWAIT); });
   if (count > 0) return {Transfer::done, static_cast<std::size_t>(count)};
   if (count == 0) return {Transfer::ended, 0};
-  return {momentary(errno) ? Transfer::notNow : Transfer::broken, 0};
+  return {isTransient(errno) ? Transfer::retryLater : Transfer::broken, 0};
 }
 
 TransferResult sendBytes(int descriptor, std::string_view bytes) {
-  const std::size_t size = std::min(bytes.size(), kLargestWrite);
+  const std::size_t size = std::min(bytes.size(), kMaxWriteBytes);
   const auto count =
-      repeated([&] { return ::send(descriptor, bytes.data(), size, MSG_NOSIGNAL | MSG_DONTWAIT); });
+      retryInterrupted([&] { return ::send(descriptor, bytes.data(), size, MSG_NOSIGNAL | MSG_DONTWAIT); });
   if (count >= 0) return {Transfer::done, static_cast<std::size_t>(count)};
-  return {momentary(errno) ? Transfer::notNow : Transfer::broken, 0};
+  return {isTransient(errno) ? Transfer::retryLater : Transfer::broken, 0};
 }
 
-Unread lookAtUnread(int descriptor) {
+Unread peekUnread(int descriptor) {
   char byte = 0;
-  const auto count = repeated([&] { return ::recv(descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT); });
+  const auto count = retryInterrupted([&] { return ::recv(descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT); });
   if (count > 0) return Unread::bytes;
   if (count == 0) return Unread::end;
-  if (wouldBlock(errno)) return Unread::nothing;
-  return momentary(errno) ? Unread::unknown : Unread::broken;
+  if (isWouldBlock(errno)) return Unread::nothing;
+  return isTransient(errno) ? Unread::unknown : Unread::broken;
 }
 
 bool peerHasClosed(int descriptor) {
-  pollfd look{descriptor, POLLRDHUP, 0};
-  const int found = repeated([&] { return ::poll(&look, 1, 0); });
-  if (found > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0) return true;
-  const Unread unread = lookAtUnread(descriptor);
+  pollfd request{descriptor, POLLRDHUP, 0};
+  const int ready = retryInterrupted([&] { return ::poll(&request, 1, 0); });
+  if (ready > 0 && (request.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0) return true;
+  const Unread unread = peekUnread(descriptor);
   return unread == Unread::end || unread == Unread::broken;
 }
 
@@ -95,53 +96,53 @@
 
 AcceptResult acceptConnection(int listener) {
   const int descriptor =
-      repeated([&] { return ::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC); });
+      retryInterrupted([&] { return ::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC); });
   if (descriptor >= 0) return {Accept::done, descriptor};
-  if (wouldBlock(errno)) return {Accept::none, -1};
+  if (isWouldBlock(errno)) return {Accept::queueEmpty, -1};
   switch (errno) {
     case EMFILE:
     case ENFILE:
     case ENOBUFS:
-    case ENOMEM: return {Accept::noRoom, -1};
-    default: return {Accept::tryAgain, -1};  // network errors of one that waited, as accept(2) lists them
+    case ENOMEM: return {Accept::outOfResources, -1};
+    default: return {Accept::tryAgain, -1};  // network errors of a queued connection, see accept(2)
   }
 }
 
-void refuseNewConnections(int listener) {
+void dropNewConnections(int listener) {
   sock_filter dropAll = BPF_STMT(BPF_RET | BPF_K, 0);
   const sock_fprog program{.len = 1, .filter = &dropAll};
-  for (int i = 0; i < kRepeats; ++i)
+  for (int i = 0; i < kMaxRetries; ++i)
     if (::setsockopt(listener, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program) == 0) return;
 }
 
-ConnectResult beginConnection(const sockaddr* to, socklen_t toSize, const sockaddr* from,
-                              socklen_t fromSize) {
-  const int descriptor = ::socket(to->sa_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+ConnectResult startConnect(const sockaddr* peer, socklen_t peerSize, const sockaddr* local,
+                           socklen_t localSize) {
+  const int descriptor = ::socket(peer->sa_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (descriptor < 0) return {Connect::unavailable, -1};
-  if (from != nullptr && ::bind(descriptor, from, fromSize) != 0) {
+  if (local != nullptr && ::bind(descriptor, local, localSize) != 0) {
     ::close(descriptor);
     return {Connect::unavailable, -1};
   }
-  // An interrupted call goes on in the background, as one in progress does.
-  if (::connect(descriptor, to, toSize) == 0 || errno == EINPROGRESS || errno == EINTR)
-    return {Connect::begun, descriptor};
+  // An interrupted connect continues in the background, like one in progress.
+  if (::connect(descriptor, peer, peerSize) == 0 || errno == EINPROGRESS || errno == EINTR)
+    return {Connect::started, descriptor};
   const int error = errno;
   ::close(descriptor);
-  return {lacksHere(error) ? Connect::unavailable : Connect::refused, -1};
+  return {isLocalFailure(error) ? Connect::unavailable : Connect::refused, -1};
 }
 
 Progress connectionProgress(int descriptor) {
   int error = 0;
   socklen_t size = sizeof error;
   if (::getsockopt(descriptor, SOL_SOCKET, SO_ERROR, &error, &size) != 0) return Progress::unknown;
-  if (error == 0) return Progress::up;
+  if (error == 0) return Progress::established;
   if (error == ETIMEDOUT) return Progress::timedOut;
-  return lacksHere(error) ? Progress::unavailable : Progress::refused;
+  return isLocalFailure(error) ? Progress::unavailable : Progress::refused;
 }
 
-void sendWithoutDelay(int descriptor) {
+void disableNagle(int descriptor) {
   const int on = 1;
-  for (int i = 0; i < kRepeats; ++i)
+  for (int i = 0; i < kMaxRetries; ++i)
     if (::setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on) == 0) return;
 }
 
--- a/src/net/system_calls.h
+++ b/src/net/system_calls.h
@@ -1,10 +1,10 @@
 /// @file
-/// Non-blocking socket calls of Linux with their errors sorted by what they mean for the caller. The one
-/// place that knows error numbers; POCO's own calls throw where a call was merely interrupted, or memory was
-/// short for a moment, as if the connection were broken.
+/// Non-blocking Linux socket calls whose errors are classified by their meaning for the caller. Socket error
+/// numbers are interpreted only here: POCO's own calls throw as if the connection were lost, even if a call
+/// was merely interrupted or memory was temporarily short.
 ///
-/// No call here throws or waits. An interrupted call is repeated at once, a bounded number of times. Sources:
-/// the manual pages of section 2 for each call.
+/// No function here throws or blocks. An interrupted call is repeated immediately, a bounded number of times.
+/// The errors are documented in section 2 of the Linux manual pages.
 #pragma once
 
 #include <sys/socket.h>
@@ -17,91 +17,92 @@
 
 namespace garnethook::net {
 
-/// How a transfer of bytes went.
+/// Outcome of a transfer of bytes.
 enum class Transfer {
-  done,    ///< Some bytes, as `count` tells.
-  ended,   ///< The peer sends no more (receiving only).
-  notNow,  ///< Nothing yet: the socket is empty or full, or the system short of memory for the moment.
-  broken   ///< The connection is lost.
+  done,        ///< `count` bytes were transferred.
+  ended,       ///< The peer has sent a FIN (receiving only).
+  retryLater,  ///< No bytes: the socket is empty or full, or the system is temporarily short of memory.
+  broken       ///< The connection is lost.
 };
-/// The result of a transfer.
+/// Result of a transfer.
 struct TransferResult {
-  Transfer transfer = Transfer::notNow;  ///< How it went.
-  std::size_t count = 0;                 ///< Bytes transferred.
+  Transfer transfer = Transfer::retryLater;  ///< Outcome.
+  std::size_t count = 0;                     ///< Number of bytes transferred.
 };
 
-/// Receives as many bytes as are there, at most as many as fit.
-TransferResult receiveBytes(int descriptor, std::span<char> into);
-/// Sends as many bytes as the socket takes.
+/// Receives the available bytes, at most as many as fit into the buffer.
+TransferResult receiveBytes(int descriptor, std::span<char> buffer);
+/// Sends as many bytes as the socket accepts.
 TransferResult sendBytes(int descriptor, std::string_view bytes);
 
-/// What waits unread at a socket.
+/// Unread input of a socket.
 enum class Unread {
   nothing,  ///< The socket is empty.
-  bytes,    ///< Bytes.
-  end,      ///< The peer's end (FIN).
+  bytes,    ///< Bytes are unread.
+  end,      ///< The peer's FIN.
   broken,   ///< The connection is lost.
-  unknown   ///< The system does not tell at the moment.
+  unknown   ///< The system cannot report it at the moment.
 };
-/// Looks at what waits unread without taking it.
-Unread lookAtUnread(int descriptor);
+/// Checks for unread input without consuming it.
+Unread peekUnread(int descriptor);
 
-/// Whether the peer has closed or reset the connection, also behind bytes that were not read yet.
+/// Whether the peer has closed or reset the connection, even if unread bytes precede the close.
 bool peerHasClosed(int descriptor);
 
-/// Bytes that were written and that the peer's system has not acknowledged yet; nothing where the system does
-/// not tell.
+/// Number of sent bytes that the peer's system has not acknowledged yet; `std::nullopt` if the system cannot
+/// report it.
 std::optional<std::size_t> unacknowledgedBytes(int descriptor);
 
-/// How long ago the latest bytes came from the peer, read or not, in microseconds by the millisecond; nothing
-/// where the system does not tell.
+/// Time since bytes were last received from the peer, read or not, in microseconds with millisecond
+/// resolution; `std::nullopt` if the system cannot report it.
 std::optional<std::int64_t> timeSinceLastReceive(int descriptor);
 
-/// How an attempt to accept a connection went.
+/// Outcome of accepting a connection.
 enum class Accept {
-  done,      ///< `descriptor` is the connection's: non-blocking, closed on exec.
-  none,      ///< Nobody waits.
-  tryAgain,  ///< One that waited has failed, or the call was interrupted; others may wait.
-  noRoom     ///< No descriptor or memory: whoever waits goes on waiting.
+  done,           ///< `descriptor` refers to the connection; it is non-blocking and closed on exec.
+  queueEmpty,     ///< No connection is queued.
+  tryAgain,       ///< A queued connection has failed, or the call was interrupted; others may be queued.
+  outOfResources  ///< No descriptor or memory is available; the connections stay queued.
 };
-/// The result of an attempt to accept a connection.
+/// Result of accepting a connection.
 struct AcceptResult {
-  Accept accept = Accept::none;  ///< How it went.
-  int descriptor = -1;           ///< The connection's, where it is done.
+  Accept accept = Accept::queueEmpty;  ///< Outcome.
+  int descriptor = -1;                 ///< Descriptor of the connection; valid if accepted.
 };
-/// Accepts the oldest connection that waits.
+/// Accepts the oldest queued connection.
 AcceptResult acceptConnection(int listener);
-/// From now on the system takes no further connection for this listener, so that its queue can be emptied for
-/// good; what comes is dropped without an answer. Where the system has no socket filters, nothing changes.
-void refuseNewConnections(int listener);
+/// Makes the kernel drop all further packets for this listener without an answer, so that no connection joins
+/// the accept queue any more and it can be emptied. No effect on systems without socket filters.
+void dropNewConnections(int listener);
 
-/// How the beginning of a connection went.
+/// Outcome of starting to connect.
 enum class Connect {
-  begun,       ///< `descriptor` becomes writable when it is up or has failed.
-  refused,     ///< The peer's machine, or the network for good, says no.
-  unavailable  ///< This machine cannot at the moment: no descriptor, memory, port or route. Tells nothing of
-               ///< the peer.
+  started,     ///< `descriptor` becomes writable when the connection is established or has failed.
+  refused,     ///< The peer's host refused the connection, or the network failed permanently.
+  unavailable  ///< This machine cannot connect at the moment: no descriptor, memory, port or route. Does not
+               ///< indicate a fault of the peer.
 };
-/// The result of starting to connect.
+/// Result of starting to connect.
 struct ConnectResult {
-  Connect connect = Connect::unavailable;  ///< How it went.
-  int descriptor = -1;                     ///< The connection's, where it has begun.
+  Connect connect = Connect::unavailable;  ///< Outcome.
+  int descriptor = -1;                     ///< Descriptor of the connection; valid if started.
 };
-/// Starts to connect. `from`: a local address to bind to; none: the system's choice.
-ConnectResult beginConnection(const sockaddr* to, socklen_t toSize, const sockaddr* from, socklen_t fromSize);
+/// Starts to connect to `peer`. `local`: address to bind to; null: chosen by the system.
+ConnectResult startConnect(const sockaddr* peer, socklen_t peerSize, const sockaddr* local,
+                           socklen_t localSize);
 
-/// What has become of a connection that was begun.
+/// State of a connection that was started.
 enum class Progress {
-  unknown,     ///< The system does not tell at the moment.
-  up,          ///< The connection is established.
-  refused,     ///< As `Connect::refused`.
-  timedOut,    ///< No answer in the system's own time.
-  unavailable  ///< As `Connect::unavailable`.
+  unknown,      ///< The system cannot report it at the moment.
+  established,  ///< The connection is established.
+  refused,      ///< See `Connect::refused`.
+  timedOut,     ///< The peer did not answer within the kernel's timeout.
+  unavailable   ///< See `Connect::unavailable`.
 };
-/// What has become of a connection that was begun.
+/// Returns the state of a connection that was started.
 Progress connectionProgress(int descriptor);
 
-/// Small writes go out at once. Tries a bounded number of times.
-void sendWithoutDelay(int descriptor);
+/// Disables Nagle's algorithm, so that small writes are sent immediately. Tries a bounded number of times.
+void disableNagle(int descriptor);
 
 }  // namespace garnethook::net
