--- a/bench/timing_bench.cpp
+++ b/bench/timing_bench.cpp
@@ -1,5 +1,6 @@
-// The timer wheel beside the plain alternative, std::multimap by due time: timers as the router sets them, of
-// which most are cancelled. Prints nanoseconds an operation and the ratio; asserts nothing.
+// Compares the timer wheel with the simple alternative, a std::multimap by due time, under the load of the
+// router: most timers are cancelled before they are due. Prints nanoseconds per operation and the ratio;
+// asserts nothing.
 #include <chrono>
 #include <cstdio>
 #include <functional>
@@ -14,7 +15,7 @@
 using garnethook::timing::Micros;
 using Clock = std::chrono::steady_clock;
 
-class Plain {
+class MultimapTimers {
  public:
   using Key = std::multimap<Micros, std::function<void()>>::iterator;
   Key add(Micros due, std::function<void()> task) { return timers_.emplace(due, std::move(task)); }
@@ -31,33 +32,33 @@
   std::multimap<Micros, std::function<void()>> timers_;
 };
 
-// `standing` timers at any time, due within 5 s; in each step one is cancelled and one added; 1 ms a hundred
-// steps.
+// Keeps `timerCount` timers pending that are due within 5 s. Each step cancels one timer and adds one; time
+// advances by 1 ms every 100 steps.
 template <class Timers>
-double nanoseconds(Timers& timers, std::size_t standing) {
+double nanosecondsPerStep(Timers& timers, std::size_t timerCount) {
   std::mt19937_64 random(3);
   Micros now = 0;
-  std::uint64_t ran = 0;
+  std::uint64_t runCount = 0;
   using Key = decltype(timers.add(0, [] {}));
   struct Slot {
     Key key{};
-    bool live = false;
+    bool isPending = false;
   };
-  std::vector<Slot> slots(standing);
-  const auto set = [&](std::size_t i) {
+  std::vector<Slot> slots(timerCount);
+  const auto addTimer = [&](std::size_t i) {
     slots[i].key = timers.add(now + 1000 + static_cast<Micros>(random() % 5'000'000), [&, i] {
-      slots[i].live = false;
-      ++ran;
+      slots[i].isPending = false;
+      ++runCount;
     });
-    slots[i].live = true;
+    slots[i].isPending = true;
   };
-  for (std::size_t i = 0; i < standing; ++i) set(i);
+  for (std::size_t i = 0; i < timerCount; ++i) addTimer(i);
   constexpr int kSteps = 2'000'000;
   const auto begin = Clock::now();
   for (int step = 0; step < kSteps; ++step) {
-    const std::size_t i = random() % standing;
-    if (slots[i].live) timers.cancel(slots[i].key);
-    set(i);
+    const std::size_t i = random() % timerCount;
+    if (slots[i].isPending) timers.cancel(slots[i].key);
+    addTimer(i);
     if (step % 100 == 0) timers.advance(now += 1000);
   }
   return std::chrono::duration<double>(Clock::now() - begin).count() * 1e9 / kSteps;
@@ -66,12 +67,12 @@
 }  // namespace
 
 int main() {
-  std::printf("%10s %12s %12s %8s\n", "standing", "wheel, ns", "multimap, ns", "ratio");
-  for (const std::size_t standing : {100, 10'000, 100'000, 1'000'000}) {
+  std::printf("%10s %12s %12s %8s\n", "timers", "wheel, ns", "multimap, ns", "ratio");
+  for (const std::size_t timerCount : {100, 10'000, 100'000, 1'000'000}) {
     garnethook::timing::TimerWheel wheel(1000, 0);
-    Plain plain;
-    const double w = nanoseconds(wheel, standing);
-    const double p = nanoseconds(plain, standing);
-    std::printf("%10zu %12.0f %12.0f %8.2f\n", standing, w, p, p / w);
+    MultimapTimers sortedMap;
+    const double wheelNs = nanosecondsPerStep(wheel, timerCount);
+    const double multimapNs = nanosecondsPerStep(sortedMap, timerCount);
+    std::printf("%10zu %12.0f %12.0f %8.2f\n", timerCount, wheelNs, multimapNs, multimapNs / wheelNs);
   }
 }
--- a/src/common/result.h
+++ b/src/common/result.h
@@ -1,6 +1,6 @@
 /// @file
-/// The result of an operation that either yields a value or fails with a typed error. For failures that are
-/// part of normal operation; exceptions are for configurations that can't be used.
+/// The result of an operation that either returns a value or fails with a typed error. For failures that are
+/// part of normal operation; exceptions are used for invalid configurations.
 #pragma once
 
 #include <utility>
@@ -8,12 +8,12 @@
 
 namespace garnethook {
 
-/// Marks an error as such, to be converted into a Result.
+/// Wraps an error for conversion to a failed Result.
 template <class Error>
 struct Failure {
   Error error;  ///< Why the operation failed.
 };
-/// Deduces the type of the error.
+/// Deduction guide.
 template <class Error>
 Failure(Error) -> Failure<Error>;
 
@@ -21,22 +21,22 @@
 template <class Value, class Error>
 class [[nodiscard]] Result {
  public:
-  /// A success.
+  /// Creates a successful result.
   Result(Value value) : state_(std::in_place_index<0>, std::move(value)) {}
-  /// A failure.
+  /// Creates a failed result.
   Result(Failure<Error> failure) : state_(std::in_place_index<1>, std::move(failure.error)) {}
 
-  /// Whether there is a value.
+  /// Whether the operation succeeded.
   bool hasValue() const { return state_.index() == 0; }
-  /// Whether there is a value.
+  /// Whether the operation succeeded.
   explicit operator bool() const { return hasValue(); }
-  /// The value; there must be one.
+  /// The value; requires hasValue().
   Value& value() { return std::get<0>(state_); }
-  /// The value; there must be one.
+  /// The value; requires hasValue().
   const Value& value() const { return std::get<0>(state_); }
-  /// The value's members; there must be a value.
+  /// Accesses a member of the value; requires hasValue().
   const Value* operator->() const { return &value(); }
-  /// The error; there must be one.
+  /// The error; requires !hasValue().
   const Error& error() const { return std::get<1>(state_); }
 
  private:
--- a/src/config/file_text.cpp
+++ b/src/config/file_text.cpp
@@ -17,7 +17,7 @@
 constexpr std::chrono::milliseconds kRetryInterval{2};
 constexpr std::size_t kBufferBytes = std::size_t{64} * 1024;
 
-// A descriptor that is closed with its owner.
+// Owns a file descriptor.
 class OpenFile {
  public:
   explicit OpenFile(const std::string& path) : descriptor_(::open(path.c_str(), O_RDONLY | O_CLOEXEC)) {}
@@ -34,7 +34,7 @@
   int descriptor_;
 };
 
-// Reads the file once into `text`; returns 0, or the error number where that fails.
+// Makes one attempt to read the file into `text`; returns 0 or the error number.
 int readOnce(const std::string& path, std::string& text) {
   text.clear();
   const OpenFile file(path);
--- a/src/config/file_text.h
+++ b/src/config/file_text.h
@@ -1,16 +1,16 @@
-/// Reading a whole file, where calls may fail for a moment.
+/// Reads whole files and retries transient errors.
 #pragma once
 
 #include <string>
 
 namespace garnethook::config {
 
-/// The text of the file at `path`. A call that was interrupted, or failed for want of a descriptor, of memory
-/// or of the disk's answer, is made again for up to about 50 ms, while the caller waits. Throws
-/// std::system_error, naming the path, where the file can't be read.
+/// Returns the text of the file at `path`. A call that is interrupted or fails for lack of descriptors or
+/// memory, or with an I/O error, is retried for up to about 50 ms while the caller blocks. Throws
+/// std::system_error with the path in its message if the file cannot be read.
 std::string readFileText(const std::string& path);
 
-/// Whether reading a file may succeed a moment after it failed with this error number.
+/// Whether an error number is transient, so that reading the file may succeed if retried.
 bool isTransientError(int error);
 
 }  // namespace garnethook::config
--- a/src/config/json_depth.h
+++ b/src/config/json_depth.h
@@ -1,4 +1,5 @@
-/// Guards against JSON texts nested so deep that code that walks the parsed value would run out of stack.
+/// Prevents stack overflows in recursive code that visits parsed JSON values, by limiting the nesting of the
+/// text.
 #pragma once
 
 #include <algorithm>
@@ -6,29 +7,29 @@
 
 namespace garnethook::config {
 
-/// Deepest nesting that is accepted.
+/// Maximum nesting depth that is accepted.
 constexpr unsigned kMaxJsonDepth = 64;
 
-/// Deepest nesting of objects and arrays in JSON text without comments, in one pass. Brackets in strings do
-/// not count.
+/// Returns the maximum nesting depth of objects and arrays in a JSON text without comments, in one pass.
+/// Brackets in strings do not count.
 inline unsigned jsonDepth(std::string_view text) {
   unsigned depth = 0;
-  unsigned deepest = 0;
-  bool quoted = false;
-  for (std::size_t i = 0; i < text.size(); ++i) {
-    const char c = text[i];
-    if (quoted) {
-      if (c == '\\') ++i;
-      quoted = c != '"';
-    } else if (c == '"') {
-      quoted = true;
-    } else if (c == '{' || c == '[') {
-      deepest = std::max(deepest, ++depth);
-    } else if ((c == '}' || c == ']') && depth > 0) {
+  unsigned maxDepth = 0;
+  bool inString = false;
+  for (std::size_t position = 0; position < text.size(); ++position) {
+    const char character = text[position];
+    if (inString) {
+      if (character == '\\') ++position;
+      inString = character != '"';
+    } else if (character == '"') {
+      inString = true;
+    } else if (character == '{' || character == '[') {
+      maxDepth = std::max(maxDepth, ++depth);
+    } else if ((character == '}' || character == ']') && depth > 0) {
       --depth;
     }
   }
-  return deepest;
+  return maxDepth;
 }
 
 }  // namespace garnethook::config
--- a/src/config/json_file.h
+++ b/src/config/json_file.h
@@ -1,5 +1,4 @@
-/// JSON files with comments, read with checks: each error names file, line and key. Used on one thread at a
-/// time.
+/// Validating reader for JSON files with comments: each error names the file, line and key. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -17,33 +16,33 @@
 
 namespace garnethook::config {
 
-/// A file that cannot be used. what() is "file:line: key: problem".
+/// The file is invalid or cannot be read. what() has the form "file:line: key: problem".
 class Error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// The file cannot be read at the moment, for a reason that may be transient: no descriptor, no memory, no
-/// answer of the disk.
+/// The file cannot be read for a reason that may be transient: lack of descriptors or memory, or an I/O
+/// error.
 class UnavailableError : public Error {
  public:
   using Error::Error;
 };
 
-/// A parsed file with the line of each value; immutable.
+/// A parsed file with the line number of each value; immutable.
 class JsonFile {
  public:
-  /// Parses `text`; `name` stands for its origin in error messages. Throws Error where the text is no JSON
-  /// object, or is nested deeper than kMaxJsonDepth.
+  /// Parses `text`; `name` identifies its origin in error messages. Throws Error if the text is not a JSON
+  /// object or is nested deeper than kMaxJsonDepth.
   static std::shared_ptr<const JsonFile> parse(std::string name, std::string_view text);
   /// Reads and parses the file at `path`. Throws Error or UnavailableError.
   static std::shared_ptr<const JsonFile> load(const std::string& path);
 
-  /// The parsed object.
+  /// The parsed root object.
   const nlohmann::json& root() const { return root_; }
-  /// The name that error messages use.
+  /// Name of the file in error messages.
   const std::string& name() const { return name_; }
-  /// Line of the value at a JSON pointer, from 1.
+  /// Line number of the value at a JSON pointer, starting at 1.
   int line(const std::string& pointer) const;
 
  private:
@@ -52,8 +51,8 @@
   LineIndex lines_;
 };
 
-/// One value of a file. An object remembers which keys were read, so that done() finds unknown ones. All
-/// readers throw Error where the value has another type or is out of bounds.
+/// One value of a file. An object records which keys were read, so that done() can reject unknown keys. All
+/// readers throw Error if the value has a different type or is out of range.
 class Node {
  public:
   /// The root of a file.
@@ -64,36 +63,36 @@
   /// Throws Error for a member of this object, which may be absent.
   [[noreturn]] void failAt(std::string_view key, std::string_view error) const;
 
-  /// Whether the object has the key.
+  /// Whether the object contains the key.
   bool has(std::string_view key) const;
-  /// A member that is an object; an absent one reads as empty.
+  /// A member that is an object; empty if the key is absent.
   Node object(std::string_view key) const;
-  /// The items of a member that is an array; an absent one reads as empty.
+  /// The items of a member that is an array; empty if the key is absent.
   std::vector<Node> array(std::string_view key) const;
   /// A required, non-empty string.
   std::string text(std::string_view key) const;
-  /// A string, or `fallback` where the key is absent.
+  /// A string, or `fallback` if the key is absent.
   std::string text(std::string_view key, std::string fallback) const;
-  /// A boolean, or `fallback` where the key is absent.
+  /// A boolean, or `fallback` if the key is absent.
   bool flag(std::string_view key, bool fallback) const;
-  /// A required number from `least` to `most`.
-  double number(std::string_view key, double least, double most) const;
-  /// A number from `least` to `most`, or `fallback` where the key is absent.
-  double number(std::string_view key, double fallback, double least, double most) const;
-  /// A whole number from `least` to `most`, or `fallback` where the key is absent.
-  std::int64_t integer(std::string_view key, std::int64_t fallback, std::int64_t least,
-                       std::int64_t most) const;
-  /// A time: milliseconds in the file and in the bounds, microseconds as result.
-  std::int64_t micros(std::string_view keyMs, double fallbackMs, double leastMs, double mostMs) const;
-  /// The items of an array of strings; an absent one reads as empty.
+  /// A required number from `minimum` to `maximum`.
+  double number(std::string_view key, double minimum, double maximum) const;
+  /// A number from `minimum` to `maximum`, or `fallback` if the key is absent.
+  double number(std::string_view key, double fallback, double minimum, double maximum) const;
+  /// An integer from `minimum` to `maximum`, or `fallback` if the key is absent.
+  std::int64_t integer(std::string_view key, std::int64_t fallback, std::int64_t minimum,
+                       std::int64_t maximum) const;
+  /// A duration: milliseconds in the file and in the bounds, microseconds in the result.
+  std::int64_t micros(std::string_view keyMs, double fallbackMs, double minimumMs, double maximumMs) const;
+  /// The items of an array of strings; empty if the key is absent.
   std::vector<std::string> texts(std::string_view key) const;
-  /// Index of a string among `names`, or `fallback` where the key is absent; the error lists the names.
+  /// Index of a string in `names`, or `fallback` if the key is absent; the error lists the names.
   std::size_t choice(std::string_view key, const std::vector<std::string>& names, std::size_t fallback) const;
-  /// The value itself, unchecked.
+  /// The underlying JSON value, without validation.
   const nlohmann::json& raw() const { return *value_; }
   /// This value as a string.
   std::string asText() const;
-  /// Throws Error for a key of this object that was never read.
+  /// Throws Error if this object has a key that was never read.
   void done() const;
 
  private:
--- a/src/config/json_line_index.cpp
+++ b/src/config/json_line_index.cpp
@@ -6,7 +6,7 @@
 namespace garnethook::config {
 namespace {
 
-// A recursive scanner over text that the parser has accepted.
+// Recursive scanner for text that the parser has accepted.
 class LineScanner {
  public:
   explicit LineScanner(std::string_view text) : text_(text) { scanValue(""); }
@@ -73,7 +73,7 @@
       const int keyLine = line_;
       const std::string member = pointer + "/" + escapePointerToken(scanString());
       skipSpaceAndComments();
-      ++position_;  // the colon
+      ++position_;  // colon
       scanValue(member);
       lines_[member] = keyLine;
       skipComma();
@@ -106,13 +106,13 @@
 
 std::string escapePointerToken(std::string_view key) {
   std::string escaped;
-  for (const char c : key) {
-    if (c == '~')
+  for (const char character : key) {
+    if (character == '~')
       escaped += "~0";
-    else if (c == '/')
+    else if (character == '/')
       escaped += "~1";
     else
-      escaped.push_back(c);
+      escaped.push_back(character);
   }
   return escaped;
 }
--- a/src/config/json_line_index.h
+++ b/src/config/json_line_index.h
@@ -7,14 +7,14 @@
 
 namespace garnethook::config {
 
-/// Line of each value, from 1, by its JSON pointer (RFC 6901).
+/// Line number of each value, starting at 1, by its JSON pointer (RFC 6901).
 using LineIndex = std::map<std::string, int>;
 
-/// A member's key as a token of a JSON pointer: "~" and "/" escaped.
+/// Escapes "~" and "/" in a member's key, so that it can be used as a reference token of a JSON pointer.
 std::string escapePointerToken(std::string_view key);
 
-/// The lines on which the values of `text` begin; a member's line is that of its key. `text` must have been
-/// accepted by the parser, and nested no deeper than the caller's stack allows.
+/// Returns the lines on which the values of `text` begin; the line of a member is that of its key. `text`
+/// must have been accepted by the parser, and its nesting must be limited, since the scanner recurses.
 LineIndex indexLines(std::string_view text);
 
 }  // namespace garnethook::config
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,4 +1,4 @@
-/// Structured logs: one JSON object a line, through spdlog. For one thread.
+/// Structured logging: one JSON object per line, written through spdlog. Not thread-safe.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -9,18 +9,18 @@
 
 namespace garnethook::log {
 
-/// A logger; copies share their target.
+/// A logger; copies share the same sink.
 class Log {
  public:
-  /// Keys and values of a line, in order.
+  /// Keys and values of a line, in output order.
   using Fields = nlohmann::ordered_json;
-  /// Opens a log of the router `name`. `file`: path to append to; empty for standard error. `level`: debug,
-  /// info, warn, error or off. Throws spdlog::spdlog_ex where the file cannot be opened.
+  /// Opens the log of the router `name`. `file`: path to append to; empty for standard error. `level`: debug,
+  /// info, warn, error or off. Throws spdlog::spdlog_ex if the file cannot be opened.
   static Log open(const std::string& name, const std::string& file, const std::string& level);
-  /// A log that drops everything.
+  /// Returns a log that discards all lines.
   static Log none();
 
-  /// Writes a line about detail of single requests.
+  /// Writes a line about details of individual requests.
   void debug(const char* event, const Fields& fields = Fields::object()) const {
     write(spdlog::level::debug, event, fields);
   }
@@ -28,19 +28,19 @@
   void info(const char* event, const Fields& fields = Fields::object()) const {
     write(spdlog::level::info, event, fields);
   }
-  /// Writes a line about something that an operator should look at.
+  /// Writes a line about a condition that an operator should investigate.
   void warn(const char* event, const Fields& fields = Fields::object()) const {
     write(spdlog::level::warn, event, fields);
   }
-  /// Writes a line about a defect or a broken rule.
+  /// Writes a line about a defect or a rule violation.
   void error(const char* event, const Fields& fields = Fields::object()) const {
     write(spdlog::level::err, event, fields);
   }
-  /// Whether lines of level debug are written.
+  /// Whether lines of level debug are enabled.
   bool isDebugEnabled() const { return logger_->should_log(spdlog::level::debug); }
-  /// Sets the least level that is written; names as for open().
+  /// Sets the minimum level that is written; levels as for open().
   void setLevel(const std::string& level) const;
-  /// Writes out what is buffered.
+  /// Flushes buffered lines.
   void flush() const { logger_->flush(); }
 
  private:
--- a/src/log/stderr_sink.h
+++ b/src/log/stderr_sink.h
@@ -1,7 +1,8 @@
-/// Standard error as a target of log lines that never blocks the program.
+/// A log sink for standard error that never blocks the program.
 ///
-/// The reader of a pipe may be slow, stopped or gone. A line that the pipe does not accept at once is
-/// dropped; the next line that is written reports how many were. Files and terminals accept every line.
+/// The reader of a pipe may be slow, stopped or gone. A line that the pipe does not accept immediately is
+/// dropped; the next line that is written reports the number of dropped lines. Files and terminals accept
+/// every line.
 #pragma once
 
 #include <spdlog/details/null_mutex.h>
@@ -12,10 +13,10 @@
 
 namespace garnethook::log {
 
-/// The sink; for one thread.
+/// Non-blocking sink for standard error. Not thread-safe.
 class StderrSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
-  /// Lines dropped since the start.
+  /// Number of lines dropped since the start.
   std::uint64_t dropped() const { return dropped_; }
 
  protected:
@@ -25,7 +26,7 @@
   void flush_() override {}
 
  private:
-  // Returns false where there is no room now, or the line went out in part.
+  // Returns false if the text could not be written completely without blocking.
   static bool write(std::string_view text);
   std::uint64_t dropped_ = 0;
   std::uint64_t unreportedDrops_ = 0;  // dropped since the last line that reported drops
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -134,7 +134,7 @@
   // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init): filled by the read, too large to clear each time
   std::array<char, kReadSize> buffer;
   const auto isAlive = isAlive_;
-  for (int count = 0; count < kReadsPerTurn && *isAlive && isOpen_ && watch_.reading(); ++count) {
+  for (int reads = 0; reads < kReadsPerTurn && *isAlive && isOpen_ && watch_.reading(); ++reads) {
     const TransferResult read = receiveBytes(descriptor(), buffer);
     switch (read.transfer) {
       case Transfer::retryLater: return;
--- a/src/timing/owned_timers.h
+++ b/src/timing/owned_timers.h
@@ -1,56 +1,57 @@
 /// @file
-/// Timers of one owner on a wheel of their own: they end with it, all at once, and cost its parent one timer.
+/// A timer wheel for one owner: its timers are cancelled together with the owner and use a single timer of
+/// the parent.
 #pragma once
 
 #include "timing/timers.h"
 
 namespace garnethook::timing {
 
-/// Timers that end with their owner.
+/// Timers that are cancelled when their owner is destroyed.
 class OwnedTimers final : public Timers {
  public:
-  /// @param parent whose clock and timer are used; must outlive this
+  /// @param parent provides the clock and the underlying timer; must outlive this object
   /// @param tick resolution in microseconds
   explicit OwnedTimers(Timers& parent, Micros tick = 1000)
       : parent_(parent), wheel_(tick, parent.now()), alarm_(parent) {}
 
-  /// The time of the parent.
+  /// Time of the parent's clock.
   Micros now() const override { return parent_.now(); }
-  /// Runs the task once the delay (microseconds) is over, never inside this call.
+  /// Runs the task after the delay (microseconds), never inside this call.
   TimerKey after(Micros delay, TimerWheel::Task task) override {
     const auto key = wheel_.add(now() + std::max<Micros>(0, delay), std::move(task));
-    if (!isRunningTasks_) arm();
+    if (!isRunningTasks_) armNextTimer();
     return key;
   }
-  /// Cancels a timer. @return false: it has run, or was cancelled before
+  /// Cancels a timer. @return false if it has already run or been cancelled
   bool cancel(TimerKey key) override { return wheel_.cancel(key); }
-  /// Number of timers.
+  /// Number of pending timers.
   std::size_t size() const { return wheel_.size(); }
 
  private:
-  void arm() {
-    const auto next = wheel_.next();
-    if (!next || (armedFor_ != 0 && armedFor_ <= *next)) return;
-    armedFor_ = *next;
-    alarm_.start(*next - now(), [this] {
-      armedFor_ = 0;
+  void armNextTimer() {
+    const auto nextDue = wheel_.next();
+    if (!nextDue || (armedTime_ != 0 && armedTime_ <= *nextDue)) return;
+    armedTime_ = *nextDue;
+    alarm_.start(*nextDue - now(), [this] {
+      armedTime_ = 0;
       isRunningTasks_ = true;
       try {
         wheel_.advance(now());
-      } catch (...) {  // reported by the parent; what is due after it runs all the same
+      } catch (...) {  // reported by the parent; later timers must still run
         isRunningTasks_ = false;
-        arm();
+        armNextTimer();
         throw;
       }
       isRunningTasks_ = false;
-      arm();
+      armNextTimer();
     });
   }
 
   Timers& parent_;
   TimerWheel wheel_;
   Alarm alarm_;
-  Micros armedFor_ = 0;
+  Micros armedTime_ = 0;
   bool isRunningTasks_ = false;
 };
 
--- a/src/timing/retry.h
+++ b/src/timing/retry.h
@@ -1,6 +1,6 @@
 /// @file
-/// Repeating what fails for a moment, by the monotonic clock, while the caller waits. For the start of a
-/// process alone: a running loop uses timers.
+/// Blocking retries of operations that fail temporarily, timed by the monotonic clock. For use during process
+/// start only: a running event loop uses timers.
 #pragma once
 
 #include <chrono>
@@ -8,24 +8,23 @@
 
 namespace garnethook::timing {
 
-/// How long a start goes on trying. A process has 10 s until it has to
-/// serve.
+/// Limit on the retries at the start of a process, which has to serve requests within 10 s.
 inline constexpr std::chrono::milliseconds kStartRetryTimeout{4000};
-/// The pause between two tries.
-inline constexpr std::chrono::milliseconds kStartPause{10};
+/// Pause between two attempts.
+inline constexpr std::chrono::milliseconds kStartRetryInterval{10};
 
-/// The result of `call`, made again for as long as it throws a Failure and `within` is not over; then the
-/// last one is thrown.
+/// Returns the result of `call`, which is retried while it throws a Failure. After `timeout` the last
+/// exception is propagated.
 template <class Failure, class Call>
-auto retryFor(std::chrono::milliseconds within, Call call) {
-  const auto until = std::chrono::steady_clock::now() + within;
+auto retryFor(std::chrono::milliseconds timeout, Call call) {
+  const auto deadline = std::chrono::steady_clock::now() + timeout;
   while (true) {
     try {
       return call();
     } catch (const Failure&) {
-      if (std::chrono::steady_clock::now() >= until) throw;
+      if (std::chrono::steady_clock::now() >= deadline) throw;
     }
-    std::this_thread::sleep_for(kStartPause);
+    std::this_thread::sleep_for(kStartRetryInterval);
   }
 }
 
--- a/src/timing/timer_wheel.cpp
+++ b/src/timing/timer_wheel.cpp
@@ -5,152 +5,153 @@
 
 namespace garnethook::timing {
 
-TimerWheel::TimerWheel(Micros tick, Micros start) : tick_(tick), start_(start) {}
+TimerWheel::TimerWheel(Micros tick, Micros start) : tickLength_(tick), startTime_(start) {}
 
 TimerKey TimerWheel::add(Micros due, Task task) {
-  std::uint32_t slot = 0;
-  if (free_.empty()) {
-    slot = static_cast<std::uint32_t>(nodes_.size());
+  std::uint32_t index = 0;
+  if (freeNodes_.empty()) {
+    index = static_cast<std::uint32_t>(nodes_.size());
     nodes_.emplace_back();
   } else {
-    slot = free_.back();
-    free_.pop_back();
+    index = freeNodes_.back();
+    freeNodes_.pop_back();
   }
-  Node& n = nodes_[slot];
-  n.task = std::move(task);
-  n.due = std::max(at_ + 1, (std::max(due, start_) - start_ + tick_ - 1) / tick_);
+  Node& node = nodes_[index];
+  node.task = std::move(task);
+  node.due =
+      std::max(currentTick_ + 1, (std::max(due, startTime_) - startTime_ + tickLength_ - 1) / tickLength_);
   ++size_;
-  place(slot);
-  return {slot, n.generation};
+  insert(index);
+  return {index, node.generation};
 }
 
-void TimerWheel::place(std::uint32_t node) {
-  Node& n = nodes_[node];
-  const std::int64_t ahead = std::max<std::int64_t>(n.due - at_, 1);
+void TimerWheel::insert(std::uint32_t index) {
+  Node& node = nodes_[index];
+  const std::int64_t ticksAhead = std::max<std::int64_t>(node.due - currentTick_, 1);
   unsigned level = 0;
-  while (level + 1 < kLevels && ahead >= std::int64_t{1} << (kBits * (level + 1))) ++level;
-  // Beyond the last level's reach: its furthest slot, to be placed again from there.
-  const std::int64_t reach = (std::int64_t{1} << (kBits * kLevels)) - 1;
-  const std::int64_t due = at_ + std::min(ahead, reach);
-  n.list = level * kSlots + static_cast<std::uint32_t>(due >> (kBits * level) & (kSlots - 1));
-  List& list = lists_[n.list];
-  n.previous = list.last;
-  n.next = kNone;
-  (list.last == kNone ? list.first : nodes_[list.last].next) = node;
-  list.last = node;
-  ++counts_[level];
+  while (level + 1 < kLevels && ticksAhead >= std::int64_t{1} << (kSlotBits * (level + 1))) ++level;
+  // A timer beyond the range of the last level goes into its furthest slot and is placed again from there.
+  const std::int64_t maxTicksAhead = (std::int64_t{1} << (kSlotBits * kLevels)) - 1;
+  const std::int64_t due = currentTick_ + std::min(ticksAhead, maxTicksAhead);
+  node.list = level * kSlots + static_cast<std::uint32_t>(due >> (kSlotBits * level) & (kSlots - 1));
+  List& list = lists_[node.list];
+  node.previous = list.last;
+  node.next = kNoIndex;
+  (list.last == kNoIndex ? list.first : nodes_[list.last].next) = index;
+  list.last = index;
+  ++levelSizes_[level];
 }
 
-void TimerWheel::unlink(std::uint32_t node) {
-  Node& n = nodes_[node];
-  List& list = lists_[n.list];
-  (n.previous == kNone ? list.first : nodes_[n.previous].next) = n.next;
-  (n.next == kNone ? list.last : nodes_[n.next].previous) = n.previous;
-  --counts_[n.list / kSlots];
-  n.list = kNone;
+void TimerWheel::unlink(std::uint32_t index) {
+  Node& node = nodes_[index];
+  List& list = lists_[node.list];
+  (node.previous == kNoIndex ? list.first : nodes_[node.previous].next) = node.next;
+  (node.next == kNoIndex ? list.last : nodes_[node.next].previous) = node.previous;
+  --levelSizes_[node.list / kSlots];
+  node.list = kNoIndex;
 }
 
 bool TimerWheel::cancel(TimerKey key) {
   if (!key || key.slot >= nodes_.size()) return false;
-  Node& n = nodes_[key.slot];
-  if (n.generation != key.generation || n.list == kNone) return false;
+  Node& node = nodes_[key.slot];
+  if (node.generation != key.generation || node.list == kNoIndex) return false;
   unlink(key.slot);
-  n.task = nullptr;
-  if (++n.generation == 0) n.generation = 1;
-  free_.push_back(key.slot);
+  node.task = nullptr;
+  if (++node.generation == 0) node.generation = 1;
+  freeNodes_.push_back(key.slot);
   --size_;
   return true;
 }
 
 void TimerWheel::clear() {
-  for (std::uint32_t i = 0; i < nodes_.size(); ++i) {
-    if (nodes_[i].list == kNone) continue;
-    const Task dropped = std::move(nodes_[i].task);
-    cancel({i, nodes_[i].generation});
+  for (std::uint32_t index = 0; index < nodes_.size(); ++index) {
+    if (nodes_[index].list == kNoIndex) continue;
+    const Task removed = std::move(nodes_[index].task);
+    cancel({index, nodes_[index].generation});
   }
 }
 
-void TimerWheel::runSlot(std::uint32_t list) {
-  while (lists_[list].first != kNone) {
-    const std::uint32_t node = lists_[list].first;
-    unlink(node);
-    const Task task = std::exchange(nodes_[node].task, nullptr);
-    if (++nodes_[node].generation == 0) nodes_[node].generation = 1;
-    free_.push_back(node);
+void TimerWheel::runList(std::uint32_t listIndex) {
+  while (lists_[listIndex].first != kNoIndex) {
+    const std::uint32_t index = lists_[listIndex].first;
+    unlink(index);
+    const Task task = std::exchange(nodes_[index].task, nullptr);
+    if (++nodes_[index].generation == 0) nodes_[index].generation = 1;
+    freeNodes_.push_back(index);
     --size_;
     try {
       task();
     } catch (...) {
-      if (!failed_) failed_ = std::current_exception();
+      if (!firstException_) firstException_ = std::current_exception();
     }
   }
 }
 
-// Spreads the slot of a higher level whose time has begun over the levels below.
+// Distributes the timers of a higher level's slot over the lower levels when the range of that slot begins.
 void TimerWheel::cascade(unsigned level) {
-  const auto slot = static_cast<std::uint32_t>(at_ >> (kBits * level) & (kSlots - 1));
+  const auto slot = static_cast<std::uint32_t>(currentTick_ >> (kSlotBits * level) & (kSlots - 1));
   if (slot == 0 && level + 1 < kLevels) cascade(level + 1);
-  const std::uint32_t index = level * kSlots + slot;
+  const std::uint32_t sourceIndex = level * kSlots + slot;
   std::vector<std::uint32_t> moved;
-  for (std::uint32_t node = lists_[index].first; node != kNone; node = nodes_[node].next)
-    moved.push_back(node);
-  for (const std::uint32_t node : moved) unlink(node);
-  for (const std::uint32_t node : moved) {
-    // A timer due at this very tick belongs to the slot that runs next.
-    if (nodes_[node].due <= at_) {
-      Node& n = nodes_[node];
-      n.list = static_cast<std::uint32_t>(at_ & (kSlots - 1));
-      List& list = lists_[n.list];
-      n.previous = list.last;
-      n.next = kNone;
-      (list.last == kNone ? list.first : nodes_[list.last].next) = node;
-      list.last = node;
-      ++counts_[0];
+  for (std::uint32_t index = lists_[sourceIndex].first; index != kNoIndex; index = nodes_[index].next)
+    moved.push_back(index);
+  for (const std::uint32_t index : moved) unlink(index);
+  for (const std::uint32_t index : moved) {
+    // A timer that is due at the current tick belongs to the slot that runs next.
+    if (nodes_[index].due <= currentTick_) {
+      Node& node = nodes_[index];
+      node.list = static_cast<std::uint32_t>(currentTick_ & (kSlots - 1));
+      List& list = lists_[node.list];
+      node.previous = list.last;
+      node.next = kNoIndex;
+      (list.last == kNoIndex ? list.first : nodes_[list.last].next) = index;
+      list.last = index;
+      ++levelSizes_[0];
     } else {
-      place(node);
+      insert(index);
     }
   }
 }
 
-// What a task throws is thrown on once all that is due has run.
+// Rethrows the first exception of a task after all due timers have run.
 void TimerWheel::advance(Micros now) {
-  runUntil((now - start_) / tick_);
-  if (failed_) std::rethrow_exception(std::exchange(failed_, nullptr));
+  runUntilTick((now - startTime_) / tickLength_);
+  if (firstException_) std::rethrow_exception(std::exchange(firstException_, nullptr));
 }
 
-void TimerWheel::runUntil(std::int64_t target) {
-  while (at_ < target) {
+void TimerWheel::runUntilTick(std::int64_t targetTick) {
+  while (currentTick_ < targetTick) {
     if (size_ == 0) {
-      at_ = target;
+      currentTick_ = targetTick;
       return;
     }
-    // With the lowest level empty nothing runs before the next cascade.
-    if (levelEmpty(0)) {
-      const std::int64_t boundary = (at_ | (kSlots - 1)) + 1;
-      if (boundary > target) {
-        at_ = target;
+    // If the lowest level is empty, no timer runs before the next cascade.
+    if (isLevelEmpty(0)) {
+      const std::int64_t boundary = (currentTick_ | (kSlots - 1)) + 1;
+      if (boundary > targetTick) {
+        currentTick_ = targetTick;
         return;
       }
-      at_ = boundary;
+      currentTick_ = boundary;
     } else {
-      ++at_;
+      ++currentTick_;
     }
-    if ((at_ & (kSlots - 1)) == 0) cascade(1);
-    runSlot(static_cast<std::uint32_t>(at_ & (kSlots - 1)));
+    if ((currentTick_ & (kSlots - 1)) == 0) cascade(1);
+    runList(static_cast<std::uint32_t>(currentTick_ & (kSlots - 1)));
   }
 }
 
 std::optional<Micros> TimerWheel::next() const {
   if (size_ == 0) return std::nullopt;
-  if (!levelEmpty(0))
-    for (std::int64_t i = 1; i <= kSlots; ++i) {
-      const std::int64_t tick = at_ + i;
-      if (lists_[static_cast<std::uint32_t>(tick & (kSlots - 1))].first != kNone)
-        return start_ + tick * tick_;
-      if ((tick & (kSlots - 1)) == 0 && (counts_[1] + counts_[2] + counts_[3]) > 0)
-        return start_ + tick * tick_;
+  if (!isLevelEmpty(0))
+    for (std::int64_t offset = 1; offset <= kSlots; ++offset) {
+      const std::int64_t tick = currentTick_ + offset;
+      if (lists_[static_cast<std::uint32_t>(tick & (kSlots - 1))].first != kNoIndex)
+        return startTime_ + tick * tickLength_;
+      if ((tick & (kSlots - 1)) == 0 && (levelSizes_[1] + levelSizes_[2] + levelSizes_[3]) > 0)
+        return startTime_ + tick * tickLength_;
     }
-  return start_ + ((at_ | (kSlots - 1)) + 1) * tick_;
+  return startTime_ + ((currentTick_ | (kSlots - 1)) + 1) * tickLength_;
 }
 
 }  // namespace garnethook::timing
--- a/src/timing/timers.h
+++ b/src/timing/timers.h
@@ -1,5 +1,6 @@
 /// @file
-/// Time and timers as the packages above I/O see them: real in the router, simulated in an emulator.
+/// The clock and timer interface of the code above the I/O layer: real time in the router, simulated time in
+/// a simulator.
 #pragma once
 
 #include <algorithm>
@@ -13,15 +14,16 @@
 class Timers {
  public:
   virtual ~Timers() = default;
-  /// Microseconds; never goes back, whatever happens to the wall clock. Its origin is arbitrary.
+  /// Current time in microseconds; never decreases, even if the wall clock is stepped. The epoch is
+  /// arbitrary.
   virtual Micros now() const = 0;
-  /// Runs the task once the delay (microseconds) is over, never inside this call.
+  /// Runs the task after the delay (microseconds), never inside this call.
   virtual TimerKey after(Micros delay, TimerWheel::Task task) = 0;
-  /// Cancels a timer. @return false: it has run, or was cancelled before
+  /// Cancels a timer. @return false if it has already run or been cancelled
   virtual bool cancel(TimerKey key) = 0;
 };
 
-/// A timer that ends with its owner.
+/// A single timer that is cancelled when its owner is destroyed.
 class Alarm {
  public:
   /// @param timers must outlive the alarm
@@ -29,7 +31,7 @@
   ~Alarm() { stop(); }
   Alarm(const Alarm&) = delete;
   Alarm& operator=(const Alarm&) = delete;
-  /// Runs the task once the delay (microseconds) is over, in place of what was to run before.
+  /// Runs the task after the delay (microseconds); replaces a pending task.
   void start(Micros delay, TimerWheel::Task task) {
     stop();
     key_ = timers_.after(delay, [this, task = std::move(task)] {
@@ -37,9 +39,9 @@
       task();
     });
   }
-  /// Whether a task is to run.
+  /// Whether a task is pending.
   bool running() const { return static_cast<bool>(key_); }
-  /// Runs nothing any more.
+  /// Cancels the pending task, if any.
   void stop() {
     timers_.cancel(key_);
     key_ = {};
--- a/src/timing/unix_time.h
+++ b/src/timing/unix_time.h
@@ -1,4 +1,4 @@
-/// Unix time as a type of its own, so that it is never taken for an instant of the monotonic clock.
+/// Unix time as a distinct type, so that it cannot be confused with an instant of the monotonic clock.
 #pragma once
 
 #include <compare>
@@ -6,15 +6,14 @@
 
 namespace garnethook::timing {
 
-/// An instant by somebody's wall clock. Instants of the process's monotonic clock are plain microsecond
-/// counts
-/// (`Micros`) and do not convert to or from it.
+/// An instant of a wall clock, local or remote. Instants of the process's monotonic clock are plain
+/// microsecond counts (`Micros`) and do not convert to or from this type.
 struct UnixTime {
-  std::int64_t sinceEpoch = 0;  ///< Microseconds since 1970-01-01T00:00:00Z. 0: not known.
+  std::int64_t sinceEpoch = 0;  ///< Microseconds since 1970-01-01T00:00:00Z. 0: unknown.
 
-  /// Whether an instant is given at all.
+  /// Whether the instant is known.
   bool isKnown() const { return sinceEpoch != 0; }
-  /// Earlier instants order first.
+  /// Orders by time.
   friend auto operator<=>(const UnixTime&, const UnixTime&) = default;
 };
 
--- a/tests/loop_test.cpp
+++ b/tests/loop_test.cpp
@@ -14,57 +14,58 @@
 namespace garnethook::net {
 namespace {
 
-// What workers post must not wait for the poll to end by itself, which takes up to 100 ms with nothing to do.
-TEST(Loop, ATaskFromAnotherThreadEndsThePoll) {
+// Guards against tasks posted by worker threads that wait until the poll times out, which takes up to 100 ms
+// on an idle loop.
+TEST(Loop, TaskPostedFromAnotherThreadEndsThePoll) {
   Loop loop;
   const Listener listener(loop, Poco::Net::SocketAddress("127.0.0.1", 0), [](Poco::Net::StreamSocket) {});
-  int ran = 0;
-  timing::Micros waited = 0;
-  std::thread other([&] {
+  int runCount = 0;
+  timing::Micros totalDelay = 0;
+  std::thread worker([&] {
     for (int i = 0; i < 20; ++i) {
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
-      const auto since = loop.now();
-      loop.post([&, since] {
-        waited += loop.now() - since;
-        if (++ran == 20) loop.stop();
+      const auto postTime = loop.now();
+      loop.post([&, postTime] {
+        totalDelay += loop.now() - postTime;
+        if (++runCount == 20) loop.stop();
       });
     }
   });
   loop.run();
-  other.join();
-  EXPECT_EQ(ran, 20);
-  EXPECT_LT(waited, 20 * 100'000 / 4);
+  worker.join();
+  EXPECT_EQ(runCount, 20);
+  EXPECT_LT(totalDelay, 20 * 100'000 / 4);
 }
 
-// One that threw took the rest of its turn with it.
-TEST(Loop, WhatOneTaskThrowsCostsNoOtherItsTurn) {
+// Guards against a task that throws and thereby prevents the remaining tasks of the turn from running.
+TEST(Loop, ThrowingTaskDoesNotPreventOtherTasks) {
   Loop loop;
   const Listener listener(loop, Poco::Net::SocketAddress("127.0.0.1", 0), [](Poco::Net::StreamSocket) {});
-  std::vector<std::string> told;
-  int ran = 0;
-  loop.onTaskFailed([&](const std::string& what) { told.push_back(what); });
+  std::vector<std::string> errors;
+  int runCount = 0;
+  loop.onTaskFailed([&](const std::string& what) { errors.push_back(what); });
   loop.post([] { throw std::runtime_error("posted"); });
-  loop.post([&] { ++ran; });
+  loop.post([&] { ++runCount; });
   loop.after(2'000, [] { throw std::runtime_error("timer"); });
-  loop.after(2'000, [&] { ++ran; });
+  loop.after(2'000, [&] { ++runCount; });
   loop.after(20'000, [&] { loop.stop(); });
   loop.run();
-  EXPECT_EQ(ran, 2);
-  EXPECT_EQ(told, (std::vector<std::string>{"posted", "timer"}));
+  EXPECT_EQ(runCount, 2);
+  EXPECT_EQ(errors, (std::vector<std::string>{"posted", "timer"}));
   EXPECT_EQ(loop.failedTasks(), 2u);
 }
 
-TEST(Loop, AnOwnersTimerThatThrowsCostsNoOtherOfItsTimers) {
+TEST(Loop, ThrowingOwnedTimerDoesNotPreventOtherTimersOfItsOwner) {
   Loop loop;
   const Listener listener(loop, Poco::Net::SocketAddress("127.0.0.1", 0), [](Poco::Net::StreamSocket) {});
   timing::OwnedTimers timers(loop);
-  int ran = 0;
+  int runCount = 0;
   timers.after(1'000, [] { throw std::runtime_error("owned"); });
-  timers.after(1'000, [&] { ++ran; });  // of the same tick
-  timers.after(5'000, [&] { ++ran; });
+  timers.after(1'000, [&] { ++runCount; });  // due in the same tick
+  timers.after(5'000, [&] { ++runCount; });
   loop.after(30'000, [&] { loop.stop(); });
   loop.run();
-  EXPECT_EQ(ran, 2);
+  EXPECT_EQ(runCount, 2);
   EXPECT_EQ(loop.failedTasks(), 1u);
 }
 
--- a/tests/net/stream_test.cpp
+++ b/tests/net/stream_test.cpp
@@ -1,4 +1,4 @@
-// Streams on loopback: full sockets, and ends that lose nothing.
+// Tests of streams and listeners on loopback: full sockets, and closes that lose no data.
 #include "net/stream.h"
 
 #include <gtest/gtest.h>
@@ -19,12 +19,12 @@
 using net::CloseCause;
 using net::Stream;
 
-struct Peer final : net::StreamEvents {
-  void onBytes(std::string_view bytes) override { got += bytes; }
-  void onDrained() override { ++drained; }
-  void onClosed(CloseCause c) override { cause = c; }
-  std::string got;
-  int drained = 0;
+struct StreamPeer final : net::StreamEvents {
+  void onBytes(std::string_view bytes) override { received += bytes; }
+  void onDrained() override { ++drainedCount; }
+  void onClosed(CloseCause closeCause) override { cause = closeCause; }
+  std::string received;
+  int drainedCount = 0;
   std::optional<CloseCause> cause;
   std::unique_ptr<Stream> stream;
 };
@@ -32,110 +32,113 @@
 struct StreamTest : testing::Test, LoopRunner {
   StreamTest()
       : listener(loop, Poco::Net::SocketAddress("127.0.0.1", 0), [this](auto socket) {
-          there.stream = std::make_unique<Stream>(loop, std::move(socket), there);
+          server.stream = std::make_unique<Stream>(loop, std::move(socket), server);
         }) {
-    here.stream = std::make_unique<Stream>(loop, listener.address(), "", 1'000'000, here);
-    EXPECT_TRUE(until([&] { return here.stream->connected() && there.stream; }, 1'000'000));
+    client.stream = std::make_unique<Stream>(loop, listener.address(), "", 1'000'000, client);
+    EXPECT_TRUE(until([&] { return client.stream->connected() && server.stream; }, 1'000'000));
   }
   ~StreamTest() override { stopLoop(); }
-  Peer here;
-  Peer there;
+  StreamPeer client;
+  StreamPeer server;
   net::Listener listener;
 };
 
-// A socket that is full was taken for a broken one, and every client that read slowly lost its answer.
+// Guards against treating a full socket as a lost connection, so that every slow reader loses its response.
 TEST_F(StreamTest, WaitsForAFullSocket) {
-  const std::string much(12u << 20, 'x');
-  here.stream->pauseReading(true);
-  there.stream->send(much);
+  const std::string payload(12u << 20, 'x');
+  client.stream->pauseReading(true);
+  server.stream->send(payload);
   pass(100'000);
-  EXPECT_GT(there.stream->pending(), 0u);  // the socket is full
-  EXPECT_FALSE(there.cause);
-  here.stream->pauseReading(false);
-  EXPECT_TRUE(until([&] { return here.got.size() == much.size(); }, 5'000'000)) << here.got.size();
-  EXPECT_FALSE(there.cause);
+  EXPECT_GT(server.stream->pending(), 0u);  // the socket buffers are full
+  EXPECT_FALSE(server.cause);
+  client.stream->pauseReading(false);
+  EXPECT_TRUE(until([&] { return client.received.size() == payload.size(); }, 5'000'000))
+      << client.received.size();
+  EXPECT_FALSE(server.cause);
 }
 
-// Processor time of this process over a while of nothing to do, as a share of it.
-double busyShare(LoopRunner& runner) {
-  constexpr net::Micros kWhile = 400'000;
-  const std::clock_t before = std::clock();
-  runner.pass(kWhile);
-  return static_cast<double>(std::clock() - before) * 1e6 / CLOCKS_PER_SEC / static_cast<double>(kWhile);
+// CPU time of this process during an idle interval, as a fraction of the interval.
+double cpuFraction(LoopRunner& runner) {
+  constexpr net::Micros kIdleInterval = 400'000;
+  const std::clock_t start = std::clock();
+  runner.pass(kIdleInterval);
+  return static_cast<double>(std::clock() - start) * 1e6 / CLOCKS_PER_SEC /
+         static_cast<double>(kIdleInterval);
 }
 
-// Once a socket had been full, the loop spun on its readiness for as long as the connection stood.
-TEST_F(StreamTest, LetsTheLoopRestOnceAFullSocketIsDrained) {
-  const std::string much(12u << 20, 'x');
-  there.stream->send(much);
-  ASSERT_TRUE(until([&] { return here.got.size() == much.size(); }, 5'000'000));
-  EXPECT_LT(busyShare(*this), 0.5);
-  here.stream->send(much);  // unread bytes and a full socket on one side
-  there.stream->send(much);
-  there.stream->pauseReading(true);
-  here.stream->pauseReading(true);
+// Guards against the loop spinning on the write readiness of a socket for the rest of the connection, once
+// the socket has been full.
+TEST_F(StreamTest, DoesNotSpinTheLoopAfterAFullSocketIsDrained) {
+  const std::string payload(12u << 20, 'x');
+  server.stream->send(payload);
+  ASSERT_TRUE(until([&] { return client.received.size() == payload.size(); }, 5'000'000));
+  EXPECT_LT(cpuFraction(*this), 0.5);
+  client.stream->send(payload);  // each side has both unread bytes and a full socket
+  server.stream->send(payload);
+  server.stream->pauseReading(true);
+  client.stream->pauseReading(true);
   pass(100'000);
-  EXPECT_LT(busyShare(*this), 0.5);
-  EXPECT_FALSE(here.cause || there.cause);
+  EXPECT_LT(cpuFraction(*this), 0.5);
+  EXPECT_FALSE(client.cause || server.cause);
 }
 
 TEST_F(StreamTest, TrySendStopsAtAFullSocketAndNotifiesOnceItIsDrained) {
-  const std::string much(12u << 20, 'x');
-  here.stream->pauseReading(true);
-  const auto first = there.stream->trySend(much);
-  EXPECT_GT(first, 0u);
-  ASSERT_LT(first, much.size());
+  const std::string payload(12u << 20, 'x');
+  client.stream->pauseReading(true);
+  const auto accepted = server.stream->trySend(payload);
+  EXPECT_GT(accepted, 0u);
+  ASSERT_LT(accepted, payload.size());
   pass(50'000);
-  EXPECT_EQ(there.drained, 0);
-  here.stream->pauseReading(false);
-  EXPECT_TRUE(until([&] { return there.drained == 1; }, 2'000'000));
-  EXPECT_FALSE(there.cause);
+  EXPECT_EQ(server.drainedCount, 0);
+  client.stream->pauseReading(false);
+  EXPECT_TRUE(until([&] { return server.drainedCount == 1; }, 2'000'000));
+  EXPECT_FALSE(server.cause);
 }
 
 TEST_F(StreamTest, FinishSendingSendsWhatIsPendingAndReadsUntilThePeerCloses) {
-  const std::string much(12u << 20, 'x');
-  here.stream->pauseReading(true);
-  there.stream->send(much);
-  there.stream->finishSending();
-  there.stream->send("nothing follows the end");
-  here.stream->send("behind the end");
+  const std::string payload(12u << 20, 'x');
+  client.stream->pauseReading(true);
+  server.stream->send(payload);
+  server.stream->finishSending();
+  server.stream->send("nothing follows the end");
+  client.stream->send("behind the end");
   pass(50'000);
-  EXPECT_EQ(there.got, "behind the end");
-  EXPECT_FALSE(there.cause);
-  here.stream->pauseReading(false);
-  ASSERT_TRUE(until([&] { return here.cause.has_value(); }, 5'000'000));
-  EXPECT_EQ(here.cause, CloseCause::peerClosed);  // no reset
-  EXPECT_EQ(here.got.size(), much.size());
-  ASSERT_TRUE(until([&] { return there.cause.has_value(); }, 1'000'000));
-  EXPECT_EQ(there.cause, CloseCause::peerClosed);
+  EXPECT_EQ(server.received, "behind the end");
+  EXPECT_FALSE(server.cause);
+  client.stream->pauseReading(false);
+  ASSERT_TRUE(until([&] { return client.cause.has_value(); }, 5'000'000));
+  EXPECT_EQ(client.cause, CloseCause::peerClosed);  // no reset
+  EXPECT_EQ(client.received.size(), payload.size());
+  ASSERT_TRUE(until([&] { return server.cause.has_value(); }, 1'000'000));
+  EXPECT_EQ(server.cause, CloseCause::peerClosed);
 }
 
-// Unread bytes at the close make it a reset: that is how the peer knows that nothing of them was taken.
-TEST_F(StreamTest, FinishSendingWithoutReadingStillSeesThePeersClose) {
-  there.stream->finishSending(Stream::Inbound::leaveUnread);
-  here.stream->send("behind the end");
-  ASSERT_TRUE(until([&] { return here.cause.has_value(); }, 1'000'000));  // and closes with it
-  EXPECT_EQ(here.cause, CloseCause::peerClosed);
-  ASSERT_TRUE(until([&] { return there.cause.has_value(); }, 1'000'000));
-  EXPECT_EQ(there.cause, CloseCause::peerClosed);
-  EXPECT_EQ(there.got, "");
+// A close with unread bytes resets the connection, which shows the peer that none of them were processed.
+TEST_F(StreamTest, FinishSendingWithoutReadingDetectsThePeersClose) {
+  server.stream->finishSending(Stream::Inbound::leaveUnread);
+  client.stream->send("behind the end");
+  ASSERT_TRUE(until([&] { return client.cause.has_value(); }, 1'000'000));  // and closes its stream
+  EXPECT_EQ(client.cause, CloseCause::peerClosed);
+  ASSERT_TRUE(until([&] { return server.cause.has_value(); }, 1'000'000));
+  EXPECT_EQ(server.cause, CloseCause::peerClosed);
+  EXPECT_EQ(server.received, "");
 }
 
-// Connections that the system has accepted may carry requests already.
-TEST_F(StreamTest, ListenerAcceptsWhatWaitsBeforeItCloses) {
-  Poco::Net::StreamSocket waiting(listener.address());
-  const auto before = there.stream.get();
+// Guards against losing requests on connections that are queued in the kernel when the listener closes.
+TEST_F(StreamTest, ListenerAcceptsQueuedConnectionsBeforeItCloses) {
+  Poco::Net::StreamSocket queued(listener.address());
+  const auto previousStream = server.stream.get();
   listener.close();
-  EXPECT_NE(there.stream.get(), before);
-  waiting.sendBytes("x", 1);
-  EXPECT_TRUE(until([&] { return there.got == "x"; }, 1'000'000));
+  EXPECT_NE(server.stream.get(), previousStream);
+  queued.sendBytes("x", 1);
+  EXPECT_TRUE(until([&] { return server.received == "x"; }, 1'000'000));
 }
 
-// Connects without a pause until told to stop; what the system took is kept.
-class BusyConnector {
+// Connects repeatedly without pauses until stop(); keeps the established connections.
+class RepeatedConnector {
  public:
-  explicit BusyConnector(const Poco::Net::SocketAddress& to) : thread_([this, to] { run(to); }) {}
-  ~BusyConnector() { stop(); }
+  explicit RepeatedConnector(const Poco::Net::SocketAddress& to) : thread_([this, to] { run(to); }) {}
+  ~RepeatedConnector() { stop(); }
   void stop() {
     isStopping_ = true;
     if (thread_.joinable()) thread_.join();
@@ -148,7 +151,7 @@
       Poco::Net::StreamSocket socket;
       try {
         socket.connect(to, Poco::Timespan(0, 20'000));
-      } catch (const Poco::Exception&) {  // refused, or dropped
+      } catch (const Poco::Exception&) {  // refused, or dropped by the listener
         continue;
       }
       connected_.push_back(socket);
@@ -165,43 +168,43 @@
   return ::recv(socket.impl()->sockfd(), &byte, 1, MSG_DONTWAIT) < 0 && errno == ECONNRESET;
 }
 
-// Seen once in thirteen runs on a busy machine as a test of the program: a connection that came between the
-// last look at the queue and the close of the socket was reset by the system, with the request that it
-// carried.
+// Guards against losing requests while a listener closes: the system reset a connection, with the request
+// that it carried, if it arrived between the last check of the accept queue and the close of the socket. A
+// test of the whole program failed in this way in one of thirteen runs on a busy machine.
 TEST(ListenerTest, ResetsNoConnectionThatTheSystemTookWhileItCloses) {
   constexpr int kRounds = 60;
-  std::size_t taken = 0;
-  std::size_t reset = 0;
+  std::size_t connectedCount = 0;
+  std::size_t resetCount = 0;
   for (int round = 0; round < kRounds; ++round) {
     LoopRunner runner;
     std::vector<Poco::Net::StreamSocket> accepted;
     net::Listener listener(runner.loop, Poco::Net::SocketAddress("127.0.0.1", 0),
                            [&](const auto& socket) { accepted.push_back(socket); });
-    BusyConnector first(listener.address());
-    BusyConnector second(listener.address());
+    RepeatedConnector first(listener.address());
+    RepeatedConnector second(listener.address());
     runner.pass(3'000);
     listener.close();
     runner.until([&] { return !listener.open(); }, 1'000'000);
-    for (BusyConnector* connector : {&first, &second}) {
+    for (RepeatedConnector* connector : {&first, &second}) {
       connector->stop();
-      taken += connector->connected().size();
-      for (auto& socket : connector->connected()) reset += wasReset(socket) ? 1 : 0;
+      connectedCount += connector->connected().size();
+      for (auto& socket : connector->connected()) resetCount += wasReset(socket) ? 1 : 0;
     }
   }
-  EXPECT_GT(taken, static_cast<std::size_t>(kRounds));
-  EXPECT_EQ(reset, 0u) << "of " << taken;
+  EXPECT_GT(connectedCount, static_cast<std::size_t>(kRounds));
+  EXPECT_EQ(resetCount, 0u) << "of " << connectedCount;
 }
 
-TEST_F(StreamTest, PeerGoneIsKnownBeforeTheCloseIsRead) {
-  EXPECT_FALSE(there.stream->peerGone());
-  there.stream->pauseReading(true);
-  here.stream->send("unread");
+TEST_F(StreamTest, PeerGoneDetectsACloseBeforeItIsRead) {
+  EXPECT_FALSE(server.stream->peerGone());
+  server.stream->pauseReading(true);
+  client.stream->send("unread");
   pass(20'000);
-  EXPECT_FALSE(there.stream->peerGone());
-  here.stream->close();
+  EXPECT_FALSE(server.stream->peerGone());
+  client.stream->close();
   pass(20'000);
-  EXPECT_TRUE(there.stream->peerGone());
-  EXPECT_FALSE(there.cause);
+  EXPECT_TRUE(server.stream->peerGone());
+  EXPECT_FALSE(server.cause);
 }
 
 }  // namespace
