--- a/src/config/json_file.cpp
+++ b/src/config/json_file.cpp
@@ -23,7 +23,7 @@
 
 // Converts a JSON pointer to the notation of error messages, such as "classes[0].aim_ms".
 std::string readablePath(std::string_view pointer) {
-  std::string path;
+  std::string readable;
   while (!pointer.empty()) {
     pointer.remove_prefix(1);
     const auto end = pointer.find('/');
@@ -32,12 +32,12 @@
       return digit >= '0' && digit <= '9';
     });
     if (isIndex)
-      path += "[" + std::string(token) + "]";
+      readable += "[" + std::string(token) + "]";
     else
-      path += (path.empty() ? "" : ".") + std::string(token);
+      readable += (readable.empty() ? "" : ".") + std::string(token);
     pointer.remove_prefix(std::min(end, pointer.size()));
   }
-  return path.empty() ? "(file)" : path;
+  return readable.empty() ? "(file)" : readable;
 }
 
 std::string formatNumber(double value) {
@@ -53,16 +53,16 @@
   file->name_ = std::move(name);
   try {
     file->root_ = json::parse(text, nullptr, true, true);
-  } catch (const json::parse_error& exception) {
-    const auto offset = std::min<std::size_t>(exception.byte, text.size());
+  } catch (const json::parse_error& failure) {
+    const auto offset = std::min<std::size_t>(failure.byte, text.size());
     const auto line = 1 + std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(offset), '\n');
-    std::string error = exception.what();
+    std::string error = failure.what();
     if (const auto colon = error.find("syntax error"); colon != std::string::npos) error.erase(0, colon);
     throw Error(file->name_ + ":" + std::to_string(line) + ": " + error);
-  } catch (const json::exception& exception) {
+  } catch (const json::exception& failure) {
     // The library does not treat a number too large for a double as a syntax error and reports no position
     // for it.
-    throw Error(file->name_ + ":1: (file): " + exception.what());
+    throw Error(file->name_ + ":1: (file): " + failure.what());
   }
   // The depth is determined from the parsed value, since comments in the text may contain brackets. The
   // library parses without recursion, but this check and the readers of the value recurse.
@@ -77,9 +77,9 @@
   std::string text;
   try {
     text = readFileText(path);
-  } catch (const std::system_error& exception) {
-    const std::string error = path + ": can't be read: " + exception.code().message();
-    if (isTransientError(exception.code().value())) throw UnavailableError(error);
+  } catch (const std::system_error& failure) {
+    const std::string error = path + ": can't be read: " + failure.code().message();
+    if (isTransientError(failure.code().value())) throw UnavailableError(error);
     throw Error(error);
   }
   return parse(path, text);
@@ -133,13 +133,13 @@
 
 std::vector<Node> Node::array(std::string_view key) const {
   const json* value = member(key);
-  std::vector<Node> items;
-  if (value == nullptr) return items;
+  std::vector<Node> nodes;
+  if (value == nullptr) return nodes;
   if (!value->is_array()) failAt(key, "expected an array");
   const Node list = child(key, value);
   for (std::size_t i = 0; i < value->size(); ++i)
-    items.push_back(list.child(std::to_string(i), &(*value)[i]));
-  return items;
+    nodes.push_back(list.child(std::to_string(i), &(*value)[i]));
+  return nodes;
 }
 
 std::string Node::text(std::string_view key) const {
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-Listener::Listener(Loop& loop, const Poco::Net::SocketAddress& address, Accept accept)
+Listener::Listener(Loop& loop, const Poco::Net::SocketAddress& address, AcceptCallback accept)
     : loop_(loop),
       accept_(std::move(accept)),
       watch_(loop, {.readable = [this] { onReadable(); }, .writable = [] {}, .failed = {}}),
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -19,13 +19,13 @@
 class Listener {
  public:
   /// Called for each accepted connection; may pause or close the listener.
-  using Accept = std::function<void(Poco::Net::StreamSocket)>;
+  using AcceptCallback = std::function<void(Poco::Net::StreamSocket)>;
   /// Starts listening immediately; retries for two seconds if the address is in use.
   /// @param loop event loop that runs the listener; must outlive it
   /// @param address address to listen on; port 0 selects a free port
   /// @param accept called for each accepted connection
   /// @throws Poco::Net::NetException with the address in its message if listening fails
-  Listener(Loop& loop, const Poco::Net::SocketAddress& address, Accept accept);
+  Listener(Loop& loop, const Poco::Net::SocketAddress& address, AcceptCallback accept);
   ~Listener();
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
@@ -59,7 +59,7 @@
   Loop& loop_;
   Poco::Net::ServerSocket socket_;
   Poco::Net::SocketAddress address_;
-  Accept accept_;
+  AcceptCallback accept_;
   SocketWatch watch_;
   timing::Alarm retryAlarm_;
   Micros retryDelay_ = 0;
--- a/src/timing/timer_wheel.cpp
+++ b/src/timing/timer_wheel.cpp
@@ -8,21 +8,21 @@
 TimerWheel::TimerWheel(Micros tick, Micros start) : tickLength_(tick), startTime_(start) {}
 
 TimerKey TimerWheel::add(Micros due, Task task) {
-  std::uint32_t index = 0;
+  std::uint32_t slot = 0;
   if (freeNodes_.empty()) {
-    index = static_cast<std::uint32_t>(nodes_.size());
+    slot = static_cast<std::uint32_t>(nodes_.size());
     nodes_.emplace_back();
   } else {
-    index = freeNodes_.back();
+    slot = freeNodes_.back();
     freeNodes_.pop_back();
   }
-  Node& node = nodes_[index];
+  Node& node = nodes_[slot];
   node.task = std::move(task);
   node.due =
       std::max(currentTick_ + 1, (std::max(due, startTime_) - startTime_ + tickLength_ - 1) / tickLength_);
   ++size_;
-  insert(index);
-  return {index, node.generation};
+  insert(slot);
+  return {slot, node.generation};
 }
 
 void TimerWheel::insert(std::uint32_t index) {
@@ -64,10 +64,10 @@
 }
 
 void TimerWheel::clear() {
-  for (std::uint32_t index = 0; index < nodes_.size(); ++index) {
-    if (nodes_[index].list == kNoIndex) continue;
-    const Task removed = std::move(nodes_[index].task);
-    cancel({index, nodes_[index].generation});
+  for (std::uint32_t i = 0; i < nodes_.size(); ++i) {
+    if (nodes_[i].list == kNoIndex) continue;
+    const Task removed = std::move(nodes_[i].task);
+    cancel({i, nodes_[i].generation});
   }
 }
 
--- a/tests/config/json_file_test.cpp
+++ b/tests/config/json_file_test.cpp
@@ -17,19 +17,19 @@
   };
   const auto readNothing = [](const config::Node&) {};
   EXPECT_EQ(errorOf("{\n// c\n\"a\": {\n/* x\n */ \"b\": [1,\n \"two\"] } }",
-                    [](const config::Node& root) { root.object("a").texts("b"); }),
+                    [](const config::Node& node) { node.object("a").texts("b"); }),
             "f.json:5: a.b[0]: expected a string");
   EXPECT_EQ(
-      errorOf("{\n\"aim\": 3,\n\"amm\": 4}", [](const config::Node& root) { root.number("aim", 1, 0, 5); }),
+      errorOf("{\n\"aim\": 3,\n\"amm\": 4}", [](const config::Node& node) { node.number("aim", 1, 0, 5); }),
       "f.json:3: amm: is not a setting");
-  EXPECT_EQ(errorOf("{\n\n\"n\": 7}", [](const config::Node& root) { root.integer("n", 1, 0, 5); }),
+  EXPECT_EQ(errorOf("{\n\n\"n\": 7}", [](const config::Node& node) { node.integer("n", 1, 0, 5); }),
             "f.json:3: n: 7 is not between 0 and 5");
   EXPECT_EQ(errorOf("{\"e\":\n \"x\"}",
-                    [](const config::Node& root) {
-                      root.choice("e", {"a", "b"}, 0);
+                    [](const config::Node& node) {
+                      node.choice("e", {"a", "b"}, 0);
                     }),
             "f.json:1: e: \"x\" is none of: a, b");
-  EXPECT_EQ(errorOf("{}", [](const config::Node& root) { root.text("name"); }), "f.json:1: name: is missing");
+  EXPECT_EQ(errorOf("{}", [](const config::Node& node) { node.text("name"); }), "f.json:1: name: is missing");
   EXPECT_TRUE(errorOf("{\n\"a\": }", readNothing).starts_with("f.json:2: syntax error"));
   const std::string deeplyNested = "{\"a\":" + std::string(200'000, '[') + std::string(200'000, ']') + "}";
   EXPECT_EQ(errorOf(deeplyNested, readNothing), "f.json:1: (file): nested too deep");
--- a/tests/net/stream_test.cpp
+++ b/tests/net/stream_test.cpp
@@ -85,9 +85,9 @@
 TEST_F(StreamTest, TrySendStopsAtAFullSocketAndNotifiesOnceItIsDrained) {
   const std::string payload(12u << 20, 'x');
   client.stream->pauseReading(true);
-  const auto accepted = server.stream->trySend(payload);
-  EXPECT_GT(accepted, 0u);
-  ASSERT_LT(accepted, payload.size());
+  const auto acceptedBytes = server.stream->trySend(payload);
+  EXPECT_GT(acceptedBytes, 0u);
+  ASSERT_LT(acceptedBytes, payload.size());
   pass(50'000);
   EXPECT_EQ(server.drainedCount, 0);
   client.stream->pauseReading(false);
