--- a/src/log/stderr_sink.cpp
+++ b/src/log/stderr_sink.cpp
@@ -13,7 +13,7 @@
 
 constexpr int kMaxInterruptedCalls = 16;
 
-// Whether a write of up to PIPE_BUF bytes succeeds without blocking.
+// Whether a write of up to PIPE_BUF bytes will not block.
 bool isWritable() {
   pollfd request{STDERR_FILENO, POLLOUT, 0};
   int ready = ::poll(&request, 1, 0);
--- a/src/log/stderr_sink.h
+++ b/src/log/stderr_sink.h
@@ -26,7 +26,7 @@
   void flush_() override {}
 
  private:
-  // Returns false if the text could not be written completely without blocking.
+  // Returns false if the text was not written completely, because a write would block or failed.
   static bool write(std::string_view text);
   std::uint64_t dropped_ = 0;
   std::uint64_t unreportedDrops_ = 0;  // dropped since the last line that reported drops
