--- a/src/app/commands.cpp
+++ b/src/app/commands.cpp
@@ -20,18 +20,18 @@
 namespace garnethook::app {
 namespace {
 
-// A folder of its own below the system's temporary one, gone with its owner.
+// Creates a directory in the system's temporary directory and removes it in the destructor.
 class TemporaryFolder {
  public:
   TemporaryFolder() {
     std::string pattern = (std::filesystem::temp_directory_path() / "garnethook-XXXXXX").string();
     if (::mkdtemp(pattern.data()) == nullptr)
-      throw std::runtime_error("no temporary folder can be made at " + pattern);
+      throw std::runtime_error("cannot create a temporary directory " + pattern);
     path_ = pattern;
   }
   ~TemporaryFolder() {
-    std::error_code ignored;
-    std::filesystem::remove_all(path_, ignored);
+    std::error_code ignoredError;
+    std::filesystem::remove_all(path_, ignoredError);
   }
   TemporaryFolder(const TemporaryFolder&) = delete;
   TemporaryFolder& operator=(const TemporaryFolder&) = delete;
@@ -52,17 +52,18 @@
   return text;
 }
 
-server::RouterSettings load(const std::string& path) {
+server::RouterSettings loadSettings(const std::string& path) {
   auto settings = server::readSettings(config::Node(config::JsonFile::load(path)));
-  // Paths in the file are relative to it.
+  // Paths in the file are relative to its directory.
   const auto folder = std::filesystem::path(path).parent_path();
-  const auto place = [&](std::string& p) {
-    if (!p.empty() && !std::filesystem::path(p).is_absolute()) p = (folder / p).string();
+  const auto resolvePath = [&](std::string& relativePath) {
+    if (!relativePath.empty() && !std::filesystem::path(relativePath).is_absolute())
+      relativePath = (folder / relativePath).string();
   };
-  place(settings.listPath);
-  place(settings.stateFolder);
-  place(settings.log.file);
-  for (auto& f : settings.counting.files) place(f.path);
+  resolvePath(settings.listPath);
+  resolvePath(settings.stateFolder);
+  resolvePath(settings.log.file);
+  for (auto& tokeniserFile : settings.counting.files) resolvePath(tokeniserFile.path);
   return settings;
 }
 
@@ -89,16 +90,16 @@
   void onStatus(const grpc::Status& status, const http2::Headers&, bool) override {
     std::cout << std::endl;
     if (status.code == grpc::Code::ok) {
-      const auto& u = finish_.usage();
-      std::cerr << "served: " << u.output_tokens() << " tokens, "
-                << (finish_.reason() == v1::Finish::LENGTH ? "cut at the ceiling" : "ended") << "; prompt "
-                << u.prompt_tokens() << " tokens, " << u.cached_tokens() << " of them kept; attempts "
-                << u.attempts() << '\n';
+      const auto& tokenUsage = finish_.usage();
+      std::cerr << "served: " << tokenUsage.output_tokens() << " tokens, "
+                << (finish_.reason() == v1::Finish::LENGTH ? "output limit reached" : "stopped")
+                << "; prompt " << tokenUsage.prompt_tokens() << " tokens, " << tokenUsage.cached_tokens()
+                << " of them cached; attempts " << tokenUsage.attempts() << '\n';
       return done_(0);
     }
     std::cerr << grpc::name(status.code) << ": " << status.message << '\n';
     if (status.retryAfterMs && *status.retryAfterMs >= 0)
-      std::cerr << "come back in " << *status.retryAfterMs << " ms\n";
+      std::cerr << "retry after " << *status.retryAfterMs << " ms\n";
     done_(1);
   }
 
@@ -116,9 +117,9 @@
   return request.SerializeAsString();
 }
 
-constexpr const char* kGenerate = "/garnethook.v1.Generation/Generate";
+constexpr const char* kGenerateMethod = "/garnethook.v1.Generation/Generate";
 
-int printed(const std::exception& e) {
+int reportError(const std::exception& e) {
   std::cerr << e.what() << '\n';
   return 2;
 }
@@ -127,36 +128,36 @@
 
 int check(const std::string& configPath) {
   try {
-    const auto settings = load(configPath);
-    std::cout << configPath << ": good; " << settings.classNames.size() << " classes, "
-              << settings.names.kinds.size() << " kinds of engines, " << settings.names.zones.size()
+    const auto settings = loadSettings(configPath);
+    std::cout << configPath << ": valid; " << settings.classNames.size() << " classes, "
+              << settings.names.kinds.size() << " engine kinds, " << settings.names.zones.size()
               << " zones\n";
-    for (const auto& f : settings.counting.files)
-      std::cout << f.path << ": " << counting::text(f.version) << ": "
-                << tokeniser::loadFile(f.path, f.options)->describe() << '\n';
+    for (const auto& tokeniserFile : settings.counting.files)
+      std::cout << tokeniserFile.path << ": " << counting::text(tokeniserFile.version) << ": "
+                << tokeniser::loadFile(tokeniserFile.path, tokeniserFile.options)->describe() << '\n';
     std::vector<membership::EndpointListError> errors;
     const auto list = membership::readEndpointList(config::JsonFile::load(settings.listPath), {}, errors);
     for (const auto& error : errors) std::cerr << error.message << '\n';
     std::cout << settings.listPath << ": " << list.size() << " engines\n";
     return errors.empty() ? 0 : 1;
-  } catch (const std::exception& e) { return printed(e); }
+  } catch (const std::exception& e) { return reportError(e); }
 }
 
 int serve(const std::string& configPath) {
   try {
-    const auto settings = load(configPath);
+    const auto settings = loadSettings(configPath);
     const auto log = log::Log::open("garnethook", settings.log.file, settings.log.level);
     const auto ownLoop = net::Loop::create();
     net::Loop& loop = *ownLoop;
     const std::uint64_t seed = randomSeed();
     std::unique_ptr<server::RouterServer> router;
-    bool going = false;
+    bool isDraining = false;
     const Signals signals(loop, [&](int signal) {
       if (signal == SIGHUP) {
         try {
-          router->reload(load(configPath));
+          router->reload(loadSettings(configPath));
         } catch (const std::exception& e) { log.error("reload-failed", {{"trouble", e.what()}}); }
-      } else if (!std::exchange(going, true)) {
+      } else if (!std::exchange(isDraining, true)) {
         router->drain([&] { loop.stop(); });
       }
     });
@@ -165,8 +166,8 @@
     router.reset();
     log.flush();
     return 0;
-  } catch (const std::exception& e) { return printed(e); } catch (...) {
-    std::cerr << "unknown failure\n";
+  } catch (const std::exception& e) { return reportError(e); } catch (...) {
+    std::cerr << "unknown error\n";
     return 2;
   }
 }
@@ -182,13 +183,14 @@
     const Signals signals(loop, [&](int) { loop.stop(); });
     fake_engine::Recorder recorder([&] { return loop.now(); });
     fake_engine::Fleet fleet(loop, engines, recorder);
-    for (const auto& e : fleet.engines())
-      std::cout << e->options().name << " " << e->options().host << ":" << e->port() << '\n';
+    for (const auto& fakeEngine : fleet.engines())
+      std::cout << fakeEngine->options().name << " " << fakeEngine->options().host << ":"
+                << fakeEngine->port() << '\n';
     if (!list.empty()) fleet.writeList(list.string(), 0);
     std::cout << std::flush;
     loop.run();
     return 0;
-  } catch (const std::exception& e) { return printed(e); }
+  } catch (const std::exception& e) { return reportError(e); }
 }
 
 int demo(const DemoOptions& options) {
@@ -211,20 +213,21 @@
         loop, settings, seed, instanceName(seed),
         log::Log::open("demo", "", options.once.empty() ? "info" : "warn"));
     std::cout << "a router on " << router->address().toString()
-              << " with two stand-in readers and two stand-in writers\n"
-              << "ask:  garnethook ask --to " << router->address().toString()
+              << " with two fake prefill engines and two fake decode engines\n"
+              << "try:  garnethook ask --to " << router->address().toString()
               << " \"is the north depot's flag on?\"\n"
               << std::flush;
     int code = 0;
-    AskCall call([&](int c) {
-      code = c;
+    AskCall call([&](int exitCode) {
+      code = exitCode;
       loop.stop();
     });
     client::Channel channel(loop, router->address(), {});
-    if (!options.once.empty()) channel.call(kGenerate, askMessage({.text = options.once}), 30'000'000, call);
+    if (!options.once.empty())
+      channel.call(kGenerateMethod, askMessage({.text = options.once}), 30'000'000, call);
     loop.run();
     return code;
-  } catch (const std::exception& e) { return printed(e); }
+  } catch (const std::exception& e) { return reportError(e); }
 }
 
 int ask(const AskOptions& options) {
@@ -232,15 +235,16 @@
     ::signal(SIGPIPE, SIG_IGN);
     net::Loop loop;
     int code = 1;
-    AskCall call([&](int c) {
-      code = c;
+    AskCall call([&](int exitCode) {
+      code = exitCode;
       loop.stop();
     });
     client::Channel channel(loop, Poco::Net::SocketAddress(options.to), {});
-    channel.call(kGenerate, askMessage(options), static_cast<Micros>(options.timeoutSeconds * 1e6), call);
-    // The router answers before the deadline; this is for one that does not.
+    channel.call(kGenerateMethod, askMessage(options), static_cast<Micros>(options.timeoutSeconds * 1e6),
+                 call);
+    // The router sends a final status before the deadline; this handles a router that does not.
     loop.after(static_cast<Micros>(options.timeoutSeconds * 1e6) + 1'000'000, [&] {
-      std::cerr << "no final answer before the deadline\n";
+      std::cerr << "no final status before the deadline\n";
       loop.stop();
     });
     loop.run();
@@ -248,7 +252,7 @@
   } catch (const Poco::Exception& e) {
     std::cerr << "--to: " << e.displayText() << '\n';
     return 2;
-  } catch (const std::exception& e) { return printed(e); }
+  } catch (const std::exception& e) { return reportError(e); }
 }
 
 int drill(const DrillOptions& options) {
@@ -259,10 +263,10 @@
     if (!options.day.empty()) {
       const std::string text = fault_scenario::importDay(config::JsonFile::load(options.day), {});
       if (!options.writeTo.empty()) {
-        std::ofstream out(options.writeTo);
-        out << text;
-        if (out.flush()) return 0;
-        std::cerr << options.writeTo << ": can't be written\n";
+        std::ofstream scriptFile(options.writeTo);
+        scriptFile << text;
+        if (scriptFile.flush()) return 0;
+        std::cerr << options.writeTo << ": cannot be written\n";
         return 2;
       }
       file = config::JsonFile::parse(options.day + " (as a script)", text);
@@ -270,32 +274,33 @@
       file = config::JsonFile::load(options.script);
     }
     const auto script = fault_scenario::readScript(file, folder.path() + "/engines.json");
-    const auto result =
-        fault_scenario::run(script, {folder.path(), options.recording, options.logLevel, options.guess});
+    const auto result = fault_scenario::run(
+        script, {folder.path(), options.recording, options.logLevel, options.estimateTokens});
     fault_scenario::print(result, std::cout);
     return result.passed ? 0 : 1;
-  } catch (const std::exception& e) { return printed(e); }
+  } catch (const std::exception& e) { return reportError(e); }
 }
 
 int auditFile(const std::string& recording) {
-  std::ifstream in(recording);
-  if (!in) {
-    std::cerr << recording << ": can't be read\n";
+  std::ifstream input(recording);
+  if (!input) {
+    std::cerr << recording << ": cannot be read\n";
     return 2;
   }
   std::vector<nlohmann::json> events;
   std::string line;
-  for (int number = 1; std::getline(in, line); ++number) {
+  for (int number = 1; std::getline(input, line); ++number) {
     auto event = nlohmann::json::parse(line, nullptr, false);
     if (!event.is_object()) {
-      std::cerr << recording << ":" << number << ": no JSON object\n";
+      std::cerr << recording << ":" << number << ": not a JSON object\n";
       return 2;
     }
     events.push_back(std::move(event));
   }
   const auto report = fault_scenario::audit(events, {});
-  for (const auto& [what, n] : report.counts) std::cout << what << ": " << n << '\n';
-  for (const auto& v : report.violations) std::cout << "VIOLATION " << v << '\n';
+  for (const auto& [checkName, occurrences] : report.counts)
+    std::cout << checkName << ": " << occurrences << '\n';
+  for (const auto& violation : report.violations) std::cout << "VIOLATION " << violation << '\n';
   return report.passed() ? 0 : 1;
 }
 
--- a/src/app/config_reloader.cpp
+++ b/src/app/config_reloader.cpp
@@ -8,8 +8,9 @@
 namespace garnethook::app {
 namespace {
 
-// A file that cannot be used at the signal may be usable a moment later: it was still being written, or
-// reading it failed. The operators expect a change to be in force 4 s after the signal.
+// A file that is unusable when the signal arrives may be usable shortly after: it may still be being written,
+// or reading it may have failed temporarily. Operators expect a change to take effect within 4 s of the
+// signal.
 constexpr net::Micros kRetryInterval = 250'000;
 constexpr int kMaxAttempts = 13;
 
--- a/src/app/config_reloader.h
+++ b/src/app/config_reloader.h
@@ -1,4 +1,4 @@
-/// Reloads the configuration of a running router, and tries again for a while where that fails.
+/// Reloads the configuration of a running router, and retries for a limited time if that fails.
 #pragma once
 
 #include "log/log.h"
@@ -7,14 +7,15 @@
 
 namespace garnethook::app {
 
-/// The retry of one reload; a new one replaces it. Runs on the loop's thread.
+/// Performs reloads and their retries; a new reload replaces one that is being retried. Runs on the loop's
+/// thread.
 class ConfigReloader {
  public:
   /// The loop and the router must outlive the reloader.
   ConfigReloader(net::Loop& loop, platform::RouterProcess& router, log::Log log);
 
-  /// Reloads now. Where that fails the router keeps its configuration, the error is logged once, and the
-  /// reload is repeated for as long as the operators allow a change to take.
+  /// Reloads immediately. If that fails, the router keeps its configuration, the error is logged once, and
+  /// the reload is retried until the time in which operators expect a change to take effect has passed.
   void reload() { tryReload(1); }
 
  private:
--- a/src/app/run_command.cpp
+++ b/src/app/run_command.cpp
@@ -17,14 +17,14 @@
 constexpr int kSuccess = 0;
 constexpr int kStartFailed = 2;
 
-// A file that cannot be read at the moment is tried again for a while.
+// Retries for a limited time while the file cannot be read.
 platform::PlatformConfig loadConfigWithRetry() {
   return timing::retryFor<config::UnavailableError>(
       timing::kStartWithin, [] { return platform::loadPlatformConfig(platform::systemEnvironment); });
 }
 
-// The life of the process: it serves from here until a signal has ended it in order. Signals are handled by
-// the loop, so one that comes during the start waits until the router runs.
+// Runs the router until a signal has shut it down gracefully. Signals are handled by the loop, so one that
+// arrives during startup is handled once the router runs.
 void serveUntilTerminated(const std::string& logLevel) {
   const auto loop = net::Loop::create();
   std::optional<platform::RouterProcess> router;
--- a/src/app/signals.cpp
+++ b/src/app/signals.cpp
@@ -11,12 +11,12 @@
 namespace garnethook::app {
 namespace {
 
-constexpr int kStopWaiting = SIGUSR2;  // sent to the thread by the destructor
+constexpr int kWakeUpSignal = SIGUSR2;  // sent by the destructor to end the thread
 
 sigset_t handledSignals() {
   sigset_t signals;
   sigemptyset(&signals);
-  for (const int signal : {SIGTERM, SIGINT, SIGHUP, kStopWaiting}) sigaddset(&signals, signal);
+  for (const int signal : {SIGTERM, SIGINT, SIGHUP, kWakeUpSignal}) sigaddset(&signals, signal);
   return signals;
 }
 
@@ -27,15 +27,15 @@
   const sigset_t signals = handledSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   const auto wait = [signals, &loop, handler = std::move(handler)] {
-    for (int signal = 0; sigwait(&signals, &signal) == 0 && signal != kStopWaiting;)
+    for (int signal = 0; sigwait(&signals, &signal) == 0 && signal != kWakeUpSignal;)
       loop.post([handler, signal] { handler(signal); });
   };
-  // The system may be unable to create a thread for a moment.
+  // Creating a thread can fail temporarily for lack of resources.
   thread_ = timing::retryFor<std::system_error>(timing::kStartWithin, [&] { return std::thread(wait); });
 }
 
 Signals::~Signals() {
-  pthread_kill(thread_.native_handle(), kStopWaiting);
+  pthread_kill(thread_.native_handle(), kWakeUpSignal);
   thread_.join();
 }
 
--- a/src/app/signals.h
+++ b/src/app/signals.h
@@ -1,4 +1,5 @@
-/// Signals as tasks of the loop: a thread waits for them, so that no handler interrupts other code.
+/// Delivers signals as tasks of the event loop. A thread waits for them, so that no signal handler interrupts
+/// other code.
 #pragma once
 
 #include <functional>
@@ -8,11 +9,12 @@
 
 namespace garnethook::app {
 
-/// Receives SIGTERM, SIGINT and SIGHUP for as long as it exists.
+/// Receives SIGTERM, SIGINT and SIGHUP during its lifetime.
 class Signals {
  public:
-  /// Calls `handler` with the signal's number, on the loop's thread. Must be created before any other thread,
-  /// so that all of them inherit the blocked signals. The loop must outlive it.
+  /// Must be created before any other thread, so that all threads inherit the blocked signals.
+  /// @param loop must outlive this object
+  /// @param handler called on the loop's thread with the signal number
   Signals(net::Loop& loop, std::function<void(int)> handler);
   ~Signals();
   Signals(const Signals&) = delete;
--- a/src/app/tokens_command.h
+++ b/src/app/tokens_command.h
@@ -1,4 +1,4 @@
-// garnethook tokens: counts a file's text as an engine would.
+/// The command `garnethook tokens`: counts the tokens of a text as an engine does.
 #pragma once
 
 #include <string>
@@ -6,18 +6,20 @@
 
 namespace garnethook::app {
 
+/// Options of tokens().
 struct TokensOptions {
-  std::string file;  // "-": standard input
-  std::string vocabulary;
-  std::string format;                      // empty: by the vocabulary file's ending
-  std::string pattern;                     // of ranks files
-  std::vector<std::string> specialTokens;  // of ranks files: TEXT=ID
-  bool special = false;                    // their text in the file is meant as such
-  bool frame = true;
-  bool ids = false;
-  bool lines = false;  // each line is a text of its own, as a JSON string
-  int repeat = 1;      // for timing
+  std::string file;                        ///< the text; "-": standard input
+  std::string vocabulary;                  ///< the tokeniser file
+  std::string format;                      ///< of the vocabulary; empty: by its file name extension
+  std::string pattern;                     ///< pre-tokenisation pattern, for ranks files
+  std::vector<std::string> specialTokens;  ///< TEXT=ID, for ranks files
+  bool special = false;                    ///< encode the text of special tokens as special tokens
+  bool frame = true;                       ///< add the tokens that the tokeniser puts before and after a text
+  bool ids = false;                        ///< print token ids instead of their number
+  bool lines = false;                      ///< each line is a separate text, as a JSON string
+  int repeat = 1;                          ///< number of times to encode, for timing
 };
+/// Runs the command; returns the exit code of the process.
 int tokens(const TokensOptions& options);
 
 }  // namespace garnethook::app
