--- a/src/grpc_frontend/call.h
+++ b/src/grpc_frontend/call.h
@@ -1,4 +1,4 @@
-// One call at the gRPC front: from the request's messages to the core and back.
+/// Interfaces between an HTTP/2 connection and the gRPC calls on it.
 #pragma once
 
 #include <functional>
@@ -12,31 +12,40 @@
 
 namespace garnethook::grpc_frontend {
 
-// What a call may send; owned by its connection.
+/// Response side of a call; owned by its connection.
 class CallOutput {
  public:
   virtual ~CallOutput() = default;
-  virtual void message(std::string_view bytes) = 0;
-  // The one status. `now`: data that waits for the peer's window is given up for it.
-  virtual void finish(const grpc::Status& status, std::string_view details, bool now) = 0;
-  virtual std::size_t waiting() const = 0;  // bytes of the call not yet sent
+  /// Sends one response message.
+  virtual void sendMessage(std::string_view bytes) = 0;
+  /// Sends the status, which ends the call.
+  /// @param details serialised google.rpc.Status, may be empty
+  /// @param discardQueued sends the status immediately and drops response data that waits for the client's
+  ///     flow-control window
+  virtual void finish(const grpc::Status& status, std::string_view details, bool discardQueued) = 0;
+  /// Bytes of the response that are not sent yet.
+  virtual std::size_t queuedBytes() const = 0;
 };
 
+/// Request side of a call.
 class Call {
  public:
   virtual ~Call() = default;
+  /// A complete request message was received.
   virtual void onMessage(std::string_view message) = 0;
+  /// The client has closed its side of the stream; no more messages follow.
   virtual void onRequestEnd() = 0;
-  // The client reset the stream or is gone; nothing more is sent.
-  virtual void onGone() = 0;
+  /// The client reset the stream or its connection was closed; no output may be sent any more.
+  virtual void onCancel() = 0;
 };
 
-// How a final answer of the core is told over gRPC: status, and the serialised google.rpc.Status with
-// RetryInfo for refusals.
-struct Told {
-  grpc::Status status;
-  std::string details;
+/// The gRPC form of a completion.
+struct CallStatus {
+  grpc::Status status;  ///< code, message and retry pushback
+  std::string details;  ///< serialised google.rpc.Status; contains RetryInfo for rejected requests
 };
-Told tell(const routing::Completion& ending);
+
+/// Maps the completion of a request to a gRPC status.
+CallStatus toCallStatus(const routing::Completion& completion);
 
 }  // namespace garnethook::grpc_frontend
--- a/src/grpc_frontend/generate_call.cpp
+++ b/src/grpc_frontend/generate_call.cpp
@@ -10,13 +10,14 @@
 using routing::Disposition;
 using routing::FailureReason;
 
-grpc::Code codeOf(const routing::Completion& e) {
-  if (e.disposition == Disposition::completed) return grpc::Code::ok;
-  if (e.disposition == Disposition::rejected)
-    return e.failureReason == FailureReason::tooManyRequests || e.failureReason == FailureReason::overloaded
+grpc::Code toStatusCode(const routing::Completion& result) {
+  if (result.disposition == Disposition::completed) return grpc::Code::ok;
+  if (result.disposition == Disposition::rejected)
+    return result.failureReason == FailureReason::tooManyRequests ||
+                   result.failureReason == FailureReason::overloaded
                ? grpc::Code::resourceExhausted
                : grpc::Code::unavailable;
-  switch (e.failureReason) {
+  switch (result.failureReason) {
     case FailureReason::deadline: return grpc::Code::deadlineExceeded;
     case FailureReason::badRequest: return grpc::Code::invalidArgument;
     case FailureReason::streamBroken:
@@ -27,124 +28,125 @@
   }
 }
 
-void fill(v1::Finish& out, const routing::Completion& ending) {
-  out.set_reason(ending.finishReason == routing::FinishReason::length ? v1::Finish::LENGTH
-                                                                      : v1::Finish::STOP);
-  out.mutable_usage()->set_prompt_tokens(ending.usage.promptTokens);
-  out.mutable_usage()->set_cached_tokens(ending.usage.cachedTokens);
-  out.mutable_usage()->set_output_tokens(ending.usage.outputTokens);
-  out.mutable_usage()->set_attempts(ending.usage.attempts);
+void fillFinish(v1::Finish& finishMessage, const routing::Completion& completion) {
+  finishMessage.set_reason(completion.finishReason == routing::FinishReason::length ? v1::Finish::LENGTH
+                                                                                    : v1::Finish::STOP);
+  finishMessage.mutable_usage()->set_prompt_tokens(completion.usage.promptTokens);
+  finishMessage.mutable_usage()->set_cached_tokens(completion.usage.cachedTokens);
+  finishMessage.mutable_usage()->set_output_tokens(completion.usage.outputTokens);
+  finishMessage.mutable_usage()->set_attempts(completion.usage.attempts);
 }
 
 }  // namespace
 
-Told tell(const routing::Completion& ending) {
-  Told out;
-  out.status.code = codeOf(ending);
-  if (ending.disposition == Disposition::completed) return out;
-  out.status.message =
-      std::string(ending.disposition == Disposition::rejected ? "refused: " : "failed: ") + ending.text;
+CallStatus toCallStatus(const routing::Completion& completion) {
+  CallStatus mapped;
+  mapped.status.code = toStatusCode(completion);
+  if (completion.disposition == Disposition::completed) return mapped;
+  mapped.status.message =
+      std::string(completion.disposition == Disposition::rejected ? "refused: " : "failed: ") +
+      completion.text;
   google::rpc::Status details;
-  details.set_code(static_cast<int>(out.status.code));
-  details.set_message(out.status.message);
-  if (ending.disposition == Disposition::rejected) {
-    const std::int64_t ms = std::max<std::int64_t>(1, (ending.retryAfter + 999) / 1000);
-    out.status.retryAfterMs = ms;
+  details.set_code(static_cast<int>(mapped.status.code));
+  details.set_message(mapped.status.message);
+  if (completion.disposition == Disposition::rejected) {
+    const std::int64_t ms = std::max<std::int64_t>(1, (completion.retryAfter + 999) / 1000);
+    mapped.status.retryAfterMs = ms;
     google::rpc::RetryInfo retry;
     retry.mutable_retry_delay()->set_seconds(ms / 1000);
     retry.mutable_retry_delay()->set_nanos(static_cast<std::int32_t>(ms % 1000 * 1'000'000));
     details.add_details()->PackFrom(retry);
-  } else if (ending.failureReason != FailureReason::badRequest) {
-    // It may have run: a client library must not repeat it by itself.
-    out.status.retryAfterMs = -1;
+  } else if (completion.failureReason != FailureReason::badRequest) {
+    // The request was possibly executed, so client libraries must not retry it automatically.
+    mapped.status.retryAfterMs = -1;
   }
-  out.details = details.SerializeAsString();
-  return out;
+  mapped.details = details.SerializeAsString();
+  return mapped;
 }
 
-GenerateCall::GenerateCall(bool streamed, routing::Router& router, PromptCounting* counting,
-                           const IntakeOptions& intake, std::size_t waitingMost,
+GenerateCall::GenerateCall(bool streaming, routing::Router& router, PromptTokenCounter* tokenCounter,
+                           const RequestDecoderOptions& decoderOptions, std::size_t maxQueuedBytes,
                            std::optional<Micros> timeout, CallOutput& output)
-    : streamed_(streamed),
+    : streaming_(streaming),
       router_(router),
-      counting_(counting),
-      intake_(intake),
-      waitingMost_(waitingMost),
+      tokenCounter_(tokenCounter),
+      decoderOptions_(decoderOptions),
+      maxQueuedBytes_(maxQueuedBytes),
       timeout_(timeout),
       output_(output) {}
 
-GenerateCall::~GenerateCall() { onGone(); }
+GenerateCall::~GenerateCall() { onCancel(); }
 
-void GenerateCall::refuseCall(grpc::Code code, const std::string& text) {
-  if (std::exchange(over_, true)) return;
+void GenerateCall::failCall(grpc::Code code, const std::string& text) {
+  if (std::exchange(finished_, true)) return;
   output_.finish({code, text, {}}, {}, false);
 }
 
 void GenerateCall::onMessage(std::string_view message) {
-  if (over_) return;
-  if (request_) return refuseCall(grpc::Code::unimplemented, "one request message is taken");
+  if (finished_) return;
+  if (request_) return failCall(grpc::Code::unimplemented, "one request message is taken");
   request_.emplace();
   if (!request_->ParseFromArray(message.data(), static_cast<int>(message.size())))
-    refuseCall(grpc::Code::invalidArgument, "the message is no garnethook.v1.GenerateRequest");
+    failCall(grpc::Code::invalidArgument, "the message is no garnethook.v1.GenerateRequest");
 }
 
 void GenerateCall::onRequestEnd() {
-  if (over_) return;
-  if (!request_) return refuseCall(grpc::Code::unimplemented, "a request message is missing");
+  if (finished_) return;
+  if (!request_) return failCall(grpc::Code::unimplemented, "a request message is missing");
   std::string error;
-  auto request = takeIn(*request_, timeout_, intake_, error);
+  auto request = decodeRequest(*request_, timeout_, decoderOptions_, error);
   request_->Clear();
-  if (!request) return refuseCall(grpc::Code::invalidArgument, error);
-  const auto take = [this](routing::Request counted) {
-    ticket_ = 0;
-    taken_ = true;
+  if (!request) return failCall(grpc::Code::invalidArgument, error);
+  const auto submit = [this](routing::Request counted) {
+    countTicket_ = 0;
+    accepted_ = true;
     id_ = router_.accept(std::move(counted), *this);
   };
-  if (counting_ == nullptr || !request->prompt) return take(std::move(*request));
-  ticket_ = counting_->count(std::move(*request), take);
+  if (tokenCounter_ == nullptr || !request->prompt) return submit(std::move(*request));
+  countTicket_ = tokenCounter_->count(std::move(*request), submit);
 }
 
-void GenerateCall::onGone() {
-  if (std::exchange(over_, true)) return;
-  if (ticket_ != 0) counting_->cancel(std::exchange(ticket_, 0));
-  if (!taken_) return;
+void GenerateCall::onCancel() {
+  if (std::exchange(finished_, true)) return;
+  if (countTicket_ != 0) tokenCounter_->cancel(std::exchange(countTicket_, 0));
+  if (!accepted_) return;
   router_.cancel(id_);
 }
 
 void GenerateCall::onTokens(const routing::Tokens& tokens) {
-  if (over_) return;
-  if (!streamed_) {
-    whole_.mutable_text()->append(tokens.text);
-    for (const auto id : tokens.ids) whole_.add_ids(id);
+  if (finished_) return;
+  if (!streaming_) {
+    unaryResponse_.mutable_text()->append(tokens.text);
+    for (const auto id : tokens.ids) unaryResponse_.add_ids(id);
     return;
   }
   v1::GenerateEvent event;
-  auto& out = *event.mutable_tokens();
-  out.set_index(tokens.index);
-  out.set_count(tokens.count);
-  out.set_text(tokens.text.data(), tokens.text.size());
-  for (const auto id : tokens.ids) out.add_ids(id);
+  auto& tokensMessage = *event.mutable_tokens();
+  tokensMessage.set_index(tokens.index);
+  tokensMessage.set_count(tokens.count);
+  tokensMessage.set_text(tokens.text.data(), tokens.text.size());
+  for (const auto id : tokens.ids) tokensMessage.add_ids(id);
   buffer_.clear();
   event.SerializeToString(&buffer_);
-  output_.message(buffer_);
-  if (output_.waiting() > waitingMost_)
+  output_.sendMessage(buffer_);
+  if (output_.queuedBytes() > maxQueuedBytes_)
     router_.abort(id_, FailureReason::slowClient, "too much of the answer waits for the client");
 }
 
-void GenerateCall::onCompletion(const routing::Completion& ending) {
-  if (std::exchange(over_, true)) return;
-  const Told told = tell(ending);
-  if (ending.disposition == Disposition::completed) {
-    if (streamed_) {
+void GenerateCall::onCompletion(const routing::Completion& completion) {
+  if (std::exchange(finished_, true)) return;
+  const CallStatus callStatus = toCallStatus(completion);
+  if (completion.disposition == Disposition::completed) {
+    if (streaming_) {
       v1::GenerateEvent event;
-      fill(*event.mutable_finish(), ending);
-      output_.message(event.SerializeAsString());
+      fillFinish(*event.mutable_finish(), completion);
+      output_.sendMessage(event.SerializeAsString());
     } else {
-      fill(*whole_.mutable_finish(), ending);
-      output_.message(whole_.SerializeAsString());
+      fillFinish(*unaryResponse_.mutable_finish(), completion);
+      output_.sendMessage(unaryResponse_.SerializeAsString());
     }
   }
-  output_.finish(told.status, told.details, ending.disposition != Disposition::completed);
+  output_.finish(callStatus.status, callStatus.details, completion.disposition != Disposition::completed);
 }
 
 }  // namespace garnethook::grpc_frontend
--- a/src/grpc_frontend/generate_call.h
+++ b/src/grpc_frontend/generate_call.h
@@ -1,4 +1,4 @@
-// garnethook.v1.Generation: the streamed and the unary call.
+/// Calls of garnethook.v1.Generation: Generate (server streaming) and GenerateOnce (unary).
 #pragma once
 
 #include "grpc_frontend/call.h"
@@ -7,35 +7,39 @@
 
 namespace garnethook::grpc_frontend {
 
+/// One generation call: decodes the request, passes it to the router and returns the response.
 class GenerateCall final : public Call, private routing::Client {
  public:
-  // `counting`: none, where prompts are taken as estimated.
-  // `waitingMost`: bytes of the answer that may wait for the client before it is given up.
-  GenerateCall(bool streamed, routing::Router& router, PromptCounting* counting, const IntakeOptions& intake,
-               std::size_t waitingMost, std::optional<Micros> timeout, CallOutput& output);
+  /// @param streaming Generate if true, otherwise GenerateOnce
+  /// @param tokenCounter nullptr: token counts of prompts remain estimates
+  /// @param maxQueuedBytes the call is aborted once more response data than this waits for a slow client
+  /// @param timeout the client's deadline, if specified
+  GenerateCall(bool streaming, routing::Router& router, PromptTokenCounter* tokenCounter,
+               const RequestDecoderOptions& decoderOptions, std::size_t maxQueuedBytes,
+               std::optional<Micros> timeout, CallOutput& output);
   ~GenerateCall() override;
   void onMessage(std::string_view message) override;
   void onRequestEnd() override;
-  void onGone() override;
+  void onCancel() override;
 
  private:
   void onTokens(const routing::Tokens& tokens) override;
-  void onCompletion(const routing::Completion& ending) override;
-  void refuseCall(grpc::Code code, const std::string& text);
+  void onCompletion(const routing::Completion& completion) override;
+  void failCall(grpc::Code code, const std::string& text);
 
-  bool streamed_;
+  bool streaming_;
   routing::Router& router_;
-  PromptCounting* counting_;
-  std::uint64_t ticket_ = 0;
-  const IntakeOptions& intake_;
-  std::size_t waitingMost_;
+  PromptTokenCounter* tokenCounter_;
+  std::uint64_t countTicket_ = 0;  // 0: no count in progress
+  const RequestDecoderOptions& decoderOptions_;
+  std::size_t maxQueuedBytes_;
   std::optional<Micros> timeout_;
   CallOutput& output_;
   std::optional<v1::GenerateRequest> request_;
   RequestId id_;
-  bool taken_ = false;
-  bool over_ = false;
-  v1::GenerateResponse whole_;  // unary
+  bool accepted_ = false;  // by the router
+  bool finished_ = false;
+  v1::GenerateResponse unaryResponse_;
   std::string buffer_;
 };
 
--- a/src/grpc_frontend/grpc_server.cpp
+++ b/src/grpc_frontend/grpc_server.cpp
@@ -10,7 +10,7 @@
 
 using http2::StreamId;
 
-http2::Headers responseHead() {
+http2::Headers initialHeaders() {
   return {{":status", "200"}, {"content-type", "application/grpc"}, {"grpc-accept-encoding", "identity"}};
 }
 
@@ -22,104 +22,108 @@
       : owner_(owner),
         codec_(http2::Side::server, owner.options_.http2, *this),
         timer_(owner.loop_),
-        stream_(owner.loop_, std::move(socket), *this) {
-    timer_.start(owner_.options_.prefaceWithin, [this] { end(); });
+        netStream_(owner.loop_, std::move(socket), *this) {
+    timer_.start(owner_.options_.prefaceTimeout, [this] { closeGracefully(); });
     flush();
   }
 
   void drain() {
     codec_.goAway(http2::ErrorCode::noError, "the router is going down");
     flush();
-    if (calls_.empty()) end();
+    if (calls_.empty()) closeGracefully();
   }
-  void end() {
-    if (std::exchange(ended_, true)) return;
+  void closeGracefully() {
+    if (std::exchange(closed_, true)) return;
     if (!codec_.over() && !codec_.goingAway()) codec_.goAway(http2::ErrorCode::noError);
     flush();
-    // What the socket did not take yet goes out as far as the peer reads it within the limit.
-    stream_.send(codec_.output());
-    stream_.closeAfterSending(owner_.options_.closeWithin);
-    dropCalls();
-    owner_.closed(*this);
+    // Output that the socket has not accepted yet is sent as long as the peer reads it within closeTimeout.
+    netStream_.send(codec_.output());
+    netStream_.closeAfterSending(owner_.options_.closeTimeout);
+    cancelCalls();
+    owner_.onConnectionClosed(*this);
   }
   std::size_t streams() const { return calls_.size(); }
 
  private:
-  // A call and its way out.
-  struct Slot final : CallOutput {
-    Slot(Connection& c, StreamId i)
-        : connection(c), id(i), reader(c.owner_.options_.messageBytes), late(c.owner_.loop_) {}
-    void message(std::string_view bytes) override {
+  // A call and its response side.
+  struct CallStream final : CallOutput {
+    CallStream(Connection& parent, StreamId streamId)
+        : connection(parent),
+          id(streamId),
+          reader(parent.owner_.options_.maxMessageBytes),
+          deadlineAlarm(parent.owner_.loop_) {}
+    void sendMessage(std::string_view bytes) override {
       if (finished) return;
-      head();
+      sendInitialHeaders();
       std::string framed;
       grpc::frame(bytes, framed);
       connection.codec_.sendData(id, framed, false);
-      connection.flushLater();
+      connection.scheduleFlush();
     }
-    void finish(const grpc::Status& status, std::string_view details, bool now) override {
+    void finish(const grpc::Status& status, std::string_view details, bool discardQueued) override {
       if (std::exchange(finished, true)) return;
       auto trailers = grpc::trailers(status, details);
-      if (!headSent) {  // trailers only
-        auto both = responseHead();
-        both.insert(both.end(), trailers.begin(), trailers.end());
-        trailers = std::move(both);
+      if (!headersSent) {  // a Trailers-Only response
+        auto trailersOnly = initialHeaders();
+        trailersOnly.insert(trailersOnly.end(), trailers.begin(), trailers.end());
+        trailers = std::move(trailersOnly);
       }
-      if (now)
+      if (discardQueued)
         connection.codec_.sendTrailersNow(id, trailers);
       else
         connection.codec_.sendHeaders(id, trailers, true);
-      // A client that gives no window would never see the status behind the data.
-      if (waiting() > 0 && deadline > 0) {
-        const Micros left = deadline - connection.owner_.loop_.now();
-        const Micros margin = std::min(connection.owner_.options_.deadlineMargin, left / 4);
-        late.start(std::max<Micros>(0, left - margin), [this] { overtake(); });
+      // A client that opens no flow-control window would never receive the status, which is queued after the
+      // data.
+      if (queuedBytes() > 0 && deadline > 0) {
+        const Micros remaining = deadline - connection.owner_.loop_.now();
+        const Micros margin = std::min(connection.owner_.options_.deadlineMargin, remaining / 4);
+        deadlineAlarm.start(std::max<Micros>(0, remaining - margin), [this] { sendDeadlineExceeded(); });
       }
-      connection.finishedLater(id);
+      connection.removeLater(id);
     }
-    void overtake() {
-      if (waiting() == 0) return;
+    void sendDeadlineExceeded() {
+      if (queuedBytes() == 0) return;
       connection.codec_.sendTrailersNow(
           id,
           grpc::trailers(
               {grpc::Code::deadlineExceeded, "failed: the answer was not read before the deadline", -1}, {}));
-      connection.finishedLater(id);
+      connection.removeLater(id);
     }
-    std::size_t waiting() const override { return connection.codec_.queued(id); }
-    void head() {
-      if (!std::exchange(headSent, true)) connection.codec_.sendHeaders(id, responseHead(), false);
+    std::size_t queuedBytes() const override { return connection.codec_.queued(id); }
+    void sendInitialHeaders() {
+      if (!std::exchange(headersSent, true)) connection.codec_.sendHeaders(id, initialHeaders(), false);
     }
     Connection& connection;
     StreamId id;
     grpc::MessageReader reader;
     std::unique_ptr<Call> call;
-    timing::Alarm late;
-    Micros deadline = 0;  // the client's; 0: none told
-    bool headSent = false;
+    timing::Alarm deadlineAlarm;
+    Micros deadline = 0;  // the client's; 0: none specified
+    bool headersSent = false;
     bool finished = false;
     bool requestEnded = false;
   };
 
   void onBytes(std::string_view bytes) override {
-    const bool good = codec_.receive(owner_.loop_.now(),
-                                     {reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()});
-    if (!good) return end();
-    if (!prefaced_) {
-      prefaced_ = true;
-      idle();
+    const bool valid = codec_.receive(owner_.loop_.now(),
+                                      {reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()});
+    if (!valid) return closeGracefully();
+    if (!prefaceReceived_) {
+      prefaceReceived_ = true;
+      startIdleTimer();
     }
     flush();
   }
   void onDrained() override { flush(); }
   void onClosed(net::CloseCause) override {
-    if (std::exchange(ended_, true)) return;
-    dropCalls();
-    owner_.closed(*this);
+    if (std::exchange(closed_, true)) return;
+    cancelCalls();
+    owner_.onConnectionClosed(*this);
   }
 
-  void onHeaders(StreamId id, http2::Headers headers, bool trailers, bool end) override {
+  void onHeaders(StreamId id, http2::Headers headers, bool trailers, bool endStream) override {
     if (trailers) {
-      if (end) endRequest(id);
+      if (endStream) finishRequest(id);
       return;
     }
     const auto path = http2::find(headers, ":path").value_or("");
@@ -132,180 +136,185 @@
       return;
     }
     timer_.stop();
-    auto slot = std::make_unique<Slot>(*this, id);
-    Slot& s = *slot;
-    calls_[id] = std::move(slot);
+    auto newStream = std::make_unique<CallStream>(*this, id);
+    CallStream& stream = *newStream;
+    calls_[id] = std::move(newStream);
     std::optional<Micros> timeout;
     if (const auto text = http2::find(headers, "grpc-timeout")) {
       timeout = grpc::parseTimeout(*text);
-      if (!timeout) return s.finish({grpc::Code::internal, "grpc-timeout: malformed", {}}, {}, false);
+      if (!timeout) return stream.finish({grpc::Code::internal, "grpc-timeout: malformed", {}}, {}, false);
     }
-    if (timeout) s.deadline = owner_.loop_.now() + *timeout;
+    if (timeout) stream.deadline = owner_.loop_.now() + *timeout;
     if (const auto coding = http2::find(headers, "grpc-encoding"); coding && *coding != "identity")
-      return s.finish({grpc::Code::unimplemented, "grpc-encoding: only identity is taken", {}}, {}, false);
-    s.call = open(path, s, timeout);
-    if (!s.call)
-      return s.finish({grpc::Code::unimplemented, "unknown method " + std::string(path.substr(0, 200)), {}},
-                      {}, false);
-    if (end) endRequest(id);
+      return stream.finish({grpc::Code::unimplemented, "grpc-encoding: only identity is taken", {}}, {},
+                           false);
+    stream.call = createCall(path, stream, timeout);
+    if (!stream.call)
+      return stream.finish(
+          {grpc::Code::unimplemented, "unknown method " + std::string(path.substr(0, 200)), {}}, {}, false);
+    if (endStream) finishRequest(id);
   }
 
-  std::unique_ptr<Call> open(std::string_view path, Slot& slot, std::optional<Micros> timeout) {
-    const auto generate = [&](bool streamed) {
-      return std::make_unique<GenerateCall>(streamed, owner_.router_, owner_.counting_, owner_.intake_,
-                                            owner_.options_.waitingMost, timeout, slot);
+  std::unique_ptr<Call> createCall(std::string_view path, CallStream& responseOutput,
+                                   std::optional<Micros> timeout) {
+    const auto generate = [&](bool streaming) {
+      return std::make_unique<GenerateCall>(streaming, owner_.router_, owner_.tokenCounter_,
+                                            owner_.decoderOptions_, owner_.options_.maxQueuedResponseBytes,
+                                            timeout, responseOutput);
     };
     if (path == "/garnethook.v1.Generation/Generate") return generate(true);
     if (path == "/garnethook.v1.Generation/GenerateOnce") return generate(false);
-    if (path == "/grpc.health.v1.Health/Check") return healthCheck(owner_.health_, slot);
-    if (path == "/grpc.health.v1.Health/Watch") return healthWatch(owner_.health_, slot);
+    if (path == "/grpc.health.v1.Health/Check") return makeHealthCheckCall(owner_.health_, responseOutput);
+    if (path == "/grpc.health.v1.Health/Watch") return makeHealthWatchCall(owner_.health_, responseOutput);
     if (path == "/grpc.reflection.v1.ServerReflection/ServerReflectionInfo" ||
         path == "/grpc.reflection.v1alpha.ServerReflection/ServerReflectionInfo")
-      return reflection(slot);
+      return makeReflectionCall(responseOutput);
     return nullptr;
   }
 
-  void onData(StreamId id, std::span<const std::uint8_t> data, bool end) override {
+  void onData(StreamId id, std::span<const std::uint8_t> data, bool endStream) override {
     codec_.consumed(id, data.size());
-    const auto at = calls_.find(id);
-    if (at == calls_.end()) return;
-    Slot& s = *at->second;
-    if (s.finished) return;
-    const auto status =
-        s.reader.receive({reinterpret_cast<const char*>(data.data()), data.size()}, [&](std::string_view m) {
-          if (s.call && !s.finished) s.call->onMessage(m);
-        });
-    if (status.code != grpc::Code::ok) return s.finish(status, {}, false);
-    if (end) endRequest(id);
+    const auto it = calls_.find(id);
+    if (it == calls_.end()) return;
+    CallStream& stream = *it->second;
+    if (stream.finished) return;
+    const auto status = stream.reader.receive({reinterpret_cast<const char*>(data.data()), data.size()},
+                                              [&](std::string_view payload) {
+                                                if (stream.call && !stream.finished)
+                                                  stream.call->onMessage(payload);
+                                              });
+    if (status.code != grpc::Code::ok) return stream.finish(status, {}, false);
+    if (endStream) finishRequest(id);
   }
 
-  void endRequest(StreamId id) {
-    const auto at = calls_.find(id);
-    if (at == calls_.end() || at->second->finished || std::exchange(at->second->requestEnded, true)) return;
-    Slot& s = *at->second;
-    if (s.reader.midway())
-      return s.finish({grpc::Code::internal, "the request was cut inside a message", {}}, {}, false);
-    s.call->onRequestEnd();
+  void finishRequest(StreamId id) {
+    const auto it = calls_.find(id);
+    if (it == calls_.end() || it->second->finished || std::exchange(it->second->requestEnded, true)) return;
+    CallStream& stream = *it->second;
+    if (stream.reader.midway())
+      return stream.finish({grpc::Code::internal, "the request was cut inside a message", {}}, {}, false);
+    stream.call->onRequestEnd();
   }
 
   void onReset(StreamId id, http2::ErrorCode) override {
-    const auto at = calls_.find(id);
-    if (at == calls_.end()) return;
-    at->second->finished = true;
-    if (at->second->call) at->second->call->onGone();
-    finishedLater(id);
+    const auto it = calls_.find(id);
+    if (it == calls_.end()) return;
+    it->second->finished = true;
+    if (it->second->call) it->second->call->onCancel();
+    removeLater(id);
   }
-  void onSent(StreamId id, std::size_t left) override {
-    const auto at = calls_.find(id);
-    if (left == 0 && at != calls_.end() && at->second->finished) finishedLater(id);
+  void onSent(StreamId id, std::size_t remaining) override {
+    const auto it = calls_.find(id);
+    if (remaining == 0 && it != calls_.end() && it->second->finished) removeLater(id);
   }
   void onGoAway(StreamId, http2::ErrorCode) override {}
 
-  // A call often ends within its own call.
-  void finishedLater(StreamId id) {
-    done_.push_back(id);
-    flushLater();
+  // Removes the call in the next flush: calls often finish while one of their own functions is running.
+  void removeLater(StreamId id) {
+    finishedCalls_.push_back(id);
+    scheduleFlush();
   }
 
-  // Bytes of one turn of the loop go out together.
-  void flushLater() {
-    if (std::exchange(flushing_, true)) return;
+  // Sends the output of one loop iteration together.
+  void scheduleFlush() {
+    if (std::exchange(flushScheduled_, true)) return;
     owner_.loop_.post([this, alive = std::weak_ptr<bool>(alive_)] {
       if (!alive.expired()) flush();
     });
   }
 
   void flush() {
-    flushing_ = false;
-    for (const StreamId id : std::exchange(done_, {}))
-      if (codec_.queued(id) == 0) calls_.erase(id);  // else its status still waits
-    if (ended_) return;
+    flushScheduled_ = false;
+    for (const StreamId id : std::exchange(finishedCalls_, {}))
+      if (codec_.queued(id) == 0) calls_.erase(id);  // otherwise its status is still queued
+    if (closed_) return;
     while (!codec_.output().empty()) {
       const auto output = codec_.output();
-      const std::size_t n = stream_.trySend(output);
-      codec_.sent(n);
-      if (n < output.size()) break;
+      const std::size_t sentBytes = netStream_.trySend(output);
+      codec_.sent(sentBytes);
+      if (sentBytes < output.size()) break;
     }
-    if (calls_.empty() && prefaced_) {
+    if (calls_.empty() && prefaceReceived_) {
       if (owner_.draining_ && codec_.output().empty())
-        end();
+        closeGracefully();
       else
-        idle();
+        startIdleTimer();
     }
   }
 
-  void idle() {
-    if (!timer_.running() || !prefacedTimer_) {
-      prefacedTimer_ = true;
-      timer_.start(owner_.options_.idleWithin, [this] { end(); });
+  void startIdleTimer() {
+    if (!timer_.running() || !idleTimerStarted_) {
+      idleTimerStarted_ = true;
+      timer_.start(owner_.options_.idleConnectionTimeout, [this] { closeGracefully(); });
     }
   }
 
-  void dropCalls() {
+  void cancelCalls() {
     auto calls = std::move(calls_);
     calls_.clear();
-    for (auto& [id, slot] : calls) {
-      slot->finished = true;
-      if (slot->call) slot->call->onGone();
+    for (auto& [id, callStream] : calls) {
+      callStream->finished = true;
+      if (callStream->call) callStream->call->onCancel();
     }
   }
 
   GrpcServer& owner_;
   http2::Connection codec_;
-  std::unordered_map<StreamId, std::unique_ptr<Slot>> calls_;
-  std::vector<StreamId> done_;
+  std::unordered_map<StreamId, std::unique_ptr<CallStream>> calls_;
+  std::vector<StreamId> finishedCalls_;
   timing::Alarm timer_;
-  bool prefaced_ = false;
-  bool prefacedTimer_ = false;
-  bool ended_ = false;
-  bool flushing_ = false;
+  bool prefaceReceived_ = false;
+  bool idleTimerStarted_ = false;
+  bool closed_ = false;
+  bool flushScheduled_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  net::Stream stream_;
+  net::Stream netStream_;
 };
 
 GrpcServer::GrpcServer(net::Loop& loop, const Poco::Net::SocketAddress& address, const GrpcOptions& options,
-                       const IntakeOptions& intake, routing::Router& router, HealthState& health,
-                       PromptCounting* counting)
+                       const RequestDecoderOptions& decoderOptions, routing::Router& router,
+                       HealthState& health, PromptTokenCounter* tokenCounter)
     : loop_(loop),
       options_(options),
-      intake_(intake),
+      decoderOptions_(decoderOptions),
       router_(router),
       health_(health),
-      counting_(counting),
-      listener_(loop, address, [this](Poco::Net::StreamSocket s) { accept(std::move(s)); }) {}
+      tokenCounter_(tokenCounter),
+      listener_(loop, address, [this](Poco::Net::StreamSocket accepted) { accept(std::move(accepted)); }) {}
 
 GrpcServer::~GrpcServer() = default;
 
 void GrpcServer::accept(Poco::Net::StreamSocket socket) {
-  if (draining_ || connections_.size() >= options_.connections) return;  // closed by going out of scope
+  if (draining_ || connections_.size() >= options_.maxConnections)
+    return;  // the socket is closed when it goes out of scope
   auto connection = std::make_shared<Connection>(*this, std::move(socket));
   connections_[connection.get()] = connection;
 }
 
-void GrpcServer::closed(Connection& connection) {
-  const auto at = connections_.find(&connection);
-  if (at == connections_.end()) return;
-  // Kept while the last bytes go out; its stream closes itself within the limit.
-  loop_.after(options_.closeWithin + 100'000, [c = std::move(at->second)] {});
-  connections_.erase(at);
+void GrpcServer::onConnectionClosed(Connection& connection) {
+  const auto it = connections_.find(&connection);
+  if (it == connections_.end()) return;
+  // Kept alive while the remaining output is sent; the stream closes itself after at most closeTimeout.
+  loop_.after(options_.closeTimeout + 100'000, [keptConnection = std::move(it->second)] {});
+  connections_.erase(it);
 }
 
 void GrpcServer::drain() {
   draining_ = true;
   listener_.close();
-  const auto all = connections_;
-  for (const auto& [c, shared] : all) shared->drain();
+  const auto openConnections = connections_;
+  for (const auto& [key, shared] : openConnections) shared->drain();
 }
 
 void GrpcServer::close() {
-  const auto all = connections_;
-  for (const auto& [c, shared] : all) shared->end();
+  const auto openConnections = connections_;
+  for (const auto& [key, shared] : openConnections) shared->closeGracefully();
 }
 
 std::size_t GrpcServer::streams() const {
-  std::size_t n = 0;
-  for (const auto& [c, shared] : connections_) n += shared->streams();
-  return n;
+  std::size_t total = 0;
+  for (const auto& [key, shared] : connections_) total += shared->streams();
+  return total;
 }
 
 }  // namespace garnethook::grpc_frontend
--- a/src/grpc_frontend/grpc_server.h
+++ b/src/grpc_frontend/grpc_server.h
@@ -1,4 +1,4 @@
-// The gRPC front: listens, and turns the streams of HTTP/2 connections into calls.
+/// gRPC server: accepts HTTP/2 connections and dispatches their streams to calls.
 #pragma once
 
 #include <map>
@@ -15,47 +15,57 @@
 
 namespace garnethook::grpc_frontend {
 
+/// Limits of the gRPC server.
 struct GrpcOptions {
-  http2::Limits http2;
-  std::size_t messageBytes = 8u << 20;  // of one request message
-  std::size_t waitingMost = 1u << 20;   // of one answer, for a client that reads slowly
-  std::size_t connections = 20'000;
-  Micros prefaceWithin = 10'000'000;  // from the connection to its first settings
-  Micros idleWithin = 300'000'000;    // a connection without streams is closed after it
-  Micros deadlineMargin = 50'000;     // a status that waits for the client's window is sent this long before
-                                      // its deadline, in place of the data before it
-  Micros closeWithin = 2'000'000;     // for a peer to read what is left at the end
+  http2::Limits http2;                            ///< per connection
+  std::size_t maxMessageBytes = 8u << 20;         ///< size of a request message
+  std::size_t maxQueuedResponseBytes = 1u << 20;  ///< unsent data of a response whose client reads slowly
+  std::size_t maxConnections = 20'000;            ///< further connections are closed on accept
+  Micros prefaceTimeout = 10'000'000;             ///< from accept to the client's first SETTINGS frame
+  Micros idleConnectionTimeout = 300'000'000;     ///< after which a connection without streams is closed
+  /// A status that is blocked by the client's flow-control window is replaced by DEADLINE_EXCEEDED this long
+  /// before the client's deadline, dropping the data queued before it.
+  Micros deadlineMargin = 50'000;
+  Micros closeTimeout = 2'000'000;  ///< for the peer to read the remaining output when a connection closes
 };
 
+/// The gRPC server. Runs on the loop's thread.
 class GrpcServer {
  public:
+  /// Starts listening.
+  /// @param tokenCounter nullptr: token counts of prompts remain estimates
   GrpcServer(net::Loop& loop, const Poco::Net::SocketAddress& address, const GrpcOptions& options,
-             const IntakeOptions& intake, routing::Router& router, HealthState& health,
-             PromptCounting* counting = nullptr);
+             const RequestDecoderOptions& decoderOptions, routing::Router& router, HealthState& health,
+             PromptTokenCounter* tokenCounter = nullptr);
   ~GrpcServer();
 
+  /// Address of the listening socket.
   Poco::Net::SocketAddress address() const { return listener_.address(); }
-  // Takes no new connections or streams; those that are open may end.
+  /// Stops accepting connections and streams; open calls may finish.
   void drain();
-  // Intake settings of a reload; calls under way keep what they were taken with.
-  void setIntake(const IntakeOptions& intake) { intake_ = intake; }
+  /// Replaces the decoder options after a reload; requests that are already decoded are unaffected.
+  void setRequestDecoderOptions(const RequestDecoderOptions& decoderOptions) {
+    decoderOptions_ = decoderOptions;
+  }
+  /// Number of open connections.
   std::size_t connections() const { return connections_.size(); }
+  /// Number of open streams on all connections.
   std::size_t streams() const;
-  // All connections are closed once what is queued went out, or after closeWithin.
+  /// Closes all connections once their queued output is sent, at the latest after closeTimeout.
   void close();
 
  private:
   class Connection;
   friend class Connection;
   void accept(Poco::Net::StreamSocket socket);
-  void closed(Connection& connection);
+  void onConnectionClosed(Connection& connection);
 
   net::Loop& loop_;
   GrpcOptions options_;
-  IntakeOptions intake_;
+  RequestDecoderOptions decoderOptions_;
   routing::Router& router_;
   HealthState& health_;
-  PromptCounting* counting_;
+  PromptTokenCounter* tokenCounter_;
   std::unordered_map<Connection*, std::shared_ptr<Connection>> connections_;
   bool draining_ = false;
   net::Listener listener_;
--- a/src/grpc_frontend/prompt_counting.h
+++ b/src/grpc_frontend/prompt_counting.h
@@ -1,4 +1,4 @@
-// Who counts a prompt's tokens before a request is taken.
+/// Interface for counting the tokens of a prompt before the router accepts its request.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +8,18 @@
 
 namespace garnethook::grpc_frontend {
 
-class PromptCounting {
+/// Counts prompt tokens asynchronously.
+class PromptTokenCounter {
  public:
-  virtual ~PromptCounting() = default;
-  // Fills in the counts of a prompt that came as text and takes the time that this took off `remaining`.
-  // `done` comes once, maybe before this returns; 0 then, else what cancel() takes.
+  virtual ~PromptTokenCounter() = default;
+  /// Receives the request with its token counts.
   using Done = std::function<void(routing::Request)>;
+  /// Fills in the token counts of a request whose prompt is text, and subtracts the time that this takes from
+  /// `remaining`.
+  /// @param done called once, possibly before count() returns
+  /// @return a ticket for cancel(), or 0 if `done` was called already
   virtual std::uint64_t count(routing::Request request, Done done) = 0;
-  // `done` does not come any more.
+  /// Cancels a count; its `done` is not called any more.
   virtual void cancel(std::uint64_t ticket) = 0;
 };
 
--- a/src/grpc_frontend/request_decoder.h
+++ b/src/grpc_frontend/request_decoder.h
@@ -1,4 +1,4 @@
-// From a request's message to what the core takes: one rule for all fronts. Free of I/O.
+/// Validates a GenerateRequest and converts it to a request of the routing core. Performs no I/O.
 #pragma once
 
 #include <optional>
@@ -11,23 +11,28 @@
 
 namespace garnethook::grpc_frontend {
 
-struct IntakeOptions {
-  std::vector<std::string> classNames;
-  std::vector<Micros> deadlines;      // by class: where the client tells none
-  std::uint32_t maxOutput = 1024;     // where the client tells none
-  std::uint32_t mostOutput = 32'768;  // and the most that is taken
-  std::size_t promptBytes = 4u << 20;
-  Micros longest = 3'600'000'000;  // deadlines beyond are cut
-  double charactersPerToken = 4;   // the estimate, where the prompt comes as text
+/// Limits and defaults that are applied to requests.
+struct RequestDecoderOptions {
+  std::vector<std::string> classNames;          ///< request classes, by index
+  std::vector<Micros> defaultDeadlines;         ///< by class; used if the client specifies no deadline
+  std::uint32_t defaultMaxOutputTokens = 1024;  ///< used if the client specifies none
+  std::uint32_t maxOutputTokensLimit = 32'768;  ///< requests for more output tokens are invalid
+  std::size_t maxPromptBytes = 4u << 20;        ///< longer prompts are invalid
+  Micros maxDeadline = 3'600'000'000;           ///< longer deadlines are shortened to it
+  double charactersPerToken = 4;                ///< to estimate the token count of a prompt that is text
 };
 
-// Unicode code points of UTF-8 text.
-std::size_t characters(std::string_view text);
-// Bytes of the first `characters` code points; all, where there are fewer.
-std::size_t bytesOf(std::string_view text, std::size_t characters);
+/// Number of Unicode code points in UTF-8 text.
+std::size_t codePointCount(std::string_view text);
+/// Length in bytes of the first `codePoints` code points; the whole text if it has fewer.
+std::size_t prefixBytes(std::string_view text, std::size_t codePoints);
 
-// The request as the core takes it; where it can't be taken, none, and `trouble` names the field.
-std::optional<routing::Request> takeIn(const v1::GenerateRequest& request, std::optional<Micros> timeout,
-                                       const IntakeOptions& options, std::string& error);
+/// Decodes a request message.
+/// @param timeout the client's deadline, if specified
+/// @param error set to a message that names the field if the request is invalid
+/// @return the request, or nothing if it is invalid
+std::optional<routing::Request> decodeRequest(const v1::GenerateRequest& message,
+                                              std::optional<Micros> timeout,
+                                              const RequestDecoderOptions& options, std::string& error);
 
 }  // namespace garnethook::grpc_frontend
--- a/src/grpc_frontend/service_calls.cpp
+++ b/src/grpc_frontend/service_calls.cpp
@@ -17,77 +17,78 @@
 namespace health = ::grpc::health::v1;
 namespace reflect = ::grpc::reflection::v1;
 
-std::optional<health::HealthCheckResponse::ServingStatus> statusOf(const HealthState& state,
-                                                                   const std::string& service) {
+std::optional<health::HealthCheckResponse::ServingStatus> servingStatus(const HealthState& state,
+                                                                        const std::string& service) {
   if (!service.empty() && service != "garnethook.v1.Generation") return std::nullopt;
   return state.serving() ? health::HealthCheckResponse::SERVING : health::HealthCheckResponse::NOT_SERVING;
 }
 
-std::string response(health::HealthCheckResponse::ServingStatus status) {
-  health::HealthCheckResponse out;
-  out.set_status(status);
-  return out.SerializeAsString();
+std::string serializedResponse(health::HealthCheckResponse::ServingStatus status) {
+  health::HealthCheckResponse statusResponse;
+  statusResponse.set_status(status);
+  return statusResponse.SerializeAsString();
 }
 
 class CheckCall final : public Call {
  public:
   CheckCall(const HealthState& state, CallOutput& output) : state_(state), output_(output) {}
   void onMessage(std::string_view message) override {
-    seen_ = true;
-    good_ = request_.ParseFromArray(message.data(), static_cast<int>(message.size()));
+    hasRequest_ = true;
+    isValid_ = request_.ParseFromArray(message.data(), static_cast<int>(message.size()));
   }
   void onRequestEnd() override {
-    if (!seen_ || !good_)
+    if (!hasRequest_ || !isValid_)
       return output_.finish({grpc::Code::invalidArgument, "no HealthCheckRequest", {}}, {}, false);
-    const auto status = statusOf(state_, request_.service());
+    const auto status = servingStatus(state_, request_.service());
     if (!status) return output_.finish({grpc::Code::notFound, "unknown service", {}}, {}, false);
-    output_.message(response(*status));
+    output_.sendMessage(serializedResponse(*status));
     output_.finish({}, {}, false);
   }
-  void onGone() override {}
+  void onCancel() override {}
 
  private:
   const HealthState& state_;
   CallOutput& output_;
   health::HealthCheckRequest request_;
-  bool seen_ = false;
-  bool good_ = false;
+  bool hasRequest_ = false;
+  bool isValid_ = false;
 };
 
 class WatchCall final : public Call {
  public:
   WatchCall(HealthState& state, CallOutput& output) : state_(state), output_(output) {}
   void onMessage(std::string_view message) override {
-    seen_ = request_.ParseFromArray(message.data(), static_cast<int>(message.size()));
+    hasRequest_ = request_.ParseFromArray(message.data(), static_cast<int>(message.size()));
   }
   void onRequestEnd() override {
-    if (!seen_) return output_.finish({grpc::Code::invalidArgument, "no HealthCheckRequest", {}}, {}, false);
-    listener_ = state_.watch([this] { tell(); });
-    tell();
+    if (!hasRequest_)
+      return output_.finish({grpc::Code::invalidArgument, "no HealthCheckRequest", {}}, {}, false);
+    listener_ = state_.watch([this] { sendStatus(); });
+    sendStatus();
   }
-  void onGone() override { listener_.reset(); }
+  void onCancel() override { listener_.reset(); }
 
  private:
-  void tell() {
+  void sendStatus() {
     const auto status =
-        statusOf(state_, request_.service()).value_or(health::HealthCheckResponse::SERVICE_UNKNOWN);
-    if (last_ != status) output_.message(response(status));
-    last_ = status;
+        servingStatus(state_, request_.service()).value_or(health::HealthCheckResponse::SERVICE_UNKNOWN);
+    if (lastStatus_ != status) output_.sendMessage(serializedResponse(status));
+    lastStatus_ = status;
   }
   HealthState& state_;
   CallOutput& output_;
   health::HealthCheckRequest request_;
-  bool seen_ = false;
+  bool hasRequest_ = false;
   std::shared_ptr<HealthState::Listener> listener_;
-  std::optional<health::HealthCheckResponse::ServingStatus> last_;
+  std::optional<health::HealthCheckResponse::ServingStatus> lastStatus_;
 };
 
 constexpr std::array<const char*, 4> kServices{"garnethook.v1.Generation", "grpc.health.v1.Health",
                                                "grpc.reflection.v1.ServerReflection",
                                                "grpc.reflection.v1alpha.ServerReflection"};
 
-const google::protobuf::DescriptorPool& pool() {
-  // Makes sure that the files are linked in and known.
+const google::protobuf::DescriptorPool& descriptorPool() {
+  // References the generated files so that they are linked in and registered.
   v1::GenerateRequest::descriptor();
   health::HealthCheckRequest::descriptor();
   reflect::ServerReflectionRequest::descriptor();
@@ -108,53 +109,55 @@
  public:
   explicit ReflectionCall(CallOutput& output) : output_(output) {}
   void onMessage(std::string_view message) override {
-    if (over_) return;
+    if (finished_) return;
     reflect::ServerReflectionRequest request;
     if (!request.ParseFromArray(message.data(), static_cast<int>(message.size()))) {
-      over_ = true;
+      finished_ = true;
       return output_.finish({grpc::Code::invalidArgument, "no ServerReflectionRequest", {}}, {}, false);
     }
-    reflect::ServerReflectionResponse answer;
-    answer.set_valid_host(request.host());
-    *answer.mutable_original_request() = request;
-    const auto file = [&](const google::protobuf::FileDescriptor* f) {
-      if (f == nullptr) return notFound(answer);
+    reflect::ServerReflectionResponse reply;
+    reply.set_valid_host(request.host());
+    *reply.mutable_original_request() = request;
+    const auto addDescriptor = [&](const google::protobuf::FileDescriptor* fileDescriptor) {
+      if (fileDescriptor == nullptr) return notFound(reply);
       std::set<std::string> seen;
-      addFile(*f, seen, *answer.mutable_file_descriptor_response());
+      addFile(*fileDescriptor, seen, *reply.mutable_file_descriptor_response());
     };
     using Request = reflect::ServerReflectionRequest;
     switch (request.message_request_case()) {
-      case Request::kFileByFilename: file(pool().FindFileByName(request.file_by_filename())); break;
+      case Request::kFileByFilename:
+        addDescriptor(descriptorPool().FindFileByName(request.file_by_filename()));
+        break;
       case Request::kFileContainingSymbol:
-        file(pool().FindFileContainingSymbol(request.file_containing_symbol()));
+        addDescriptor(descriptorPool().FindFileContainingSymbol(request.file_containing_symbol()));
         break;
       case Request::kListServices:
         for (const char* name : kServices)
-          answer.mutable_list_services_response()->add_service()->set_name(name);
+          reply.mutable_list_services_response()->add_service()->set_name(name);
         break;
       case Request::kAllExtensionNumbersOfType:
-        if (pool().FindMessageTypeByName(request.all_extension_numbers_of_type()) == nullptr)
-          notFound(answer);
+        if (descriptorPool().FindMessageTypeByName(request.all_extension_numbers_of_type()) == nullptr)
+          notFound(reply);
         else
-          answer.mutable_all_extension_numbers_response()->set_base_type_name(
+          reply.mutable_all_extension_numbers_response()->set_base_type_name(
               request.all_extension_numbers_of_type());
         break;
-      default: notFound(answer); break;
+      default: notFound(reply); break;
     }
-    output_.message(answer.SerializeAsString());
+    output_.sendMessage(reply.SerializeAsString());
   }
   void onRequestEnd() override {
-    if (!std::exchange(over_, true)) output_.finish({}, {}, false);
+    if (!std::exchange(finished_, true)) output_.finish({}, {}, false);
   }
-  void onGone() override { over_ = true; }
+  void onCancel() override { finished_ = true; }
 
  private:
-  static void notFound(reflect::ServerReflectionResponse& answer) {
-    answer.mutable_error_response()->set_error_code(static_cast<int>(grpc::Code::notFound));
-    answer.mutable_error_response()->set_error_message("not found");
+  static void notFound(reflect::ServerReflectionResponse& reply) {
+    reply.mutable_error_response()->set_error_code(static_cast<int>(grpc::Code::notFound));
+    reply.mutable_error_response()->set_error_message("not found");
   }
   CallOutput& output_;
-  bool over_ = false;
+  bool finished_ = false;
 };
 
 }  // namespace
@@ -162,25 +165,27 @@
 void HealthState::set(bool serving) {
   if (serving_ == serving) return;
   serving_ = serving;
-  std::erase_if(listeners_, [](const auto& l) { return l.expired(); });
-  const auto all = listeners_;
-  for (const auto& weak : all)
-    if (const auto listener = weak.lock()) (*listener)();
+  std::erase_if(listeners_, [](const auto& entry) { return entry.expired(); });
+  const auto listenersCopy = listeners_;
+  for (const auto& weakListener : listenersCopy)
+    if (const auto listener = weakListener.lock()) (*listener)();
 }
 
 std::shared_ptr<HealthState::Listener> HealthState::watch(Listener listener) {
-  std::erase_if(listeners_, [](const auto& l) { return l.expired(); });
-  auto kept = std::make_shared<Listener>(std::move(listener));
-  listeners_.push_back(kept);
-  return kept;
+  std::erase_if(listeners_, [](const auto& entry) { return entry.expired(); });
+  auto shared = std::make_shared<Listener>(std::move(listener));
+  listeners_.push_back(shared);
+  return shared;
 }
 
-std::unique_ptr<Call> healthCheck(const HealthState& health, CallOutput& output) {
+std::unique_ptr<Call> makeHealthCheckCall(const HealthState& health, CallOutput& output) {
   return std::make_unique<CheckCall>(health, output);
 }
-std::unique_ptr<Call> healthWatch(HealthState& health, CallOutput& output) {
+std::unique_ptr<Call> makeHealthWatchCall(HealthState& health, CallOutput& output) {
   return std::make_unique<WatchCall>(health, output);
 }
-std::unique_ptr<Call> reflection(CallOutput& output) { return std::make_unique<ReflectionCall>(output); }
+std::unique_ptr<Call> makeReflectionCall(CallOutput& output) {
+  return std::make_unique<ReflectionCall>(output);
+}
 
 }  // namespace garnethook::grpc_frontend
--- a/src/grpc_frontend/service_calls.h
+++ b/src/grpc_frontend/service_calls.h
@@ -1,4 +1,4 @@
-// The standard services beside our own: grpc.health.v1.Health and server reflection (v1 and v1alpha).
+/// Standard gRPC services: grpc.health.v1.Health and server reflection (v1 and v1alpha).
 #pragma once
 
 #include <functional>
@@ -8,13 +8,16 @@
 
 namespace garnethook::grpc_frontend {
 
-// Health of the process ("") and of garnethook.v1.Generation, and those who watch it.
+/// Serving status of the process (service "") and of garnethook.v1.Generation, with listeners for changes.
 class HealthState {
  public:
+  /// Called after each change.
   using Listener = std::function<void()>;
+  /// Whether the router accepts requests.
   bool serving() const { return serving_; }
+  /// Sets the status and notifies the listeners if it changed.
   void set(bool serving);
-  // Told at each change until the returned object is gone.
+  /// Adds a listener, which stays registered for as long as the returned object exists.
   std::shared_ptr<Listener> watch(Listener listener);
 
  private:
@@ -22,9 +25,11 @@
   std::vector<std::weak_ptr<Listener>> listeners_;
 };
 
-std::unique_ptr<Call> healthCheck(const HealthState& health, CallOutput& output);
-std::unique_ptr<Call> healthWatch(HealthState& health, CallOutput& output);
-// Either version: their messages are the same on the wire.
-std::unique_ptr<Call> reflection(CallOutput& output);
+/// Creates a call of grpc.health.v1.Health/Check.
+std::unique_ptr<Call> makeHealthCheckCall(const HealthState& health, CallOutput& output);
+/// Creates a call of grpc.health.v1.Health/Watch.
+std::unique_ptr<Call> makeHealthWatchCall(HealthState& health, CallOutput& output);
+/// Creates a call of server reflection; both versions have the same messages on the wire.
+std::unique_ptr<Call> makeReflectionCall(CallOutput& output);
 
 }  // namespace garnethook::grpc_frontend
--- a/src/server/router_server.cpp
+++ b/src/server/router_server.cpp
@@ -11,7 +11,7 @@
 
 using log::Log;
 
-std::string rememberedPath(const std::string& folder) {
+std::string staleCopyPath(const std::string& folder) {
   return folder.empty() ? std::string() : folder + "/engines.last.json";
 }
 
@@ -22,9 +22,9 @@
     : loop_(loop),
       settings_(settings),
       log_(std::move(log)),
-      list_(settings.listPath, rememberedPath(settings.stateFolder)),
+      endpointList_(settings.listPath, staleCopyPath(settings.stateFolder)),
       engines_(loop, settings.engine),
-      counts_(loop, settings.counting, engines_, log_, [this] { tellCounts(); }),
+      counts_(loop, settings.counting, engines_, log_, [this] { publishTokeniserChanges(); }),
       pollAlarm_(loop),
       drainAlarm_(loop) {
   if (!settings_.stateFolder.empty()) std::filesystem::create_directories(settings_.stateFolder);
@@ -33,22 +33,23 @@
   router_ = std::make_unique<routing::Router>(settings_.routing, loop_, engines_, *this);
   engines_.setEvents(*router_);
   counts_.setRouter(*router_);
-  const auto change = list_.refresh();
+  const auto change = endpointList_.refresh();
   for (const auto& error : change.errors) log_.warn("endpoint-list", {{"error", error.message}});
   if (change.hasChanged) {
-    tell(EndpointUpdate::Kind::snapshot);
+    publishEndpoints(EndpointUpdate::Kind::snapshot);
   } else {
     std::vector<membership::EndpointListError> errors;
-    const bool recalled = list_.loadCopy(errors);
+    const bool hasStaleCopy = endpointList_.loadCopy(errors);
     for (const auto& error : errors) log_.warn("endpoint-list", {{"error", error.message}});
-    if (recalled) tell(EndpointUpdate::Kind::staleCopy);
+    if (hasStaleCopy) publishEndpoints(EndpointUpdate::Kind::staleCopy);
   }
   frontend_ = std::make_unique<grpc_frontend::GrpcServer>(loop_, Poco::Net::SocketAddress(settings_.listen),
-                                                          settings_.grpc, settings_.intake, *router_, health_,
-                                                          counts_.on() ? &counts_ : nullptr);
+                                                          settings_.grpc, settings_.requestDecoder, *router_,
+                                                          health_, counts_.isEnabled() ? &counts_ : nullptr);
   health_.set(true);
-  log_.info("listening", {{"address", address().toString()}, {"endpoints", list_.endpoints().size()}});
-  pollAlarm_.start(settings_.listPoll, [this] { poll(); });
+  log_.info("listening",
+            {{"address", address().toString()}, {"endpoints", endpointList_.endpoints().size()}});
+  pollAlarm_.start(settings_.listPollInterval, [this] { poll(); });
 }
 
 RouterServer::~RouterServer() {
@@ -57,100 +58,102 @@
 }
 
 void RouterServer::poll() {
-  lookAtList();
-  pollAlarm_.start(settings_.listPoll, [this] { poll(); });
+  refreshEndpointList();
+  pollAlarm_.start(settings_.listPollInterval, [this] { poll(); });
 }
 
-void RouterServer::lookAtList() {
-  const auto change = list_.refresh();
+void RouterServer::refreshEndpointList() {
+  const auto change = endpointList_.refresh();
   for (const auto& error : change.errors) log_.warn("endpoint-list", {{"error", error.message}});
   if (change.hasChanged)
-    tell(EndpointUpdate::Kind::snapshot);
+    publishEndpoints(EndpointUpdate::Kind::snapshot);
   else if (!change.errors.empty())
     return;
-  starts_.recordContact(loop_.now());
+  startTimes_.recordContact(loop_.now());
 }
 
-void RouterServer::tell(EndpointUpdate::Kind kind) {
-  for (const auto& [name, e] : list_.endpoints()) {
-    names_[e.id.value] = name;
-    if (std::find(settings_.names.kinds.begin(), settings_.names.kinds.end(), e.kind) ==
+void RouterServer::publishEndpoints(EndpointUpdate::Kind kind) {
+  for (const auto& [name, listed] : endpointList_.endpoints()) {
+    names_[listed.id.value] = name;
+    if (std::find(settings_.names.kinds.begin(), settings_.names.kinds.end(), listed.kind) ==
         settings_.names.kinds.end())
       log_.warn("endpoint-list",
                 {{"engine", name},
-                 {"error", "kind \"" + e.kind + "\" is not in the settings; taken for a writer"}});
+                 {"error", "kind \"" + listed.kind + "\" is not configured; treated as a decode engine"}});
   }
-  log_.info("endpoint-list", {{"endpoints", list_.endpoints().size()},
+  log_.info("endpoint-list", {{"endpoints", endpointList_.endpoints().size()},
                               {"stale_copy", kind == EndpointUpdate::Kind::staleCopy}});
-  engines_.update(list_.endpoints());
-  counts_.onList(list_.endpoints());
+  engines_.update(endpointList_.endpoints());
+  counts_.onEndpointList(endpointList_.endpoints());
   const bool isStaleCopy = kind == EndpointUpdate::Kind::staleCopy;
   const auto source =
       isStaleCopy ? membership::StartTimes::Source::persistedCopy : membership::StartTimes::Source::discovery;
-  auto list = membership::toEndpointUpdate(list_.endpoints(), startTimes(source), settings_.names, kind);
-  counts_.fill(list);
-  router_->onEndpointUpdate(list);
+  auto endpointUpdate =
+      membership::toEndpointUpdate(endpointList_.endpoints(), startTimes(source), settings_.names, kind);
+  counts_.addTokenisers(endpointUpdate);
+  router_->onEndpointUpdate(endpointUpdate);
 }
 
 membership::MonotonicStartTimes RouterServer::startTimes(membership::StartTimes::Source source) {
-  return starts_.toMonotonic(list_.endpoints(), source, loop_.now(), timing::unixNow());
+  return startTimes_.toMonotonic(endpointList_.endpoints(), source, loop_.now(), timing::unixNow());
 }
 
-// Engines count otherwise now; nothing else of the list changed.
-void RouterServer::tellCounts() {
-  auto list =
-      membership::toEndpointUpdate(list_.endpoints(), startTimes(membership::StartTimes::Source::discovery),
-                                   settings_.names, EndpointUpdate::Kind::delta);
-  counts_.fill(list);
-  router_->onEndpointUpdate(list);
+// Publishes new tokenisers and prompt factors; the rest of the endpoint list is unchanged.
+void RouterServer::publishTokeniserChanges() {
+  auto endpointUpdate = membership::toEndpointUpdate(endpointList_.endpoints(),
+                                                     startTimes(membership::StartTimes::Source::discovery),
+                                                     settings_.names, EndpointUpdate::Kind::delta);
+  counts_.addTokenisers(endpointUpdate);
+  router_->onEndpointUpdate(endpointUpdate);
 }
 
 std::string RouterServer::nameOf(EndpointId id) const {
-  const auto at = names_.find(id.value);
-  return at == names_.end() ? std::to_string(id.value) : at->second;
+  const auto it = names_.find(id.value);
+  return it == names_.end() ? std::to_string(id.value) : it->second;
 }
 
-void RouterServer::onAttempt(const routing::AttemptSpec& order) {
+void RouterServer::onAttempt(const routing::AttemptSpec& spec) {
   if (log_.debugs())
-    log_.debug("attempt", {{"request", order.attempt.request.value},
-                           {"number", order.attempt.number},
-                           {"engine", nameOf(order.endpoint)},
-                           {"phase", name(order.phase)}});
+    log_.debug("attempt", {{"request", spec.attempt.request.value},
+                           {"number", spec.attempt.number},
+                           {"engine", nameOf(spec.endpoint)},
+                           {"phase", name(spec.phase)}});
 }
 
-void RouterServer::onAttemptEnded(routing::AttemptId id, EndpointId server,
+void RouterServer::onAttemptEnded(routing::AttemptId id, EndpointId endpointId,
                                   const routing::AttemptResult& result) {
-  const bool good = result.outcome == Outcome::completed || result.outcome == Outcome::prefillDone;
-  if (good && !log_.debugs()) return;
+  const bool succeeded = result.outcome == Outcome::completed || result.outcome == Outcome::prefillDone;
+  if (succeeded && !log_.debugs()) return;
   const Log::Fields fields{{"request", id.request.value},
                            {"number", id.number},
-                           {"engine", nameOf(server)},
+                           {"engine", nameOf(endpointId)},
                            {"outcome", routing::name(result.outcome)},
                            {"text", result.text}};
-  if (good)
+  if (succeeded)
     log_.debug("attempt-ended", fields);
   else
     log_.info("attempt-ended", fields);
 }
 
 void RouterServer::onCompletion(RequestId id, const routing::Request& request,
-                                const routing::Completion& ending, Micros took) {
-  const bool served = ending.disposition == routing::Disposition::completed;
-  if (served && !log_.debugs()) return;
-  const Log::Fields fields{{"request", id.value},
-                           {"class", settings_.classNames[request.requestClass]},
-                           {"disposition", served ? "completed"
-                                           : ending.disposition == routing::Disposition::rejected ? "rejected"
-                                                                                                  : "failed"},
-                           {"cause", name(ending.failureReason)},
-                           {"text", ending.text},
-                           {"prompt_tokens", request.promptTokens},
-                           {"estimated", request.estimated},
-                           {"output_tokens", ending.usage.outputTokens},
-                           {"attempts", ending.usage.attempts},
-                           {"took_ms", took / 1000},
-                           {"retry_after_ms", ending.retryAfter / 1000}};
-  if (served)
+                                const routing::Completion& requestCompletion, Micros duration) {
+  const bool isCompleted = requestCompletion.disposition == routing::Disposition::completed;
+  if (isCompleted && !log_.debugs()) return;
+  const Log::Fields fields{
+      {"request", id.value},
+      {"class", settings_.classNames[request.requestClass]},
+      {"disposition", isCompleted                                                       ? "completed"
+                      : requestCompletion.disposition == routing::Disposition::rejected ? "rejected"
+                                                                                        : "failed"},
+      {"cause", name(requestCompletion.failureReason)},
+      {"text", requestCompletion.text},
+      {"prompt_tokens", request.promptTokens},
+      {"estimated", request.estimated},
+      {"output_tokens", requestCompletion.usage.outputTokens},
+      {"attempts", requestCompletion.usage.attempts},
+      {"took_ms", duration / 1000},
+      {"retry_after_ms", requestCompletion.retryAfter / 1000}};
+  if (isCompleted)
     log_.debug("request-ended", fields);
   else
     log_.info("request-ended", fields);
@@ -160,8 +163,9 @@
   if (log_.debugs()) log_.debug("client-cancelled", {{"request", id.value}});
 }
 
-void RouterServer::onPolicyLog(const std::string& said) {
-  log_.info("policy", {{"text", routing::withNames(said, [this](EndpointId id) { return nameOf(id); })}});
+void RouterServer::onPolicyLog(const std::string& policyMessage) {
+  log_.info("policy",
+            {{"text", routing::withNames(policyMessage, [this](EndpointId id) { return nameOf(id); })}});
 }
 
 void RouterServer::onDecision(Micros now, const Event& event, const std::vector<Action>& actions) {
@@ -169,50 +173,50 @@
 }
 
 void RouterServer::reload(const RouterSettings& settings) {
-  settings_.intake = settings.intake;
-  frontend_->setIntake(settings.intake);
+  settings_.requestDecoder = settings.requestDecoder;
+  frontend_->setRequestDecoderOptions(settings.requestDecoder);
   settings_.log = settings.log;
   log_.setLevel(settings.log.level);
   counts_.reload(settings.counting.files);
-  lookAtList();
-  log_.info(
-      "reloaded",
-      {{"note", "requests, log.level and the tokenisers' files are in force; other changes need a restart"}});
+  refreshEndpointList();
+  log_.info("reloaded",
+            {{"note", "applied: requests, log.level and the tokeniser files; other changes need a restart"}});
 }
 
 void RouterServer::drain(std::function<void()> done) {
-  drained_ = std::move(done);
-  drainUntil_ = loop_.now() + settings_.stopWithin;
-  log_.info("draining", {{"open", router_->pendingRequests()}, {"within_ms", settings_.stopWithin / 1000}});
+  onDrained_ = std::move(done);
+  drainDeadline_ = loop_.now() + settings_.shutdownTimeout;
+  log_.info("draining",
+            {{"open", router_->pendingRequests()}, {"within_ms", settings_.shutdownTimeout / 1000}});
   health_.set(false);
   frontend_->drain();
   checkDrained();
 }
 
 void RouterServer::checkDrained() {
-  if (loop_.now() >= drainUntil_) router_->stop();
-  const bool over =
+  if (loop_.now() >= drainDeadline_) router_->stop();
+  const bool isIdle =
       router_->pendingRequests() == 0 && counts_.open() == 0 &&
       router_->kvReservations().reservationCount() + router_->kvReservations().pendingReleaseCount() == 0;
-  const bool given = loop_.now() >= drainUntil_ + settings_.engine.controlTimeout * 2;
-  if (!over && !given) return drainAlarm_.start(20'000, [this] { checkDrained(); });
+  const bool hasTimedOut = loop_.now() >= drainDeadline_ + settings_.engine.controlTimeout * 2;
+  if (!isIdle && !hasTimedOut) return drainAlarm_.start(20'000, [this] { checkDrained(); });
   frontend_->close();
   log_.info("drained", {{"summary", summary()}});
-  drainAlarm_.start(100'000, [this] { drained_(); });
+  drainAlarm_.start(100'000, [this] { onDrained_(); });
 }
 
 std::string RouterServer::summary() const {
-  const auto& c = router_->counters();
-  return "received " + std::to_string(c.accepted) + ", completed " + std::to_string(c.completed) +
-         ", rejected " + std::to_string(c.rejected) + ", failed " + std::to_string(c.failed) +
-         ", cancelled " + std::to_string(c.cancelled) + ", open " +
-         std::to_string(router_->pendingRequests()) + "; attempts " + std::to_string(c.attempts) +
-         ", tokens " + std::to_string(c.tokens) + "; kv reservations " +
+  const auto& totals = router_->counters();
+  return "received " + std::to_string(totals.accepted) + ", completed " + std::to_string(totals.completed) +
+         ", rejected " + std::to_string(totals.rejected) + ", failed " + std::to_string(totals.failed) +
+         ", cancelled " + std::to_string(totals.cancelled) + ", open " +
+         std::to_string(router_->pendingRequests()) + "; attempts " + std::to_string(totals.attempts) +
+         ", tokens " + std::to_string(totals.tokens) + "; kv reservations " +
          std::to_string(router_->kvReservations().reservationCount()) + ", releases in flight " +
          std::to_string(router_->kvReservations().pendingReleaseCount()) + ", released " +
          std::to_string(router_->kvReservations().releasedCount()) + ", abandoned " +
          std::to_string(router_->kvReservations().abandonedCount()) +
-         (counts_.on() ? "; " + counts_.summary() : "");
+         (counts_.isEnabled() ? "; " + counts_.summary() : "");
 }
 
 }  // namespace garnethook::server
--- a/src/server/router_server.h
+++ b/src/server/router_server.h
@@ -1,4 +1,4 @@
-// One router, whole: front, core, engine client and engine list on a loop.
+/// Standalone router process: gRPC server, routing core, engine client and endpoint list on one event loop.
 #pragma once
 
 #include <functional>
@@ -16,46 +16,56 @@
 
 namespace garnethook::server {
 
+/// Owns the components of a router and connects them. Runs on the loop's thread.
 class RouterServer final : public routing::Observer {
  public:
-  // Listens at once. `seed`: of the decision module; `instance`: beginning of its work ids.
+  /// Starts listening immediately.
+  /// @param seed random seed of the routing policy
+  /// @param instance prefix of the trace ids; unique among routers and their restarts
   RouterServer(net::Loop& loop, const RouterSettings& settings, std::uint64_t seed, std::string instance,
                log::Log log);
   ~RouterServer() override;
 
+  /// Address on which the gRPC server listens.
   Poco::Net::SocketAddress address() const { return frontend_->address(); }
-  // Takes no new work; open requests may end within the settings' time and get their final answer then.
-  // `done` is called once all is over.
+  /// Starts a graceful shutdown: accepts no new requests, and gives open requests until
+  /// RouterSettings::shutdownTimeout to finish; those still open then receive a final status.
+  /// @param done called once the shutdown is complete
   void drain(std::function<void()> done);
-  // Settings that may change while running: request limits and log level. The rest is told in the log as
-  // needing a restart.
+  /// Applies the settings that can change at run time: request limits, log level and tokeniser files. Logs
+  /// that all other changes need a restart.
   void reload(const RouterSettings& settings);
 
+  /// The routing core.
   const routing::Router& router() const { return *router_; }
+  /// The client that sends attempts to the engines.
   const engine::HttpEngineClient& engines() const { return engines_; }
-  const grpc_frontend::GrpcServer& front() const { return *frontend_; }
+  /// The gRPC server.
+  const grpc_frontend::GrpcServer& grpcServer() const { return *frontend_; }
+  /// The token counting.
   const TokenCounts& counts() const { return counts_; }
-  // Looks at the list now, not at the next poll.
-  void lookAtList();
+  /// Reads the endpoint list immediately instead of at the next poll.
+  void refreshEndpointList();
+  /// One line of counters for the log.
   std::string summary() const;
-  // Called for each event of the decision module and its actions, before they are carried out.
+  /// Called for each event of the routing policy with the resulting actions, before they are executed.
   std::function<void(Micros, const Event&, const std::vector<Action>&)> onDecisionMade;
 
  private:
-  void onAttempt(const routing::AttemptSpec& order) override;
-  void onAttemptEnded(routing::AttemptId id, EndpointId server,
+  void onAttempt(const routing::AttemptSpec& spec) override;
+  void onAttemptEnded(routing::AttemptId id, EndpointId endpointId,
                       const routing::AttemptResult& result) override;
-  void onPromptRead(EndpointId server, const routing::Request& request, double tokens) override {
-    counts_.onPromptRead(server, request, tokens);
+  void onPromptRead(EndpointId endpointId, const routing::Request& request, double tokens) override {
+    counts_.onPromptRead(endpointId, request, tokens);
   }
-  void onCompletion(RequestId id, const routing::Request& request, const routing::Completion& ending,
-                    Micros took) override;
+  void onCompletion(RequestId id, const routing::Request& request, const routing::Completion& completion,
+                    Micros duration) override;
   void onCancelled(RequestId id) override;
-  void onPolicyLog(const std::string& text) override;
+  void onPolicyLog(const std::string& policyMessage) override;
   void onDecision(Micros now, const Event& event, const std::vector<Action>& actions) override;
   void poll();
-  void tell(EndpointUpdate::Kind kind);
-  void tellCounts();
+  void publishEndpoints(EndpointUpdate::Kind kind);
+  void publishTokeniserChanges();
   membership::MonotonicStartTimes startTimes(membership::StartTimes::Source source);
   void checkDrained();
   std::string nameOf(EndpointId id) const;
@@ -63,9 +73,10 @@
   net::Loop& loop_;
   RouterSettings settings_;
   log::Log log_;
-  membership::EndpointListFile list_;
-  membership::StartTimes starts_;
-  std::map<std::uint64_t, std::string> names_;
+  membership::EndpointListFile endpointList_;
+  membership::StartTimes startTimes_;
+  std::map<std::uint64_t, std::string>
+      names_;  // engine names by endpoint id, kept after an engine is removed
   grpc_frontend::HealthState health_;
   engine::HttpEngineClient engines_;
   TokenCounts counts_;
@@ -73,8 +84,8 @@
   std::unique_ptr<grpc_frontend::GrpcServer> frontend_;
   timing::Alarm pollAlarm_;
   timing::Alarm drainAlarm_;
-  Micros drainUntil_ = 0;
-  std::function<void()> drained_;
+  Micros drainDeadline_ = 0;
+  std::function<void()> onDrained_;
 };
 
 }  // namespace garnethook::server
--- a/src/server/settings.h
+++ b/src/server/settings.h
@@ -1,4 +1,5 @@
-// The router's settings file: JSON with comments, every key checked. docs/configuration.md lists the keys.
+/// Settings file of the standalone router: JSON with comments, unknown keys are errors. docs/configuration.md
+/// describes the keys.
 #pragma once
 
 #include <memory>
@@ -14,29 +15,31 @@
 
 namespace garnethook::server {
 
+/// Section `log`.
 struct LogSettings {
-  std::string level = "info";
-  std::string file;  // empty: standard error
+  std::string level = "info";  ///< debug, info, warn or error
+  std::string file;            ///< empty: standard error
 };
 
+/// The complete settings of a RouterServer.
 struct RouterSettings {
-  std::string listen = "127.0.0.1:7070";
-  std::vector<std::string> classNames;
-  membership::KindAndZoneNames names;  // kinds and zones
-  routing::Options routing;
-  engine::Options engine;
-  grpc_frontend::GrpcOptions grpc;
-  grpc_frontend::IntakeOptions intake;
-  CountingSettings counting;
-  std::string listPath;
-  std::string stateFolder;  // empty: nothing survives a restart
-  Micros listPoll = 250'000;
-  Micros stopWithin = 10'000'000;  // for requests that are open at SIGTERM
-  LogSettings log;
+  std::string listen = "127.0.0.1:7070";  ///< host:port of the gRPC server
+  std::vector<std::string> classNames;    ///< request classes, in the order of the routing settings
+  membership::KindAndZoneNames names;     ///< engine kinds and zones
+  routing::Options routing;               ///< routing core and policy
+  engine::Options engine;                 ///< connections to the engines
+  grpc_frontend::GrpcOptions grpc;        ///< connections of the clients
+  grpc_frontend::RequestDecoderOptions requestDecoder;  ///< limits and defaults of requests
+  CountingSettings counting;                            ///< token counting
+  std::string listPath;                                 ///< the endpoint list file
+  std::string stateFolder;                              ///< empty: no state survives a restart
+  Micros listPollInterval = 250'000;                    ///< between two reads of the endpoint list
+  Micros shutdownTimeout = 10'000'000;                  ///< for requests that are open at SIGTERM
+  LogSettings log;                                      ///< level and file of the log
 };
 
-// Throws config::Error naming file, line and key.
-// `listPath`: in place of engines.list, which may then be absent.
+/// Reads the settings; throws config::Error, which names file, line and key.
+/// @param listPath replaces engines.list, which may then be absent
 RouterSettings readSettings(const config::Node& root, const std::string& listPath = {});
 
 }  // namespace garnethook::server
--- a/src/server/token_counts.cpp
+++ b/src/server/token_counts.cpp
@@ -10,27 +10,29 @@
 using counting::VersionName;
 using nlohmann::json;
 
-// The version in what /tokenizer_info tells: the tokeniser's configuration as a JSON object. The name is that
-// of the repository it comes from, else its class; the version a revision, where there is one.
-std::optional<VersionName> versionIn(const std::string& body) {
+// Extracts the tokeniser's name and version from a response of /tokenizer_info, which is the tokeniser's
+// configuration as a JSON object. The name is the repository of the tokeniser, or else its class; the version
+// is the revision, if present.
+std::optional<VersionName> parseTokenizerInfo(const std::string& body) {
   const json info = json::parse(body, nullptr, false);
   if (!info.is_object()) return std::nullopt;
-  const auto text = [&](const char* key) {
-    const auto at = info.find(key);
-    return at != info.end() && at->is_string() ? at->get<std::string>().substr(0, 256) : std::string();
+  const auto stringAt = [&](const char* key) {
+    const auto found = info.find(key);
+    return found != info.end() && found->is_string() ? found->get<std::string>().substr(0, 256)
+                                                     : std::string();
   };
-  VersionName out;
+  VersionName result;
   for (const char* key : {"name_or_path", "tokenizer_class"})
-    if (out.name.empty()) out.name = text(key);
+    if (result.name.empty()) result.name = stringAt(key);
   for (const char* key : {"version", "revision", "_commit_hash"})
-    if (out.version.empty()) out.version = text(key);
-  if (out.name.empty()) return std::nullopt;
-  return out;
+    if (result.version.empty()) result.version = stringAt(key);
+  if (result.name.empty()) return std::nullopt;
+  return result;
 }
 
-class Loading final : public scheduler::Job {
+class LoadJob final : public scheduler::Job {
  public:
-  explicit Loading(TokeniserFile f) : file(std::move(f)) {}
+  explicit LoadJob(TokeniserFile source) : file(std::move(source)) {}
   std::size_t slice(std::size_t) override {
     tokeniser = tokeniser::loadFile(file.path, file.options);
     return 0;
@@ -39,9 +41,9 @@
   std::shared_ptr<const tokeniser::Tokeniser> tokeniser;
 };
 
-std::string reason(const std::exception_ptr& e) {
+std::string errorText(const std::exception_ptr& exceptionPointer) {
   try {
-    std::rethrow_exception(e);
+    std::rethrow_exception(exceptionPointer);
   } catch (const std::exception& known) { return known.what(); } catch (...) {
     return "unknown";
   }
@@ -50,19 +52,20 @@
 }  // namespace
 
 TokenCounts::TokenCounts(net::Loop& loop, const CountingSettings& settings, engine::HttpEngineClient& engines,
-                         log::Log& log, std::function<void()> changed)
+                         log::Log& log, std::function<void()> onVersionChange)
     : loop_(loop),
       engines_(engines),
       log_(log),
-      changed_(std::move(changed)),
-      book_(settings.versions),
-      askAlarm_(loop) {
+      onVersionChange_(std::move(onVersionChange)),
+      versionBook_(settings.versions),
+      queryAlarm_(loop) {
   if (settings.files.empty()) return;
-  for (const auto& f : settings.files) {
-    auto loaded = tokeniser::loadFile(f.path, f.options);
-    log_.info("tokeniser",
-              {{"version", counting::text(f.version)}, {"file", f.path}, {"what", loaded->describe()}});
-    book_.load(f.version, std::move(loaded));
+  for (const auto& tokeniserFile : settings.files) {
+    auto loaded = tokeniser::loadFile(tokeniserFile.path, tokeniserFile.options);
+    log_.info("tokeniser", {{"version", counting::text(tokeniserFile.version)},
+                            {"file", tokeniserFile.path},
+                            {"what", loaded->describe()}});
+    versionBook_.load(tokeniserFile.version, std::move(loaded));
   }
   counter_ = std::make_unique<counting::Counter>(
       settings.counter, loop_, [this](std::function<void()> task) { loop_.post(std::move(task)); });
@@ -70,7 +73,7 @@
 
 TokenCounts::~TokenCounts() { *alive_ = false; }
 
-counting::Counter::Prompt TokenCounts::promptOf(const routing::Request& request) {
+counting::Counter::Prompt TokenCounts::toPrompt(const routing::Request& request) {
   return {request.prompt, request.sharedPrefixBytes, request.session, request.specialTokens};
 }
 
@@ -79,33 +82,36 @@
     done(std::move(request));
     return 0;
   }
-  const Micros since = loop_.now();
-  auto prompt = promptOf(request);
-  // A count may take a tenth of the time that there is.
+  const Micros startedCounting = loop_.now();
+  auto prompt = toPrompt(request);
+  // Counting may take at most a tenth of the time that remains for the request.
   prompt.within = std::max<Micros>(1, request.remaining / 10);
-  const auto shared = std::make_shared<routing::Request>(std::move(request));
+  const auto sharedRequest = std::make_shared<routing::Request>(std::move(request));
   return counter_
-      ->count(std::move(prompt), book_.inUse(),
-              [this, shared, since, done = std::move(done)](const counting::PromptCounts& counts) {
+      ->count(std::move(prompt), versionBook_.inUse(),
+              [this, sharedRequest, startedCounting,
+               done = std::move(done)](const counting::PromptCounts& counts) {
                 if (counts.estimate != counting::Estimate::none)
                   log_.info("tokens-estimated", {{"cause", counting::name(counts.estimate)},
-                                                 {"octets", shared->prompt->size()},
+                                                 {"octets", sharedRequest->prompt->size()},
                                                  {"tokens", counts.main}});
-                routing::Request out = filled(std::move(*shared), counts);
-                out.remaining -= loop_.now() - since;
-                done(std::move(out));
+                routing::Request countedRequest = withCounts(std::move(*sharedRequest), counts);
+                countedRequest.remaining -= loop_.now() - startedCounting;
+                done(std::move(countedRequest));
               })
       .value;
 }
 
-routing::Request TokenCounts::filled(routing::Request request, const counting::PromptCounts& counts) const {
+routing::Request TokenCounts::withCounts(routing::Request request,
+                                         const counting::PromptCounts& counts) const {
   request.estimated = counts.exact.empty();
   request.promptTokens = counts.main;
   request.sharedPrefixTokens = request.sharedPrefixKey.empty() ? 0 : std::min(counts.mainShared, counts.main);
   request.counts.clear();
-  for (const auto& c : counts.exact)
+  for (const auto& versionCount : counts.exact)
     request.counts.push_back(
-        {c.number, c.prompt, request.sharedPrefixKey.empty() ? 0 : std::min(c.shared, c.prompt)});
+        {versionCount.number, versionCount.prompt,
+         request.sharedPrefixKey.empty() ? 0 : std::min(versionCount.shared, versionCount.prompt)});
   return request;
 }
 
@@ -113,134 +119,139 @@
   if (counter_) counter_->cancel({ticket});
 }
 
-// ---- versions ----
+// ---- tokeniser versions ----
 
-void TokenCounts::onList(const membership::EndpointMap& engines) {
+void TokenCounts::onEndpointList(const membership::EndpointMap& engines) {
   if (!counter_) return;
   const Micros now = loop_.now();
   std::set<EndpointId> present;
-  for (const auto& [name, e] : engines) {
-    present.insert(e.id);
-    std::optional<VersionName> told;
-    if (!e.tokeniser.empty()) told = VersionName{e.tokeniser, e.tokeniserVersion};
-    book_.listed(e.id, e.startedAt.sinceEpoch, told, now);
+  for (const auto& [name, engineSpec] : engines) {
+    present.insert(engineSpec.id);
+    std::optional<VersionName> reported;
+    if (!engineSpec.tokeniser.empty())
+      reported = VersionName{engineSpec.tokeniser, engineSpec.tokeniserVersion};
+    versionBook_.listed(engineSpec.id, engineSpec.startedAt.sinceEpoch, reported, now);
   }
-  for (const EndpointId id : listed_)
-    if (!present.contains(id)) book_.gone(id);
-  listed_.assign(present.begin(), present.end());
-  edition_ = book_.edition();
-  ask();
+  for (const EndpointId id : listedEndpoints_)
+    if (!present.contains(id)) versionBook_.gone(id);
+  listedEndpoints_.assign(present.begin(), present.end());
+  publishedEdition_ = versionBook_.edition();
+  queryVersions();
 }
 
-void TokenCounts::ask() {
+void TokenCounts::queryVersions() {
   const Micros now = loop_.now();
-  for (const EndpointId id : book_.toAsk(now)) {
+  for (const EndpointId id : versionBook_.toAsk(now)) {
     if (engines_.tokeniserPath().empty()) {
-      book_.cannotTell(id, now);
+      versionBook_.cannotTell(id, now);
       continue;
     }
     engines_.fetch(id, engines_.tokeniserPath(),
                    [this, id, alive = alive_](int status, const std::string& body) {
                      if (!*alive) return;
-                     const auto version = status == 200 ? versionIn(body) : std::nullopt;
+                     const auto version = status == 200 ? parseTokenizerInfo(body) : std::nullopt;
                      if (version)
-                       book_.told(id, *version, loop_.now());
+                       versionBook_.told(id, *version, loop_.now());
                      else if (status == 0 || status >= 500)
-                       book_.noAnswer(id, loop_.now());
+                       versionBook_.noAnswer(id, loop_.now());
                      else
-                       book_.cannotTell(id, loop_.now());
-                     look();
-                     ask();
+                       versionBook_.cannotTell(id, loop_.now());
+                     checkForVersionChange();
+                     queryVersions();
                    });
   }
-  if (const auto next = book_.nextAsk())
-    askAlarm_.start(std::max<Micros>(1000, *next - loop_.now()), [this] { ask(); });
-  look();
+  if (const auto next = versionBook_.nextAsk())
+    queryAlarm_.start(std::max<Micros>(1000, *next - loop_.now()), [this] { queryVersions(); });
+  checkForVersionChange();
 }
 
-void TokenCounts::look() {
-  if (edition_ == book_.edition()) return;
-  edition_ = book_.edition();
-  changed_();
-  recount();
+void TokenCounts::checkForVersionChange() {
+  if (publishedEdition_ == versionBook_.edition()) return;
+  publishedEdition_ = versionBook_.edition();
+  onVersionChange_();
+  recountPending();
 }
 
-// Requests that wait get the counts of tokenisers that came into use after they were counted.
-void TokenCounts::recount() {
-  std::vector<std::uint64_t> now;
-  const auto tokenisers = book_.inUse();
-  for (const auto& t : tokenisers) now.push_back(t.number);
-  std::sort(now.begin(), now.end());
-  const bool grew = !std::includes(inUse_.begin(), inUse_.end(), now.begin(), now.end());
-  inUse_ = std::move(now);
+// Recounts the waiting requests when a tokeniser comes into use after they were counted.
+void TokenCounts::recountPending() {
+  std::vector<std::uint64_t> numbers;
+  const auto tokenisers = versionBook_.inUse();
+  for (const auto& inUseTokeniser : tokenisers) numbers.push_back(inUseTokeniser.number);
+  std::sort(numbers.begin(), numbers.end());
+  const bool grew =
+      !std::includes(tokenisersInUse_.begin(), tokenisersInUse_.end(), numbers.begin(), numbers.end());
+  tokenisersInUse_ = std::move(numbers);
   if (!grew || router_ == nullptr) return;
   std::vector<std::pair<RequestId, routing::Request>> waiting;
   router_->forEachUnanswered([&](RequestId id, const routing::Request& request) {
     if (request.prompt) waiting.emplace_back(id, request);
   });
   for (auto& [id, request] : waiting)
-    counter_->count(promptOf(request), tokenisers,
+    counter_->count(toPrompt(request), tokenisers,
                     [this, id = id, request = request](const counting::PromptCounts& counts) {
                       if (!counts.exact.empty())
-                        router_->updateTokenCounts(id, filled(request, counts).counts);
+                        router_->updateTokenCounts(id, withCounts(request, counts).counts);
                     });
   if (!waiting.empty()) log_.info("recount", {{"requests", waiting.size()}});
 }
 
-void TokenCounts::fill(EndpointUpdate& list) const {
+void TokenCounts::addTokenisers(EndpointUpdate& update) const {
   if (!counter_) return;
-  for (auto& e : list.entries) {
-    const auto basis = book_.basis(e.id);
-    e.tokeniser = basis.number;
-    e.promptFactor = basis.factor;
+  for (auto& entry : update.entries) {
+    const auto basis = versionBook_.basis(entry.id);
+    entry.tokeniser = basis.number;
+    entry.promptFactor = basis.factor;
   }
 }
 
-void TokenCounts::onPromptRead(EndpointId server, const routing::Request& request, double tokens) {
+void TokenCounts::onPromptRead(EndpointId endpointId, const routing::Request& request, double tokens) {
   if (!counter_ || !request.prompt) return;
-  const std::uint64_t number = book_.basis(server).number;
+  const std::uint64_t number = versionBook_.basis(endpointId).number;
   std::optional<double> exact;
-  for (const auto& c : request.counts)
-    if (c.tokeniser == number) exact = c.promptTokens;
-  if (book_.read(server, request.promptTokens, exact, number, tokens))
+  for (const auto& versionCount : request.counts)
+    if (versionCount.tokeniser == number) exact = versionCount.promptTokens;
+  if (versionBook_.read(endpointId, request.promptTokens, exact, number, tokens))
     log_.warn("tokeniser-doubted",
-              {{"engine", server.value}, {"counted", exact.value_or(0)}, {"told", tokens}});
-  // The router is in the middle of an event; what it is told of this comes in the next turn.
-  if (edition_ != book_.edition())
+              {{"engine", endpointId.value}, {"counted", exact.value_or(0)}, {"told", tokens}});
+  // The router is still processing an event, so the change is published in the next iteration of the loop.
+  if (publishedEdition_ != versionBook_.edition())
     loop_.post([this, alive = alive_] {
-      if (*alive) look();
+      if (*alive) checkForVersionChange();
     });
 }
 
 void TokenCounts::reload(const std::vector<TokeniserFile>& files) {
   if (!counter_) return;
-  for (const auto& f : files) {
-    const auto job = std::make_shared<Loading>(f);
-    const auto taken = counter_->workers().submit(
+  for (const auto& tokeniserFile : files) {
+    const auto job = std::make_shared<LoadJob>(tokeniserFile);
+    const auto submitted = counter_->workers().submit(
         scheduler::Level::background, 1, job, [this, job](std::exception_ptr error) {
           if (error) {
             log_.warn("tokeniser",
-                      {{"version", counting::text(job->file.version)}, {"error", reason(error)}});
+                      {{"version", counting::text(job->file.version)}, {"error", errorText(error)}});
             return;
           }
-          book_.load(job->file.version, job->tokeniser);
+          versionBook_.load(job->file.version, job->tokeniser);
           log_.info("tokeniser", {{"version", counting::text(job->file.version)}, {"file", job->file.path}});
-          look();
+          checkForVersionChange();
         });
-    if (!taken)
-      log_.warn("tokeniser", {{"file", f.path}, {"error", "too much background work waits; reload again"}});
+    if (!submitted)
+      log_.warn("tokeniser",
+                {{"file", tokeniserFile.path}, {"error", "the background queue is full; reload again"}});
   }
 }
 
 std::string TokenCounts::summary() const {
   if (!counter_) return {};
-  const auto& c = counter_->counters();
-  return "prompts counted " + std::to_string(c.prompts) + ", remembered " + std::to_string(c.remembered) +
-         ", on workers " + std::to_string(c.onWorkers) + ", estimated " +
-         std::to_string(c.estimatedFull + c.estimatedLate + c.estimatedFailed) + " (queue full " +
-         std::to_string(c.estimatedFull) + ", late " + std::to_string(c.estimatedLate) + ", failed " +
-         std::to_string(c.estimatedFailed) + "); octets encoded " + std::to_string(c.bytesEncoded) + " of " +
-         std::to_string(c.bytes) + "; engines by estimate " + std::to_string(book_.estimated());
+  const auto& totals = counter_->counters();
+  return "prompts counted " + std::to_string(totals.prompts) + ", remembered " +
+         std::to_string(totals.remembered) + ", on workers " + std::to_string(totals.onWorkers) +
+         ", estimated " +
+         std::to_string(totals.estimatedFull + totals.estimatedLate + totals.estimatedFailed) +
+         " (queue full " + std::to_string(totals.estimatedFull) + ", late " +
+         std::to_string(totals.estimatedLate) + ", failed " + std::to_string(totals.estimatedFailed) +
+         "); octets encoded " + std::to_string(totals.bytesEncoded) + " of " + std::to_string(totals.bytes) +
+         "; engines by estimate " + std::to_string(versionBook_.estimated());
 }
 
 }  // namespace garnethook::server
--- a/src/server/token_counts.h
+++ b/src/server/token_counts.h
@@ -1,6 +1,6 @@
-// Exact token counts for the front and the decision module: tokenisers by version, engines asked for theirs,
-// prompts counted before they are taken, counts told anew when versions change. What is decided stands in
-// counting/.
+/// Exact token counts for incoming requests and the routing policy. Loads tokenisers by version, queries
+/// engines for their tokeniser, counts prompts before they are accepted, and publishes new counts when
+/// versions change. The rules for versions and counts are in counting/.
 #pragma once
 
 #include <functional>
@@ -19,62 +19,73 @@
 
 namespace garnethook::server {
 
+/// A configured tokeniser file.
 struct TokeniserFile {
-  counting::VersionName version;
-  std::string path;
-  tokeniser::FileOptions options;
+  counting::VersionName version;   ///< name and version, as the engines report them
+  std::string path;                ///< the file
+  tokeniser::FileOptions options;  ///< its format
 };
 
+/// Sections `tokenisers` and `counting`.
 struct CountingSettings {
-  std::vector<TokeniserFile> files;  // none: prompts are estimated by their characters
-  counting::VersionBook::Options versions;
-  counting::CounterOptions counter;
+  std::vector<TokeniserFile> files;  ///< none: token counts are estimated from the number of characters
+  counting::VersionBook::Options versions;  ///< queries for the engines' tokenisers
+  counting::CounterOptions counter;         ///< workers, caches and time limits
 };
 
-class TokenCounts final : public grpc_frontend::PromptCounting {
+/// Counts the tokens of prompts. Runs on the loop's thread; long texts are encoded on worker threads.
+class TokenCounts final : public grpc_frontend::PromptTokenCounter {
  public:
-  // Loads the files; throws tokeniser::FileError. `changed` is called when what engines() tells may have
-  // changed.
+  /// Loads the tokeniser files; throws tokeniser::FileError.
+  /// @param onVersionChange called when addTokenisers() may return different values than before
   TokenCounts(net::Loop& loop, const CountingSettings& settings, engine::HttpEngineClient& engines,
-              log::Log& log, std::function<void()> changed);
+              log::Log& log, std::function<void()> onVersionChange);
   ~TokenCounts() override;
-  // Before the first call of any other.
+  /// Must be called before any other member function.
   void setRouter(routing::Router& router) { router_ = &router; }
 
   std::uint64_t count(routing::Request request, Done done) override;
   void cancel(std::uint64_t ticket) override;
 
-  void onList(const membership::EndpointMap& engines);
-  // Puts each server's tokeniser and factor into the list for the module.
-  void fill(EndpointUpdate& list) const;
-  void onPromptRead(EndpointId server, const routing::Request& request, double tokens);
-  // Loads files again, in the background; each is taken whole or not at all.
+  /// Registers the engines of a new endpoint list and forgets those that are no longer in it.
+  void onEndpointList(const membership::EndpointMap& engines);
+  /// Sets the tokeniser and the prompt factor of each endpoint in an update for the routing policy.
+  void addTokenisers(EndpointUpdate& update) const;
+  /// Processes the number of prompt tokens that an engine reported: checks its tokeniser against the
+  /// router's count and updates its prompt factor.
+  void onPromptRead(EndpointId endpointId, const routing::Request& request, double tokens);
+  /// Reloads tokeniser files in the background. A file that fails to load leaves its tokeniser unchanged.
   void reload(const std::vector<TokeniserFile>& files);
 
+  /// Number of prompts that are being counted.
   std::size_t open() const { return counter_ ? counter_->open() : 0; }
-  bool on() const { return counter_ != nullptr; }
-  const counting::VersionBook& versions() const { return book_; }
+  /// Whether tokenisers are configured.
+  bool isEnabled() const { return counter_ != nullptr; }
+  /// Tokeniser versions by engine.
+  const counting::VersionBook& versions() const { return versionBook_; }
+  /// The counter; nullptr where no tokenisers are configured.
   const counting::Counter* counter() const { return counter_.get(); }
+  /// Counters for the log.
   std::string summary() const;
 
  private:
-  void ask();
-  void look();
-  void recount();
-  routing::Request filled(routing::Request request, const counting::PromptCounts& counts) const;
-  static counting::Counter::Prompt promptOf(const routing::Request& request);
+  void queryVersions();
+  void checkForVersionChange();
+  void recountPending();
+  routing::Request withCounts(routing::Request request, const counting::PromptCounts& counts) const;
+  static counting::Counter::Prompt toPrompt(const routing::Request& request);
 
   net::Loop& loop_;
   engine::HttpEngineClient& engines_;
   log::Log& log_;
-  std::function<void()> changed_;
+  std::function<void()> onVersionChange_;
   routing::Router* router_ = nullptr;
-  counting::VersionBook book_;
-  std::uint64_t edition_ = 0;
-  std::vector<std::uint64_t> inUse_;
-  std::vector<EndpointId> listed_;
+  counting::VersionBook versionBook_;
+  std::uint64_t publishedEdition_ = 0;          // edition of versionBook_ that was last published
+  std::vector<std::uint64_t> tokenisersInUse_;  // sorted
+  std::vector<EndpointId> listedEndpoints_;
   bool asks_ = true;
-  timing::Alarm askAlarm_;
+  timing::Alarm queryAlarm_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::unique_ptr<counting::Counter> counter_;
 };
