--- a/src/engine/connection.cpp
+++ b/src/engine/connection.cpp
@@ -70,7 +70,7 @@
   if (exchange_ && !isValid) return fail(Outcome::error, "bad HTTP: " + std::string(parser_.error()));
   if (!std::exchange(isExchangeOver_, false)) return;
   // The rest of a request that was answered early would come before the next one.
-  finish(isValid && keepAlive_ && !parser_.midway() && stream_->pending() == 0);
+  finish(isValid && keepAlive_ && !parser_.hasPartialInput() && stream_->pending() == 0);
 }
 
 void Connection::onClosed(CloseCause cause) {
--- a/src/engine/connection.h
+++ b/src/engine/connection.h
@@ -55,7 +55,7 @@
   /// The connection stays open without an exchange, and ends itself after the idle timeout.
   void parkIdle();
   /// Whether the idle connection may carry an exchange: unsolicited bytes would be taken for the response.
-  bool isReusable() const { return !parser_.midway() && stream_->quiet(); }
+  bool isReusable() const { return !parser_.hasPartialInput() && stream_->quiet(); }
   /// Whose connection it is.
   EndpointId endpoint() const { return endpoint_; }
   /// How far the request has got.
--- a/src/grpc/message.h
+++ b/src/grpc/message.h
@@ -54,7 +54,7 @@
   // message beyond the bound, unimplemented for a compressed one (only identity is announced), internal for a
   // flag that the specification does not know.
   Status receive(std::string_view bytes, const Handler& handler);
-  bool midway() const { return !buffer_.empty(); }
+  bool hasPartialInput() const { return !buffer_.empty(); }
   std::size_t held() const { return buffer_.capacity(); }
 
  private:
--- a/src/grpc_frontend/grpc_server.cpp
+++ b/src/grpc_frontend/grpc_server.cpp
@@ -183,7 +183,7 @@
     const auto at = calls_.find(id);
     if (at == calls_.end() || at->second->finished || std::exchange(at->second->requestEnded, true)) return;
     Slot& s = *at->second;
-    if (s.reader.midway())
+    if (s.reader.hasPartialInput())
       return s.finish({grpc::Code::internal, "the request was cut inside a message", {}}, {}, false);
     s.call->onRequestEnd();
   }
--- a/src/http1/event_stream.h
+++ b/src/http1/event_stream.h
@@ -24,8 +24,8 @@
   bool receive(std::string_view bytes);
   // An event without the empty line that ends it is dropped, as the standard says.
   // The stream ends in the middle of an event's lines; an unfinished comment is none.
-  bool cutShort() const { return hasData_ || (!line_.empty() && line_.front() != ':'); }
-  bool midway() const { return !line_.empty() || !event_.data.empty() || hasData_; }
+  bool endedMidEvent() const { return hasData_ || (!line_.empty() && line_.front() != ':'); }
+  bool hasPartialInput() const { return !line_.empty() || !event_.data.empty() || hasData_; }
 
  private:
   void line();
--- a/src/http1/message.cpp
+++ b/src/http1/message.cpp
@@ -46,7 +46,7 @@
   return std::nullopt;
 }
 
-bool listHas(std::string_view list, std::string_view member) {
+bool listContains(std::string_view list, std::string_view member) {
   const auto all = members(list);
   return std::find(all.begin(), all.end(), member) != all.end();
 }
@@ -110,7 +110,7 @@
       case State::chunkSize:
       case State::chunkEnd: {
         bool whole = false;
-        if (!takeLine(in, limits_.chunkLine, whole)) return fail("chunk line too long");
+        if (!takeLine(in, limits_.chunkLineBytes, whole)) return fail("chunk line too long");
         untaken_ = in.size();
         if (!whole) return true;
         if (state_ == State::chunkEnd) {
@@ -254,7 +254,7 @@
     finish();
     return true;
   }
-  return !midway() || fail("closed in the middle of a message");
+  return !hasPartialInput() || fail("closed in the middle of a message");
 }
 
 }  // namespace garnethook::http1
--- a/src/http1/message.h
+++ b/src/http1/message.h
@@ -18,7 +18,7 @@
 using Fields = std::vector<Field>;
 std::optional<std::string_view> find(const Fields& fields, std::string_view name);
 // Whether a comma list names `member`, which is in lower case.
-bool listHas(std::string_view list, std::string_view member);
+bool listContains(std::string_view list, std::string_view member);
 
 struct Head {
   std::string method;  // requests
@@ -31,7 +31,7 @@
 struct MessageLimits {
   std::size_t headBytes = std::size_t{16} * 1024;  // start line and fields
   std::size_t bodyBytes = std::size_t{16} << 20;   // body without chunk framing
-  std::size_t chunkLine = 256;                     // chunk size with extensions
+  std::size_t chunkLineBytes = 256;                // chunk size with extensions
 };
 
 class MessageEvents {
@@ -57,10 +57,10 @@
   void stop() { stopped_ = true; }
   // Bytes at the end of the last piece that were not taken, as stop() came before them. Within onEnd():
   // those behind the message.
-  std::size_t untaken() const { return untaken_; }
+  std::size_t unconsumed() const { return untaken_; }
   void resume() { stopped_ = false; }
   // Whether bytes of an unfinished message were taken.
-  bool midway() const { return state_ != State::start || !line_.empty(); }
+  bool hasPartialInput() const { return state_ != State::start || !line_.empty(); }
   // A response to HEAD has no body (RFC 9112 section 6.3).
   void expectNoBody() { noBody_ = true; }
   std::string_view error() const { return error_; }
--- a/src/platform/engine/relay_exchange.cpp
+++ b/src/platform/engine/relay_exchange.cpp
@@ -98,7 +98,8 @@
 
 void RelayExchange::finishStream() {
   if (eventCount_ == 0) return finish(Outcome::error, "a stream without events");
-  if (!hasFraming_ || parser_.cutShort()) return finish(Outcome::connectionReset, "the stream was cut short");
+  if (!hasFraming_ || parser_.endedMidEvent())
+    return finish(Outcome::connectionReset, "the stream was cut short");
   finish(Outcome::completed, {});
 }
 
--- a/src/platform/http_frontend/http_connection.cpp
+++ b/src/platform/http_frontend/http_connection.cpp
@@ -17,7 +17,7 @@
 constexpr int kRequestsPerTurn = 16;
 
 http1::MessageLimits messageLimits() {
-  return {.headBytes = std::size_t{16} * 1024, .bodyBytes = RequestLimits().bodyBytes, .chunkLine = 256};
+  return {.headBytes = std::size_t{16} * 1024, .bodyBytes = RequestLimits().bodyBytes, .chunkLineBytes = 256};
 }
 
 int statusOfParseError(std::string_view error) {
@@ -43,7 +43,7 @@
 }
 
 Activity HttpFrontend::Connection::activity() const {
-  if (isRequestOpen_ || state_ != State::open || parser_.midway() || !pipelinedInput_.empty())
+  if (isRequestOpen_ || state_ != State::open || parser_.hasPartialInput() || !pipelinedInput_.empty())
     return Activity::busy;
   return hasResponded_ ? Activity::idle : Activity::unused;
 }
@@ -77,19 +77,19 @@
 
 // Returns how many bytes were parsed: all of them, or those up to the end of a request.
 std::size_t HttpFrontend::Connection::parseInput(std::string_view bytes, Micros arrivedAt) {
-  if (hasResponded_ && !parser_.midway()) startRequestTimer();  // the first byte of another request
+  if (hasResponded_ && !parser_.hasPartialInput()) startRequestTimer();  // the first byte of another request
   inputArrivedAt_ = arrivedAt;
   parser_.resume();
   isParsing_ = true;
   const bool isValid = parser_.receive(bytes);
   isParsing_ = false;
   if (state_ == State::open && !isValid) reject(statusOfParseError(parser_.error()), parser_.error());
-  return state_ == State::open ? bytes.size() - parser_.untaken() : bytes.size();
+  return state_ == State::open ? bytes.size() - parser_.unconsumed() : bytes.size();
 }
 
 // Whether more was received behind the request that has just been parsed, or is being answered.
 bool HttpFrontend::Connection::hasMoreInput() const {
-  return !pipelinedInput_.empty() || (isParsing_ && parser_.untaken() > 0);
+  return !pipelinedInput_.empty() || (isParsing_ && parser_.unconsumed() > 0);
 }
 
 void HttpFrontend::Connection::postServeNextRequest() {
@@ -215,7 +215,7 @@
   if (!stream_.quiet() && !std::exchange(timeoutRechecked_, true))
     return timer_.start(kTimeoutRecheckDelay, [this] { onRequestTimeout(); });
   ++owner_.counters_.timedOut;
-  if (!parser_.midway()) return lingeringClose(Inbound::leave, CloseReason::requestTimeout);
+  if (!parser_.hasPartialInput()) return lingeringClose(Inbound::leave, CloseReason::requestTimeout);
   reject(408, "the request did not come whole in time");
 }
 
--- a/src/platform/http_frontend/request_decoder.cpp
+++ b/src/platform/http_frontend/request_decoder.cpp
@@ -158,7 +158,7 @@
 std::string forwardedFields(const http1::Fields& fields) {
   const auto namedByConnection = [&](std::string_view name) {
     return std::any_of(fields.begin(), fields.end(), [&](const auto& field) {
-      return field.name == "connection" && http1::listHas(field.value, name);
+      return field.name == "connection" && http1::listContains(field.value, name);
     });
   };
   std::string out;
--- a/src/platform/process/router_options.cpp
+++ b/src/platform/process/router_options.cpp
@@ -41,8 +41,9 @@
   options.connections = budget.attemptConnections;
   options.allConnections = budget.attemptConnections;
   options.controlConnections = budget.controlConnections;
-  options.message = {
-      .headBytes = kMaxEngineHeadBytes, .bodyBytes = kMaxEngineBodyBytes, .chunkLine = kMaxChunkLineBytes};
+  options.message = {.headBytes = kMaxEngineHeadBytes,
+                     .bodyBytes = kMaxEngineBodyBytes,
+                     .chunkLineBytes = kMaxChunkLineBytes};
   return options;
 }
 
--- a/tests/grpc_message_test.cpp
+++ b/tests/grpc_message_test.cpp
@@ -19,7 +19,7 @@
               .code,
           Code::ok);
     EXPECT_EQ(got, (std::vector<std::string>{"hello", "", std::string(1000, 'x')}));
-    EXPECT_FALSE(reader.midway());
+    EXPECT_FALSE(reader.hasPartialInput());
   }
 }
 
--- a/tests/http1_test.cpp
+++ b/tests/http1_test.cpp
@@ -43,7 +43,7 @@
     EXPECT_EQ(find(p.log.heads[0].fields, "x-a"), "b");
     EXPECT_TRUE(p.log.heads[0].keepAlive);
     EXPECT_FALSE(p.log.heads[1].keepAlive);
-    EXPECT_FALSE(p.parser.midway());
+    EXPECT_FALSE(p.parser.hasPartialInput());
   }
 }
 
@@ -112,7 +112,7 @@
     EXPECT_EQ(events[0].data, "a\nb");
     EXPECT_EQ(events[1].type, "e");
     EXPECT_EQ(events[2].data, "");
-    EXPECT_TRUE(parser.midway());
+    EXPECT_TRUE(parser.hasPartialInput());
   }
 }
 
