--- a/src/http1/event_stream.cpp
+++ b/src/http1/event_stream.cpp
@@ -4,37 +4,37 @@
 
 namespace garnethook::http1 {
 
-bool EventStreamParser::receive(std::string_view in) {
-  while (!in.empty() && !failed_) {
-    if (std::exchange(afterCr_, false) && in.front() == '\n') {
-      in.remove_prefix(1);
+bool EventStreamParser::receive(std::string_view bytes) {
+  while (!bytes.empty() && !hasFailed_) {
+    if (std::exchange(previousWasCr_, false) && bytes.front() == '\n') {
+      bytes.remove_prefix(1);
       continue;
     }
-    const auto end = in.find_first_of("\r\n");
-    const auto part = in.substr(0, end);
-    if (line_.size() + event_.data.size() + part.size() > most_) failed_ = true;
-    if (failed_) break;
-    line_.append(part);
-    if (end == std::string_view::npos) break;
-    afterCr_ = in[end] == '\r';
-    in.remove_prefix(end + 1);
-    line();
+    const auto lineEnd = bytes.find_first_of("\r\n");
+    const auto segment = bytes.substr(0, lineEnd);
+    if (line_.size() + event_.data.size() + segment.size() > maxEventBytes_) hasFailed_ = true;
+    if (hasFailed_) break;
+    line_.append(segment);
+    if (lineEnd == std::string_view::npos) break;
+    previousWasCr_ = bytes[lineEnd] == '\r';
+    bytes.remove_prefix(lineEnd + 1);
+    processLine();
   }
-  return !failed_;
+  return !hasFailed_;
 }
 
-void EventStreamParser::line() {
-  std::string_view text = line_;
-  if (std::exchange(first_, false) && text.starts_with("\xef\xbb\xbf")) text.remove_prefix(3);
-  if (text.empty()) {
+void EventStreamParser::processLine() {
+  std::string_view line = line_;
+  if (std::exchange(isFirstLine_, false) && line.starts_with("\xef\xbb\xbf")) line.remove_prefix(3);
+  if (line.empty()) {
     const Event event = std::exchange(event_, {});
     if (std::exchange(hasData_, false)) handler_(event);
-  } else if (text.front() == ':') {
-    if (comment_) comment_(text.substr(1));
+  } else if (line.front() == ':') {
+    if (commentHandler_) commentHandler_(line.substr(1));
   } else {
-    const auto colon = text.find(':');
-    const auto name = text.substr(0, colon);
-    auto value = colon == std::string_view::npos ? std::string_view() : text.substr(colon + 1);
+    const auto colon = line.find(':');
+    const auto name = line.substr(0, colon);
+    auto value = colon == std::string_view::npos ? std::string_view() : line.substr(colon + 1);
     if (value.starts_with(' ')) value.remove_prefix(1);
     if (name == "data") {
       if (hasData_) event_.data.push_back('\n');
--- a/src/http1/event_stream.h
+++ b/src/http1/event_stream.h
@@ -1,4 +1,4 @@
-// Server-sent events (HTML Living Standard, section 9.2), parsed piece by piece. Free of I/O.
+// Incremental parser for server-sent events (HTML Living Standard, section 9.2). Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,33 +11,37 @@
 class EventStreamParser {
  public:
   struct Event {
-    std::string type;  // empty: "message"
+    std::string type;  // empty means "message"
     std::string data;
   };
   using Handler = std::function<void(const Event&)>;
-  // `most`: bytes of one event, its unfinished line included.
-  EventStreamParser(std::size_t most, Handler handler) : most_(most), handler_(std::move(handler)) {}
+  // `maxEventBytes` bounds the size of one event, including its incomplete last line.
+  EventStreamParser(std::size_t maxEventBytes, Handler handler)
+      : maxEventBytes_(maxEventBytes), handler_(std::move(handler)) {}
 
-  // Comment lines, without their colon; passed over where nobody listens.
-  void onComment(std::function<void(std::string_view)> handler) { comment_ = std::move(handler); }
-  // False: an event went beyond the bound; nothing more is taken.
+  // Sets the handler for comment lines, passed without their leading colon. Without a handler, comments are
+  // ignored.
+  void onComment(std::function<void(std::string_view)> handler) { commentHandler_ = std::move(handler); }
+  // Parses the next bytes of the stream. Returns false once an event has exceeded the size limit; all further
+  // input is then ignored.
   bool receive(std::string_view bytes);
-  // An event without the empty line that ends it is dropped, as the standard says.
-  // The stream ends in the middle of an event's lines; an unfinished comment is none.
+  // Whether the stream, if it ends here, ends inside an event; an incomplete comment line does not count. An
+  // event without its terminating empty line is dropped, as the standard requires.
   bool endedMidEvent() const { return hasData_ || (!line_.empty() && line_.front() != ':'); }
+  // Whether an incomplete line or event is buffered.
   bool hasPartialInput() const { return !line_.empty() || !event_.data.empty() || hasData_; }
 
  private:
-  void line();
-  std::size_t most_;
+  void processLine();
+  std::size_t maxEventBytes_;
   Handler handler_;
-  std::function<void(std::string_view)> comment_;
+  std::function<void(std::string_view)> commentHandler_;
   std::string line_;
   Event event_;
   bool hasData_ = false;
-  bool afterCr_ = false;
-  bool first_ = true;
-  bool failed_ = false;
+  bool previousWasCr_ = false;
+  bool isFirstLine_ = true;
+  bool hasFailed_ = false;
 };
 
 }  // namespace garnethook::http1
--- a/src/http1/message.h
+++ b/src/http1/message.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages (RFC 9112), requests or responses, parsed piece by piece. Free of I/O.
+// Incremental parser for HTTP/1.1 requests and responses (RFC 9112). Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +12,27 @@
 namespace garnethook::http1 {
 
 struct Field {
-  std::string name;  // in lower case
+  std::string name;  // lower case
   std::string value;
 };
 using Fields = std::vector<Field>;
+// Returns the value of the first field called `name` (lower case), or nullopt.
 std::optional<std::string_view> find(const Fields& fields, std::string_view name);
-// Whether a comma list names `member`, which is in lower case.
+// Whether a comma-separated list contains `member` (lower case).
 bool listContains(std::string_view list, std::string_view member);
 
 struct Head {
-  std::string method;  // requests
+  std::string method;  // requests only, as is `target`
   std::string target;
-  int status = 0;  // responses
+  int status = 0;  // responses only
   Fields fields;
-  bool keepAlive = true;  // by version and Connection (RFC 9112 section 9.3)
+  bool keepAlive = true;  // from the HTTP version and Connection (RFC 9112 section 9.3)
 };
 
 struct MessageLimits {
-  std::size_t headBytes = std::size_t{16} * 1024;  // start line and fields
-  std::size_t bodyBytes = std::size_t{16} << 20;   // body without chunk framing
-  std::size_t chunkLineBytes = 256;                // chunk size with extensions
+  std::size_t headBytes = std::size_t{16} * 1024;  // start line and fields together
+  std::size_t bodyBytes = std::size_t{16} << 20;   // body, excluding chunk framing
+  std::size_t chunkLineBytes = 256;                // chunk-size line including extensions
 };
 
 class MessageEvents {
@@ -39,7 +40,7 @@
   virtual ~MessageEvents() = default;
   virtual void onHead(const Head& head) = 0;
   virtual void onBody(std::string_view bytes) = 0;
-  // The message is whole. The parser is ready for the next one.
+  // The message is complete and the parser is ready for the next one.
   virtual void onEnd() = 0;
 };
 
@@ -49,32 +50,34 @@
   MessageParser(Kind kind, const MessageLimits& limits, MessageEvents& events)
       : kind_(kind), limits_(limits), events_(events) {}
 
-  // Takes bytes. False: the peer broke the protocol or a limit, error() says how; nothing more is taken.
-  // An event handler may call stop(); what follows is then left alone.
+  // Parses the next bytes. Returns false if the peer violated the protocol or exceeded a limit: error() gives
+  // the reason and all further input is ignored. An event handler may call stop(); the bytes after that point
+  // are then left unconsumed.
   bool receive(std::string_view bytes);
-  // The peer closed its side. False where a message was cut short; true ends a body that lasts until then.
+  // Reports that the peer closed its side. Returns false if this truncates a message. A body delimited by the
+  // close ends here.
   bool close();
-  void stop() { stopped_ = true; }
-  // Bytes at the end of the last piece that were not taken, as stop() came before them. Within onEnd():
-  // those behind the message.
-  std::size_t unconsumed() const { return untaken_; }
-  void resume() { stopped_ = false; }
-  // Whether bytes of an unfinished message were taken.
+  void stop() { isStopped_ = true; }
+  // Number of bytes at the end of the last receive() input that were not consumed because of stop(). Within
+  // onEnd(): the number of bytes after the message.
+  std::size_t unconsumed() const { return unconsumed_; }
+  void resume() { isStopped_ = false; }
+  // Whether part of an incomplete message has been consumed.
   bool hasPartialInput() const { return state_ != State::start || !line_.empty(); }
-  // A response to HEAD has no body (RFC 9112 section 6.3).
-  void expectNoBody() { noBody_ = true; }
+  // The next response has no body, as for HEAD requests (RFC 9112 section 6.3).
+  void expectNoBody() { expectsNoBody_ = true; }
   std::string_view error() const { return error_; }
 
  private:
   enum class State { start, fields, body, untilClose, chunkSize, chunkData, chunkEnd, trailers, failed };
   bool fail(std::string_view text);
-  bool takeLine(std::string_view& in, std::size_t most, bool& whole);
-  bool startLine();
-  bool fieldLine();
-  bool headEnd();
-  bool chunkSizeLine();
+  bool readLine(std::string_view& input, std::size_t maxBytes, bool& isComplete);
+  bool parseStartLine();
+  bool parseFieldLine();
+  bool finishHead();
+  bool parseChunkSizeLine();
   bool deliver(std::string_view bytes);
-  void finish();
+  void finishMessage();
 
   Kind kind_;
   MessageLimits limits_;
@@ -82,13 +85,13 @@
   State state_ = State::start;
   Head head_;
   std::string line_;
-  std::size_t headSeen_ = 0;
-  std::size_t bodySeen_ = 0;
-  std::uint64_t left_ = 0;
-  bool http10_ = false;
-  bool noBody_ = false;
-  bool stopped_ = false;
-  std::size_t untaken_ = 0;
+  std::size_t headBytesRead_ = 0;
+  std::size_t bodyBytesRead_ = 0;
+  std::uint64_t bytesRemaining_ = 0;
+  bool isHttp10_ = false;
+  bool expectsNoBody_ = false;
+  bool isStopped_ = false;
+  std::size_t unconsumed_ = 0;
   std::string error_;
 };
 
--- a/tests/http1_test.cpp
+++ b/tests/http1_test.cpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages and server-sent events, whole and byte by byte.
+// Parses HTTP/1.1 messages and server-sent events, both in one piece and byte by byte.
 #include <gtest/gtest.h>
 
 #include "http1/event_stream.h"
@@ -7,8 +7,8 @@
 namespace garnethook::http1 {
 namespace {
 
-struct Log final : MessageEvents {
-  void onHead(const Head& h) override { heads.push_back(h); }
+struct EventRecorder final : MessageEvents {
+  void onHead(const Head& receivedHead) override { heads.push_back(receivedHead); }
   void onBody(std::string_view bytes) override { body.append(bytes); }
   void onEnd() override { ++ends; }
   std::vector<Head> heads;
@@ -17,53 +17,54 @@
 };
 
 struct Parsed {
-  Parsed(MessageParser::Kind kind, std::string_view text, bool piecemeal, MessageLimits limits = {})
-      : parser(kind, limits, log) {
-    good = true;
-    if (!piecemeal)
-      good = parser.receive(text);
+  Parsed(MessageParser::Kind kind, std::string_view text, bool bytewise, MessageLimits limits = {})
+      : parser(kind, limits, recorder) {
+    isValid = true;
+    if (!bytewise)
+      isValid = parser.receive(text);
     else
-      for (std::size_t i = 0; i < text.size() && good; ++i) good = parser.receive(text.substr(i, 1));
+      for (std::size_t index = 0; index < text.size() && isValid; ++index)
+        isValid = parser.receive(text.substr(index, 1));
   }
-  Log log;
+  EventRecorder recorder;
   MessageParser parser;
-  bool good;
+  bool isValid;
 };
 
-TEST(Http1, TakesResponsesWholeAndInPieces) {
+TEST(Http1, ParsesResponsesInOnePieceAndBytewise) {
   const std::string text =
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-A:  b \r\n\r\nhello"
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: "
       "close\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nt: v\r\n\r\n";
-  for (const bool piecemeal : {false, true}) {
-    Parsed p(MessageParser::Kind::response, text, piecemeal);
-    ASSERT_TRUE(p.good) << p.parser.error();
-    EXPECT_EQ(p.log.ends, 2);
-    EXPECT_EQ(p.log.body, "helloabcde");
-    EXPECT_EQ(find(p.log.heads[0].fields, "x-a"), "b");
-    EXPECT_TRUE(p.log.heads[0].keepAlive);
-    EXPECT_FALSE(p.log.heads[1].keepAlive);
-    EXPECT_FALSE(p.parser.hasPartialInput());
+  for (const bool bytewise : {false, true}) {
+    Parsed parsed(MessageParser::Kind::response, text, bytewise);
+    ASSERT_TRUE(parsed.isValid) << parsed.parser.error();
+    EXPECT_EQ(parsed.recorder.ends, 2);
+    EXPECT_EQ(parsed.recorder.body, "helloabcde");
+    EXPECT_EQ(find(parsed.recorder.heads[0].fields, "x-a"), "b");
+    EXPECT_TRUE(parsed.recorder.heads[0].keepAlive);
+    EXPECT_FALSE(parsed.recorder.heads[1].keepAlive);
+    EXPECT_FALSE(parsed.parser.hasPartialInput());
   }
 }
 
-TEST(Http1, ABodyWithoutLengthLastsUntilTheClose) {
-  Parsed p(MessageParser::Kind::response, "HTTP/1.0 200 OK\r\n\r\nabc", false);
-  EXPECT_EQ(p.log.ends, 0);
-  EXPECT_TRUE(p.parser.close());
-  EXPECT_EQ(p.log.ends, 1);
+TEST(Http1, BodyWithoutLengthEndsWhenTheConnectionCloses) {
+  Parsed parsed(MessageParser::Kind::response, "HTTP/1.0 200 OK\r\n\r\nabc", false);
+  EXPECT_EQ(parsed.recorder.ends, 0);
+  EXPECT_TRUE(parsed.parser.close());
+  EXPECT_EQ(parsed.recorder.ends, 1);
 }
 
-TEST(Http1, ACloseInsideAMessageIsTold) {
+TEST(Http1, CloseInsideAMessageIsAnError) {
   for (const char* text : {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel",
                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab", "HTTP/1.1 2"}) {
-    Parsed p(MessageParser::Kind::response, text, false);
-    EXPECT_TRUE(p.good);
-    EXPECT_FALSE(p.parser.close());
+    Parsed parsed(MessageParser::Kind::response, text, false);
+    EXPECT_TRUE(parsed.isValid);
+    EXPECT_FALSE(parsed.parser.close());
   }
 }
 
-TEST(Http1, RefusesWhatIsMalformedOrAmbiguous) {
+TEST(Http1, RejectsMalformedAndAmbiguousMessages) {
   for (const char* text :
        {"HTTP/2 200 OK\r\n", "HTTP/1.1 99999 X\r\n", "HTTP/1.1 20 OK\r\n", "ICY 200 OK\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n",
@@ -73,41 +74,41 @@
         "HTTP/1.1 200 OK\r\nno colon\r\n\r\n", "HTTP/1.1 200 OK\r\na b: c\r\n\r\n",
         "HTTP/1.1 200 OK\r\na: \x01\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n"})
-    for (const bool piecemeal : {false, true}) {
-      Parsed p(MessageParser::Kind::response, text, piecemeal);
-      EXPECT_FALSE(p.good) << text;
-      EXPECT_FALSE(p.parser.error().empty());
+    for (const bool bytewise : {false, true}) {
+      Parsed parsed(MessageParser::Kind::response, text, bytewise);
+      EXPECT_FALSE(parsed.isValid) << text;
+      EXPECT_FALSE(parsed.parser.error().empty());
     }
-  EXPECT_FALSE(Parsed(MessageParser::Kind::request, "GET  / HTTP/1.1\r\n", false).good);
-  EXPECT_FALSE(Parsed(MessageParser::Kind::request, "GET / HTTP/3.0\r\n", false).good);
+  EXPECT_FALSE(Parsed(MessageParser::Kind::request, "GET  / HTTP/1.1\r\n", false).isValid);
+  EXPECT_FALSE(Parsed(MessageParser::Kind::request, "GET / HTTP/3.0\r\n", false).isValid);
 }
 
-TEST(Http1, KeepsItsBounds) {
+TEST(Http1, EnforcesLimits) {
   const std::string head = "HTTP/1.1 200 OK\r\n" + std::string(100'000, 'a');
-  EXPECT_FALSE(Parsed(MessageParser::Kind::response, head, false).good);
-  std::string many = "HTTP/1.1 200 OK\r\n";
-  for (int i = 0; i < 5000; ++i) many += "a: b\r\n";
-  EXPECT_FALSE(Parsed(MessageParser::Kind::response, many, false).good);
+  EXPECT_FALSE(Parsed(MessageParser::Kind::response, head, false).isValid);
+  std::string manyFields = "HTTP/1.1 200 OK\r\n";
+  for (int index = 0; index < 5000; ++index) manyFields += "a: b\r\n";
+  EXPECT_FALSE(Parsed(MessageParser::Kind::response, manyFields, false).isValid);
   EXPECT_FALSE(
       Parsed(MessageParser::Kind::response, "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", false)
-          .good);
+          .isValid);
   EXPECT_FALSE(Parsed(MessageParser::Kind::response,
                       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3" + std::string(1000, ';'),
                       false)
-                   .good);
+                   .isValid);
   EXPECT_FALSE(Parsed(MessageParser::Kind::response, "HTTP/1.1 200 OK\r\n\r\n" + std::string(2000, 'x'),
                       false, {.bodyBytes = 1000})
-                   .good);
+                   .isValid);
 }
 
-TEST(EventStream, TakesEveryLineEndingAndComment) {
+TEST(EventStream, ParsesAllLineEndingsAndComments) {
   const std::string text =
       "\xef\xbb\xbf: hi\r\ndata: a\r\ndata:b\r\n\r\nevent: e\rdata: c\r\r\ndata\n\nid: 3\n\ndata: left";
-  for (const std::size_t piece : {std::size_t{1}, text.size()}) {
+  for (const std::size_t pieceSize : {std::size_t{1}, text.size()}) {
     std::vector<EventStreamParser::Event> events;
-    EventStreamParser parser(1000, [&](const auto& e) { events.push_back(e); });
-    for (std::size_t at = 0; at < text.size(); at += piece)
-      ASSERT_TRUE(parser.receive(std::string_view(text).substr(at, piece)));
+    EventStreamParser parser(1000, [&](const auto& event) { events.push_back(event); });
+    for (std::size_t offset = 0; offset < text.size(); offset += pieceSize)
+      ASSERT_TRUE(parser.receive(std::string_view(text).substr(offset, pieceSize)));
     ASSERT_EQ(events.size(), 3u);
     EXPECT_EQ(events[0].data, "a\nb");
     EXPECT_EQ(events[1].type, "e");
@@ -116,12 +117,12 @@
   }
 }
 
-TEST(EventStream, AnEventWithoutEndIsRefused) {
+TEST(EventStream, RejectsAnEventThatExceedsTheSizeLimit) {
   EventStreamParser parser(1000, [](const auto&) {});
   EXPECT_TRUE(parser.receive("data: "));
-  bool good = true;
-  for (int i = 0; i < 100 && good; ++i) good = parser.receive(std::string(100, 'x'));
-  EXPECT_FALSE(good);
+  bool isValid = true;
+  for (int index = 0; index < 100 && isValid; ++index) isValid = parser.receive(std::string(100, 'x'));
+  EXPECT_FALSE(isValid);
 }
 
 }  // namespace
