--- a/src/grpc/message.h
+++ b/src/grpc/message.h
@@ -1,5 +1,5 @@
-// gRPC over HTTP/2 by its public specification ("gRPC over HTTP2"): length-prefixed messages, time-outs,
-// statuses and metadata. Free of I/O.
+// Encoding of gRPC over HTTP/2, following the public specification ("gRPC over HTTP2"): length-prefixed
+// messages, timeouts, statuses and metadata. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -31,56 +31,62 @@
   dataLoss,
   unauthenticated
 };
+// Returns the status name as the specification spells it, such as "UNAVAILABLE".
 std::string_view name(Code code);
 
 struct Status {
   Code code = Code::ok;
   std::string message;
-  // When a refused client had better come back, in milliseconds; sent as google.rpc.RetryInfo and as
-  // grpc-retry-pushback-ms. -1 as pushback: don't come back.
+  // Delay after which a rejected client should retry, in milliseconds; sent as google.rpc.RetryInfo and as
+  // grpc-retry-pushback-ms. A pushback of -1 means that the client must not retry.
   std::optional<std::int64_t> retryAfterMs;
 };
 
-// Appends one message with its prefix (not compressed).
-void frame(std::string_view message, std::string& out);
+// Appends one uncompressed message, preceded by its length prefix, to `output`.
+void frame(std::string_view message, std::string& output);
 
-// Cuts a stream of bytes into messages.
+// Splits a byte stream into length-prefixed messages.
 class MessageReader {
  public:
   using Handler = std::function<void(std::string_view message)>;
-  // `most`: bytes of one message.
-  explicit MessageReader(std::size_t most) : most_(most) {}
-  // Calls `handler` for each whole message; ok, or the status that ends the call: resourceExhausted for a
-  // message beyond the bound, unimplemented for a compressed one (only identity is announced), internal for a
-  // flag that the specification does not know.
+  // `maxMessageBytes` bounds the size of one message, excluding its prefix.
+  explicit MessageReader(std::size_t maxMessageBytes) : maxMessageBytes_(maxMessageBytes) {}
+  // Calls `handler` for each complete message. Returns ok, or the status that ends the call:
+  // resourceExhausted for a message that exceeds the limit, unimplemented for a compressed message (only
+  // identity encoding is advertised), internal for a flag that the specification does not define.
   Status receive(std::string_view bytes, const Handler& handler);
+  // Whether part of an incomplete message is buffered.
   bool hasPartialInput() const { return !buffer_.empty(); }
-  std::size_t held() const { return buffer_.capacity(); }
+  // Returns the number of bytes allocated for the buffer.
+  std::size_t bufferedCapacity() const { return buffer_.capacity(); }
 
  private:
-  std::size_t most_;
+  std::size_t maxMessageBytes_;
   std::string buffer_;
 };
 
-// grpc-timeout in microseconds: at most 8 digits and a unit of H M S m u n. None: malformed.
+// Parses a grpc-timeout value (at most 8 digits and one of the units H M S m u n) into microseconds. Returns
+// nullopt if it is malformed.
 std::optional<std::int64_t> parseTimeout(std::string_view text);
-// The shortest form that loses under a thousandth.
+// Formats a grpc-timeout value in the finest of the units u, m, S and H that fits into 8 digits; the rounding
+// error is below 0.1%.
 std::string formatTimeout(std::int64_t micros);
 
-// grpc-message: all but printable ASCII, and '%', as %XX.
+// Encodes a grpc-message value: every byte except printable ASCII, and '%' itself, is written as %XX.
 std::string percentEncode(std::string_view text);
-// Malformed escapes are left as they are, as the specification asks.
+// Decodes a grpc-message value. Malformed escapes are left unchanged, as the specification requires.
 std::string percentDecode(std::string_view text);
 
-// -bin metadata: base64, with or without padding on the way in, without on the way out.
+// Base64 coding of -bin metadata. Encoding emits no padding; decoding accepts input with or without it.
 std::string base64Encode(std::string_view bytes);
 std::optional<std::string> base64Decode(std::string_view text);
 
-// The trailers of a status; `details` is the serialised google.rpc.Status, or empty.
+// Returns the trailers for a status; `details` is the serialised google.rpc.Status, or empty.
 http2::Headers trailers(const Status& status, std::string_view details);
-// The status that trailers (or a trailers-only response) tell; `httpStatus` where there is no grpc-status.
+// Returns the status carried by trailers or a trailers-only response. Without grpc-status, the code is
+// derived from the HTTP status.
 Status fromTrailers(const http2::Headers& headers);
-// The code for an HTTP status without grpc-status ("HTTP to gRPC Status Code Mapping").
+// Maps an HTTP status to a gRPC code for responses without grpc-status ("HTTP to gRPC Status Code Mapping").
 Code fromHttpStatus(int status);
 
 }  // namespace garnethook::grpc
