--- a/src/client/channel.h
+++ b/src/client/channel.h
@@ -44,7 +44,7 @@
   void cancel(http2::StreamId id);
   // Stops and goes on giving back window, so that a slow reader can be played.
   void hold(http2::StreamId id, bool held);
-  bool open() const { return stream_.open() && !codec_.over(); }
+  bool open() const { return stream_.open() && !codec_.hasFailed(); }
   std::size_t calls() const { return calls_.size(); }
   void close(bool abort) { stream_.close(abort); }
 
--- a/src/grpc_frontend/grpc_server.cpp
+++ b/src/grpc_frontend/grpc_server.cpp
@@ -34,7 +34,7 @@
   }
   void end() {
     if (std::exchange(ended_, true)) return;
-    if (!codec_.over() && !codec_.goingAway()) codec_.goAway(http2::ErrorCode::noError);
+    if (!codec_.hasFailed() && !codec_.goingAway()) codec_.goAway(http2::ErrorCode::noError);
     flush();
     // What the socket did not take yet goes out as far as the peer reads it within the limit.
     stream_.send(codec_.output());
--- a/src/http2/connection.h
+++ b/src/http2/connection.h
@@ -97,7 +97,7 @@
   std::string_view output() const { return std::string_view(out_).substr(outAt_); }
   void sent(std::size_t bytes);
 
-  bool over() const { return over_; }
+  bool hasFailed() const { return over_; }
   bool goingAway() const { return goingAway_; }
   bool has(StreamId id) const { return streams_.contains(id); }
   std::size_t openStreams() const { return streams_.size(); }
--- a/tests/fuzz/codecs.cpp
+++ b/tests/fuzz/codecs.cpp
@@ -52,7 +52,7 @@
   std::string bytes = preface ? std::string("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0", 33) : "";
   bytes.append(in);
   std::int64_t now = 0;
-  for (std::size_t at = 0; at < bytes.size() && !c.over(); at += 37) {
+  for (std::size_t at = 0; at < bytes.size() && !c.hasFailed(); at += 37) {
     const auto piece = std::string_view(bytes).substr(at, 37);
     c.receive(now += 100, {reinterpret_cast<const std::uint8_t*>(piece.data()), piece.size()});
     if (at % 3 == 0) c.sent(c.output().size());
--- a/tests/http2_connection_test.cpp
+++ b/tests/http2_connection_test.cpp
@@ -111,7 +111,7 @@
   p.pump();
   ASSERT_EQ(p.clientLog.resets.size(), 1u);
   EXPECT_EQ(p.clientLog.resets[0].second, ErrorCode::noError);
-  EXPECT_FALSE(p.server.over());
+  EXPECT_FALSE(p.server.hasFailed());
 }
 
 TEST(Http2, StreamsBeyondTheBoundAreRefusedAlone) {
@@ -208,7 +208,7 @@
   const auto flood = [](const std::string& f, int n, Limits limits = {}) {
     Hostile h(limits);
     h.take(kHello + frame(1, 4, 1, kGet));
-    for (int i = 0; i < n && !h.server.over(); ++i) h.take(f);
+    for (int i = 0; i < n && !h.server.hasFailed(); ++i) h.take(f);
     return h.server.error();
   };
   EXPECT_EQ(flood(frame(6, 0, 0, "12345678"), 150), ErrorCode::enhanceYourCalm);
@@ -218,7 +218,7 @@
   EXPECT_EQ(flood(frame(8, 0, 1, std::string("\0\0\0\1", 4)), 30'000), ErrorCode::enhanceYourCalm);
   Hostile rapid;
   rapid.take(kHello);
-  for (StreamId id = 1; id < 2000 && !rapid.server.over(); id += 2)
+  for (StreamId id = 1; id < 2000 && !rapid.server.hasFailed(); id += 2)
     rapid.take(frame(1, 4, id, kGet) + frame(3, 0, id, std::string("\0\0\0\x08", 4)));
   EXPECT_EQ(rapid.server.error(), ErrorCode::enhanceYourCalm);
   Hostile paced;  // as many resets, but over many seconds
@@ -228,7 +228,7 @@
         paced.take(frame(1, 4, id, kGet) + frame(3, 0, id, std::string("\0\0\0\x08", 4)), id * 10'000));
   Hostile continuations;
   continuations.take(kHello + frame(1, 0, 1, kGet));
-  for (int i = 0; i < 100 && !continuations.server.over(); ++i) continuations.take(frame(9, 0, 1, ""));
+  for (int i = 0; i < 100 && !continuations.server.hasFailed(); ++i) continuations.take(frame(9, 0, 1, ""));
   EXPECT_EQ(continuations.server.error(), ErrorCode::enhanceYourCalm);
 }
 
