--- a/src/grpc/message.cpp
+++ b/src/grpc/message.cpp
@@ -31,9 +31,9 @@
 }
 
 void frame(std::string_view message, std::string& output) {
-  const auto length = static_cast<std::uint32_t>(message.size());
+  const auto payloadBytes = static_cast<std::uint32_t>(message.size());
   output.push_back(0);
-  for (int shift = 24; shift >= 0; shift -= 8) output.push_back(static_cast<char>(length >> shift));
+  for (int shift = 24; shift >= 0; shift -= 8) output.push_back(static_cast<char>(payloadBytes >> shift));
   output.append(message);
 }
 
@@ -150,12 +150,12 @@
 }
 
 http2::Headers trailers(const Status& status, std::string_view details) {
-  http2::Headers headers{{"grpc-status", std::to_string(static_cast<int>(status.code))}};
-  if (!status.message.empty()) headers.push_back({"grpc-message", percentEncode(status.message)});
+  http2::Headers trailerFields{{"grpc-status", std::to_string(static_cast<int>(status.code))}};
+  if (!status.message.empty()) trailerFields.push_back({"grpc-message", percentEncode(status.message)});
   if (status.retryAfterMs)
-    headers.push_back({"grpc-retry-pushback-ms", std::to_string(*status.retryAfterMs)});
-  if (!details.empty()) headers.push_back({"grpc-status-details-bin", base64Encode(details)});
-  return headers;
+    trailerFields.push_back({"grpc-retry-pushback-ms", std::to_string(*status.retryAfterMs)});
+  if (!details.empty()) trailerFields.push_back({"grpc-status-details-bin", base64Encode(details)});
+  return trailerFields;
 }
 
 Code fromHttpStatus(int status) {
--- a/tests/grpc_message_test.cpp
+++ b/tests/grpc_message_test.cpp
@@ -16,7 +16,7 @@
     for (std::size_t offset = 0; offset < bytes.size(); offset += pieceSize)
       ASSERT_EQ(reader
                     .receive(std::string_view(bytes).substr(offset, pieceSize),
-                             [&](auto message) { received.emplace_back(message); })
+                             [&](auto payload) { received.emplace_back(payload); })
                     .code,
                 Code::ok);
     EXPECT_EQ(received, (std::vector<std::string>{"hello", "", std::string(1000, 'x')}));
