--- a/src/http2/hpack.cpp
+++ b/src/http2/hpack.cpp
@@ -7,11 +7,11 @@
 namespace garnethook::http2 {
 namespace {
 
-constexpr std::size_t kEntryOverhead = 32;  // RFC 7541 section 4.1
-constexpr std::size_t kStatic = 61;
+constexpr std::size_t kEntryOverheadBytes = 32;  // RFC 7541 section 4.1
+constexpr std::size_t kStaticEntries = 61;
 
-using Pair = std::pair<std::string_view, std::string_view>;
-constexpr std::array<Pair, kStatic> kStaticTable{{
+using StaticEntry = std::pair<std::string_view, std::string_view>;
+constexpr std::array<StaticEntry, kStaticEntries> kStaticTable{{
     {":authority", ""},
     {":method", "GET"},
     {":method", "POST"},
@@ -75,79 +75,81 @@
     {"www-authenticate", ""},
 }};
 
-std::size_t sizeOf(std::string_view name, std::string_view value) {
-  return name.size() + value.size() + kEntryOverhead;
+std::size_t entryBytes(std::string_view name, std::string_view value) {
+  return name.size() + value.size() + kEntryOverheadBytes;
 }
 
 // RFC 7541 section 5.1.
-void putInteger(std::uint8_t pattern, unsigned prefix, std::size_t value, std::string& out) {
-  const std::size_t full = (std::size_t{1} << prefix) - 1;
-  if (value < full) {
-    out.push_back(static_cast<char>(pattern | value));
+void encodeInteger(std::uint8_t pattern, unsigned prefixBits, std::size_t value, std::string& output) {
+  const std::size_t maxPrefixValue = (std::size_t{1} << prefixBits) - 1;
+  if (value < maxPrefixValue) {
+    output.push_back(static_cast<char>(pattern | value));
     return;
   }
-  out.push_back(static_cast<char>(pattern | full));
-  for (value -= full; value >= 128; value >>= 7) out.push_back(static_cast<char>((value & 127U) | 128U));
-  out.push_back(static_cast<char>(value));
+  output.push_back(static_cast<char>(pattern | maxPrefixValue));
+  for (value -= maxPrefixValue; value >= 128; value >>= 7)
+    output.push_back(static_cast<char>((value & 127U) | 128U));
+  output.push_back(static_cast<char>(value));
 }
 
-void putString(std::string_view text, std::string& out) {
-  const std::size_t packed = huffmanLength(text);
-  if (packed < text.size()) {
-    putInteger(0x80, 7, packed, out);
-    huffmanEncode(text, out);
+void encodeString(std::string_view text, std::string& output) {
+  const std::size_t encodedBytes = huffmanLength(text);
+  if (encodedBytes < text.size()) {
+    encodeInteger(0x80, 7, encodedBytes, output);
+    huffmanEncode(text, output);
   } else {
-    putInteger(0, 7, text.size(), out);
-    out.append(text);
+    encodeInteger(0, 7, text.size(), output);
+    output.append(text);
   }
 }
 
-class Reader {
+class BlockReader {
  public:
-  Reader(std::span<const std::uint8_t> in, std::size_t longest) : in_(in), longest_(longest) {}
-  bool done() const { return at_ == in_.size(); }
-  std::uint8_t peek() const { return in_[at_]; }
+  BlockReader(std::span<const std::uint8_t> input, std::size_t maxStringBytes)
+      : input_(input), maxStringBytes_(maxStringBytes) {}
+  bool isAtEnd() const { return offset_ == input_.size(); }
+  std::uint8_t peek() const { return input_[offset_]; }
 
-  HpackError integer(unsigned prefix, std::size_t& value) {
-    const std::size_t full = (std::size_t{1} << prefix) - 1;
-    value = in_[at_++] & full;
-    if (value < full) return HpackError::none;
+  HpackError readInteger(unsigned prefixBits, std::size_t& value) {
+    const std::size_t maxPrefixValue = (std::size_t{1} << prefixBits) - 1;
+    value = input_[offset_++] & maxPrefixValue;
+    if (value < maxPrefixValue) return HpackError::none;
     for (unsigned shift = 0;; shift += 7) {
-      if (done()) return HpackError::truncated;
-      if (shift > 21) return HpackError::integer;  // no bound here is anywhere near 2^28
-      const std::uint8_t byte = in_[at_++];
+      if (isAtEnd()) return HpackError::truncated;
+      if (shift > 21) return HpackError::integer;  // all limits are far below 2^28
+      const std::uint8_t byte = input_[offset_++];
       value += static_cast<std::size_t>(byte & 127U) << shift;
       if ((byte & 128U) == 0) return HpackError::none;
     }
   }
 
-  HpackError text(std::string& out) {
-    if (done()) return HpackError::truncated;
-    const bool packed = (peek() & 0x80U) != 0;
+  HpackError readString(std::string& output) {
+    if (isAtEnd()) return HpackError::truncated;
+    const bool isHuffman = (peek() & 0x80U) != 0;
     std::size_t length = 0;
-    if (const auto e = integer(7, length); e != HpackError::none) return e;
-    if (length > in_.size() - at_) return HpackError::truncated;
-    const auto raw = in_.subspan(at_, length);
-    at_ += length;
-    if (!packed) {
-      out.assign(raw.begin(), raw.end());
+    if (const auto error = readInteger(7, length); error != HpackError::none) return error;
+    if (length > input_.size() - offset_) return HpackError::truncated;
+    const auto encoded = input_.subspan(offset_, length);
+    offset_ += length;
+    if (!isHuffman) {
+      output.assign(encoded.begin(), encoded.end());
       return HpackError::none;
     }
-    // A Huffman string is at most 8/5 of its bytes; the block itself is bounded by the connection.
-    return huffmanDecode(raw, out, longest_) ? HpackError::none : HpackError::huffman;
+    // A Huffman-coded string expands to at most 8/5 of its encoded size; the connection bounds the block.
+    return huffmanDecode(encoded, output, maxStringBytes_) ? HpackError::none : HpackError::huffman;
   }
 
  private:
-  std::span<const std::uint8_t> in_;
-  std::size_t at_ = 0;
-  std::size_t longest_;
+  std::span<const std::uint8_t> input_;
+  std::size_t offset_ = 0;
+  std::size_t maxStringBytes_;
 };
 
 }  // namespace
 
 std::optional<std::string_view> find(const Headers& headers, std::string_view name) {
-  for (const Header& h : headers)
-    if (h.name == name) return h.value;
+  for (const Header& field : headers)
+    if (field.name == name) return field.value;
   return std::nullopt;
 }
 
@@ -156,106 +158,111 @@
   evict(capacity_);
 }
 
-void DynamicTable::evict(std::size_t until) {
-  while (size_ > until) {
-    size_ -= sizeOf(entries_.back().name, entries_.back().value);
+void DynamicTable::evict(std::size_t maxBytes) {
+  while (size_ > maxBytes) {
+    size_ -= entryBytes(entries_.back().name, entries_.back().value);
     entries_.pop_back();
   }
 }
 
 void DynamicTable::add(Header header) {
-  const std::size_t size = sizeOf(header.name, header.value);
-  if (size > capacity_) return evict(0);  // RFC 7541 section 4.4: empties the table, no error
+  const std::size_t size = entryBytes(header.name, header.value);
+  if (size > capacity_) return evict(0);  // RFC 7541 section 4.4: clears the table without an error
   evict(capacity_ - size);
   size_ += size;
   entries_.push_front(std::move(header));
 }
 
-HpackError HpackDecoder::decode(std::span<const std::uint8_t> block, Headers& out) {
-  Reader in(block, block.size() * 2);
-  std::size_t bytes = 0;
-  std::size_t fields = 0;
-  bool tooLarge = false;
-  bool fieldSeen = false;
-  while (!in.done()) {
-    const std::uint8_t first = in.peek();
+HpackError HpackDecoder::decode(std::span<const std::uint8_t> block, Headers& output) {
+  BlockReader reader(block, block.size() * 2);
+  std::size_t decodedBytes = 0;
+  std::size_t fieldCount = 0;
+  bool isTooLarge = false;
+  bool hasSeenField = false;
+  while (!reader.isAtEnd()) {
+    const std::uint8_t firstByte = reader.peek();
     std::size_t index = 0;
-    if ((first & 0xe0U) == 0x20) {  // table size update: only at the start (section 4.2)
-      if (fieldSeen) return HpackError::tableSize;
-      if (const auto e = in.integer(5, index); e != HpackError::none) return e;
+    if ((firstByte & 0xe0U) == 0x20) {  // table size update: only at the start of a block (section 4.2)
+      if (hasSeenField) return HpackError::tableSize;
+      if (const auto error = reader.readInteger(5, index); error != HpackError::none) return error;
       if (index > limits_.tableBytes) return HpackError::tableSize;
       table_.setCapacity(index);
       continue;
     }
-    fieldSeen = true;
-    const bool indexed = (first & 0x80U) != 0;
-    const bool stored = !indexed && (first & 0x40U) != 0;
-    if (const auto e = in.integer(indexed ? 7 : stored ? 6 : 4, index); e != HpackError::none) return e;
-    Header h;
-    if (index > 0 && index <= kStatic) {
-      h.name = kStaticTable[index - 1].first;
-      h.value = kStaticTable[index - 1].second;
-    } else if (index > kStatic) {
-      const Header* entry = table_.at(index - kStatic - 1);
+    hasSeenField = true;
+    const bool isIndexed = (firstByte & 0x80U) != 0;
+    const bool isStored = !isIndexed && (firstByte & 0x40U) != 0;
+    if (const auto error = reader.readInteger(isIndexed  ? 7
+                                              : isStored ? 6
+                                                         : 4,
+                                              index);
+        error != HpackError::none)
+      return error;
+    Header field;
+    if (index > 0 && index <= kStaticEntries) {
+      field.name = kStaticTable[index - 1].first;
+      field.value = kStaticTable[index - 1].second;
+    } else if (index > kStaticEntries) {
+      const Header* entry = table_.at(index - kStaticEntries - 1);
       if (entry == nullptr) return HpackError::index;
-      h = *entry;
-    } else if (indexed) {
+      field = *entry;
+    } else if (isIndexed) {
       return HpackError::index;
     }
-    if (!indexed) {
+    if (!isIndexed) {
       if (index == 0)
-        if (const auto e = in.text(h.name); e != HpackError::none) return e;
-      h.value.clear();
-      if (const auto e = in.text(h.value); e != HpackError::none) return e;
-      if (stored) table_.add(h);
+        if (const auto error = reader.readString(field.name); error != HpackError::none) return error;
+      field.value.clear();
+      if (const auto error = reader.readString(field.value); error != HpackError::none) return error;
+      if (isStored) table_.add(field);
     }
-    bytes += sizeOf(h.name, h.value);
-    if (bytes > limits_.listBytes || ++fields > limits_.headers)
-      tooLarge = true;
+    decodedBytes += entryBytes(field.name, field.value);
+    if (decodedBytes > limits_.listBytes || ++fieldCount > limits_.maxFields)
+      isTooLarge = true;
     else
-      out.push_back(std::move(h));
+      output.push_back(std::move(field));
   }
-  return tooLarge ? HpackError::listTooLarge : HpackError::none;
+  return isTooLarge ? HpackError::listTooLarge : HpackError::none;
 }
 
 void HpackEncoder::setPeerTableSize(std::size_t bytes) {
-  const std::size_t wanted = std::min<std::size_t>(bytes, 4096);
-  if (wanted == table_.capacity()) return;
-  table_.setCapacity(wanted);
-  resized_ = true;
+  const std::size_t newCapacity = std::min<std::size_t>(bytes, 4096);
+  if (newCapacity == table_.capacity()) return;
+  table_.setCapacity(newCapacity);
+  needsSizeUpdate_ = true;
 }
 
-void HpackEncoder::encode(const Headers& headers, std::string& out) {
-  if (std::exchange(resized_, false)) putInteger(0x20, 5, table_.capacity(), out);
-  for (const Header& h : headers) {
-    std::size_t name = 0;
-    std::size_t whole = 0;
-    for (std::size_t i = 0; i < kStatic && whole == 0; ++i) {
-      if (kStaticTable[i].first != h.name) continue;
-      if (name == 0) name = i + 1;
-      if (kStaticTable[i].second == h.value) whole = i + 1;
+void HpackEncoder::encode(const Headers& headers, std::string& output) {
+  if (std::exchange(needsSizeUpdate_, false)) encodeInteger(0x20, 5, table_.capacity(), output);
+  for (const Header& field : headers) {
+    std::size_t nameIndex = 0;
+    std::size_t exactIndex = 0;
+    for (std::size_t index = 0; index < kStaticEntries && exactIndex == 0; ++index) {
+      if (kStaticTable[index].first != field.name) continue;
+      if (nameIndex == 0) nameIndex = index + 1;
+      if (kStaticTable[index].second == field.value) exactIndex = index + 1;
     }
-    for (std::size_t i = 0; i < table_.count() && whole == 0; ++i) {
-      if (table_.at(i)->name != h.name) continue;
-      if (name == 0) name = kStatic + 1 + i;
-      if (table_.at(i)->value == h.value) whole = kStatic + 1 + i;
+    for (std::size_t index = 0; index < table_.count() && exactIndex == 0; ++index) {
+      if (table_.at(index)->name != field.name) continue;
+      if (nameIndex == 0) nameIndex = kStaticEntries + 1 + index;
+      if (table_.at(index)->value == field.value) exactIndex = kStaticEntries + 1 + index;
     }
-    if (whole > 0) {
-      putInteger(0x80, 7, whole, out);
+    if (exactIndex > 0) {
+      encodeInteger(0x80, 7, exactIndex, output);
       continue;
     }
-    const bool secret = h.name == "authorization" || h.name == "cookie";
-    // Values that never recur would only push out those that do.
-    const bool fleeting = h.value.size() > 64 || h.name == "grpc-message" || h.name == ":path";
-    if (secret)
-      putInteger(0x10, 4, name, out);
-    else if (fleeting)
-      putInteger(0x00, 4, name, out);
+    const bool isSensitive = field.name == "authorization" || field.name == "cookie";
+    // Indexing values that rarely recur would evict entries that do recur.
+    const bool isUnindexed = field.value.size() > 64 || field.name == "grpc-message" || field.name == ":path";
+    if (isSensitive)
+      encodeInteger(0x10, 4, nameIndex, output);
+    else if (isUnindexed)
+      encodeInteger(0x00, 4, nameIndex, output);
     else
-      putInteger(0x40, 6, name, out);
-    if (name == 0) putString(h.name, out);
-    putString(h.value, out);
-    if (!secret && !fleeting) table_.add(h);
+      encodeInteger(0x40, 6, nameIndex, output);
+    if (nameIndex == 0) encodeString(field.name, output);
+    encodeString(field.value, output);
+    if (!isSensitive && !isUnindexed) table_.add(field);
   }
 }
 
--- a/src/http2/hpack.h
+++ b/src/http2/hpack.h
@@ -1,5 +1,5 @@
 // HPACK header compression (RFC 7541): integers, Huffman strings, static and dynamic tables.
-// Free of I/O. Every size a peer may influence is bounded by the Limits given to the decoder.
+// Performs no I/O. The HpackLimits given to the decoder bound every size that a peer can influence.
 #pragma once
 
 #include <cstddef>
@@ -20,19 +20,20 @@
 };
 using Headers = std::vector<Header>;
 
-// The first value of a header, or none. Names are compared byte for byte (RFC 9113 section 8.2: lower case).
+// Returns the first value of a header, or nullopt. Names are compared byte for byte (RFC 9113 section 8.2:
+// lower case).
 std::optional<std::string_view> find(const Headers& headers, std::string_view name);
 
-// Appends the Huffman form of `text` (RFC 7541 section 5.2, appendix B) to `out`.
-void huffmanEncode(std::string_view text, std::string& out);
-// Bytes that the Huffman form of `text` takes.
+// Appends the Huffman encoding of `text` (RFC 7541 section 5.2, appendix B) to `output`.
+void huffmanEncode(std::string_view text, std::string& output);
+// Returns the size of the Huffman encoding of `text` in bytes.
 std::size_t huffmanLength(std::string_view text);
-// Appends the decoded text to `out`. False: EOS inside, padding longer than 7 bits or not of ones, or more
-// than `most` bytes decoded.
-bool huffmanDecode(std::span<const std::uint8_t> in, std::string& out, std::size_t most);
+// Appends the decoded text to `output`. Returns false if the input contains EOS, has padding that is longer
+// than 7 bits or not all ones, or decodes to more than `maxBytes`.
+bool huffmanDecode(std::span<const std::uint8_t> input, std::string& output, std::size_t maxBytes);
 
-// The dynamic table (RFC 7541 section 2.3.2): newest first, evicted from the end; sizes in bytes as in
-// section 4.1 (name + value + 32).
+// The dynamic table (RFC 7541 section 2.3.2). The newest entry comes first; entries are evicted from the end.
+// Sizes are in bytes as defined in section 4.1 (name + value + 32).
 class DynamicTable {
  public:
   explicit DynamicTable(std::size_t capacity) : capacity_(capacity) {}
@@ -44,16 +45,16 @@
   void add(Header header);
 
  private:
-  void evict(std::size_t until);
+  void evict(std::size_t maxBytes);
   std::deque<Header> entries_;
   std::size_t size_ = 0;
   std::size_t capacity_;
 };
 
 struct HpackLimits {
-  std::size_t tableBytes = 4096;      // SETTINGS_HEADER_TABLE_SIZE that was announced
+  std::size_t tableBytes = 4096;      // advertised SETTINGS_HEADER_TABLE_SIZE
   std::size_t listBytes = 32 * 1024;  // sum of name + value + 32 of one block (RFC 9113 section 6.5.2)
-  std::size_t headers = 128;          // fields in one block
+  std::size_t maxFields = 128;        // fields in one block
 };
 
 enum class HpackError { none, truncated, integer, index, huffman, tableSize, listTooLarge };
@@ -61,11 +62,11 @@
 class HpackDecoder {
  public:
   explicit HpackDecoder(HpackLimits limits) : limits_(limits), table_(limits.tableBytes) {}
-  // Decodes one whole header block (HEADERS and its CONTINUATIONs joined) and appends its fields.
-  // listTooLarge leaves the table in step with the peer's (the block is decoded to its end, the fields
-  // beyond the bound are dropped), so the stream can be refused alone; other errors end the connection
-  // (COMPRESSION_ERROR, RFC 9113 section 4.3).
-  HpackError decode(std::span<const std::uint8_t> block, Headers& out);
+  // Decodes one complete header block (HEADERS joined with its CONTINUATIONs) and appends its fields to
+  // `output`. On listTooLarge the dynamic table stays synchronized with the peer's, because the block is
+  // decoded to its end and only the fields beyond the limit are dropped; the caller can reject the stream
+  // alone. All other errors end the connection (COMPRESSION_ERROR, RFC 9113 section 4.3).
+  HpackError decode(std::span<const std::uint8_t> block, Headers& output);
   const DynamicTable& table() const { return table_; }
 
  private:
@@ -75,15 +76,15 @@
 
 class HpackEncoder {
  public:
-  // The peer's SETTINGS_HEADER_TABLE_SIZE; never more than 4096 bytes are used.
+  // Applies the peer's SETTINGS_HEADER_TABLE_SIZE; at most 4096 bytes are used.
   void setPeerTableSize(std::size_t bytes);
-  // Appends one header block. Names must be in lower case. `secret` headers (authorization, cookie) are sent
-  // as never indexed (RFC 7541 section 7.1.3).
-  void encode(const Headers& headers, std::string& out);
+  // Appends one header block to `output`. Names must be in lower case. Sensitive headers (authorization,
+  // cookie) are encoded as never indexed (RFC 7541 section 7.1.3).
+  void encode(const Headers& headers, std::string& output);
 
  private:
   DynamicTable table_{4096};
-  bool resized_ = false;
+  bool needsSizeUpdate_ = false;
 };
 
 }  // namespace garnethook::http2
--- a/src/http2/huffman.cpp
+++ b/src/http2/huffman.cpp
@@ -1,4 +1,4 @@
-// The Huffman code of RFC 7541 appendix B. It is canonical, so the lengths of the symbols' codes define it.
+// The Huffman code of RFC 7541 appendix B. The code is canonical, so the code lengths define it completely.
 #include <algorithm>
 #include <array>
 #include <initializer_list>
@@ -8,26 +8,27 @@
 namespace garnethook::http2 {
 namespace {
 
-constexpr std::size_t kSymbols = 257;  // 256 is EOS
+constexpr std::size_t kSymbolCount = 257;  // 256 is EOS
 constexpr std::size_t kEos = 256;
-constexpr unsigned kLongest = 30;
+constexpr unsigned kMaxCodeBits = 30;
 
-struct Group {
+struct LengthGroup {
   unsigned bits;
   std::initializer_list<std::uint16_t> symbols;  // ascending
 };
 
-struct Code {
-  std::array<std::uint8_t, kSymbols> bits{};
-  std::array<std::uint32_t, kSymbols> value{};
-  // For decoding: symbols by code order, and for each length the first code and its place in that order.
-  std::array<std::uint16_t, kSymbols> order{};
-  std::array<std::uint32_t, kLongest + 1> first{};
-  std::array<std::uint16_t, kLongest + 1> offset{};
-  std::array<std::uint16_t, kLongest + 1> count{};
+struct HuffmanTable {
+  std::array<std::uint8_t, kSymbolCount> bits{};
+  std::array<std::uint32_t, kSymbolCount> value{};
+  // Decoding tables: the symbols in code order and, for each code length, the first code and its position in
+  // that order.
+  std::array<std::uint16_t, kSymbolCount> order{};
+  std::array<std::uint32_t, kMaxCodeBits + 1> firstCode{};
+  std::array<std::uint16_t, kMaxCodeBits + 1> firstPosition{};
+  std::array<std::uint16_t, kMaxCodeBits + 1> count{};
 
-  Code() {
-    const Group groups[] = {
+  HuffmanTable() {
+    const LengthGroup groups[] = {
         {5, {48, 49, 50, 97, 99, 101, 105, 111, 115, 116}},
         {6, {32, 37, 45, 46,  47,  51,  52,  53,  54,  55,  56,  57,  61,
              65, 95, 98, 100, 102, 103, 104, 108, 109, 110, 112, 114, 117}},
@@ -55,64 +56,66 @@
               20, 21, 23, 24, 25, 26, 27, 28, 29, 30, 31, 127, 220, 249}},
         {30, {10, 13, 22, 256}},
     };
-    std::uint32_t next = 0;
+    std::uint32_t nextCode = 0;
     unsigned length = 0;
-    std::uint16_t place = 0;
-    for (const Group& g : groups) {
-      next <<= g.bits - length;
-      length = g.bits;
-      first[length] = next;
-      offset[length] = place;
-      count[length] = static_cast<std::uint16_t>(g.symbols.size());
-      for (const std::uint16_t s : g.symbols) {
-        bits[s] = static_cast<std::uint8_t>(length);
-        value[s] = next++;
-        order[place++] = s;
+    std::uint16_t position = 0;
+    for (const LengthGroup& group : groups) {
+      nextCode <<= group.bits - length;
+      length = group.bits;
+      firstCode[length] = nextCode;
+      firstPosition[length] = position;
+      count[length] = static_cast<std::uint16_t>(group.symbols.size());
+      for (const std::uint16_t symbol : group.symbols) {
+        bits[symbol] = static_cast<std::uint8_t>(length);
+        value[symbol] = nextCode++;
+        order[position++] = symbol;
       }
     }
   }
 };
 
-const Code& code() {
-  static const Code made;
-  return made;
+const HuffmanTable& huffmanTable() {
+  static const HuffmanTable instance;
+  return instance;
 }
 
 }  // namespace
 
 std::size_t huffmanLength(std::string_view text) {
   std::size_t bits = 0;
-  for (const char c : text) bits += code().bits[static_cast<std::uint8_t>(c)];
+  for (const char c : text) bits += huffmanTable().bits[static_cast<std::uint8_t>(c)];
   return (bits + 7) / 8;
 }
 
-void huffmanEncode(std::string_view text, std::string& out) {
-  std::uint64_t pending = 0;
-  unsigned held = 0;
+void huffmanEncode(std::string_view text, std::string& output) {
+  std::uint64_t bitBuffer = 0;
+  unsigned bitCount = 0;
   for (const char c : text) {
-    const auto s = static_cast<std::uint8_t>(c);
-    pending = pending << code().bits[s] | code().value[s];
-    held += code().bits[s];
-    for (; held >= 8; held -= 8) out.push_back(static_cast<char>(pending >> (held - 8)));
+    const auto symbol = static_cast<std::uint8_t>(c);
+    bitBuffer = bitBuffer << huffmanTable().bits[symbol] | huffmanTable().value[symbol];
+    bitCount += huffmanTable().bits[symbol];
+    for (; bitCount >= 8; bitCount -= 8) output.push_back(static_cast<char>(bitBuffer >> (bitCount - 8)));
   }
-  if (held > 0) out.push_back(static_cast<char>(pending << (8 - held) | 0xffU >> held));
+  if (bitCount > 0) output.push_back(static_cast<char>(bitBuffer << (8 - bitCount) | 0xffU >> bitCount));
 }
 
-bool huffmanDecode(std::span<const std::uint8_t> in, std::string& out, std::size_t most) {
-  const Code& c = code();
+bool huffmanDecode(std::span<const std::uint8_t> input, std::string& output, std::size_t maxBytes) {
+  const HuffmanTable& table = huffmanTable();
   std::uint32_t value = 0;
   unsigned length = 0;
-  std::size_t written = 0;
-  for (const std::uint8_t byte : in) {
+  std::size_t decodedBytes = 0;
+  for (const std::uint8_t byte : input) {
     for (int bit = 7; bit >= 0; --bit) {
       value = value << 1 | (byte >> bit & 1U);
-      if (++length > kLongest) return false;
-      if (c.count[length] == 0 || value < c.first[length] || value - c.first[length] >= c.count[length])
+      if (++length > kMaxCodeBits) return false;
+      if (table.count[length] == 0 || value < table.firstCode[length] ||
+          value - table.firstCode[length] >= table.count[length])
         continue;
-      const std::uint16_t symbol = c.order[c.offset[length] + (value - c.first[length])];
-      if (symbol == kEos || written == most) return false;
-      out.push_back(static_cast<char>(symbol));
-      ++written;
+      const std::uint16_t decodedSymbol =
+          table.order[table.firstPosition[length] + (value - table.firstCode[length])];
+      if (decodedSymbol == kEos || decodedBytes == maxBytes) return false;
+      output.push_back(static_cast<char>(decodedSymbol));
+      ++decodedBytes;
       value = 0;
       length = 0;
     }
--- a/tests/hpack_test.cpp
+++ b/tests/hpack_test.cpp
@@ -1,4 +1,4 @@
-// HPACK against the examples of RFC 7541 appendix C, and what a hostile peer may send.
+// Checks HPACK against the examples of RFC 7541 appendix C and against malformed input from a hostile peer.
 #include "http2/hpack.h"
 
 #include <gtest/gtest.h>
@@ -6,71 +6,72 @@
 namespace garnethook::http2 {
 namespace {
 
-std::vector<std::uint8_t> hex(std::string_view text) {
-  std::vector<std::uint8_t> out;
+std::vector<std::uint8_t> fromHex(std::string_view text) {
+  std::vector<std::uint8_t> bytes;
   std::string digits;
   for (const char c : text)
     if (c != ' ') digits.push_back(c);
-  for (std::size_t i = 0; i + 1 < digits.size(); i += 2)
-    out.push_back(static_cast<std::uint8_t>(std::stoi(digits.substr(i, 2), nullptr, 16)));
-  return out;
+  for (std::size_t index = 0; index + 1 < digits.size(); index += 2)
+    bytes.push_back(static_cast<std::uint8_t>(std::stoi(digits.substr(index, 2), nullptr, 16)));
+  return bytes;
 }
 
 TEST(Hpack, DecodesTheRequestsOfAppendixC4) {
   HpackDecoder decoder({});
   Headers first;
-  ASSERT_EQ(decoder.decode(hex("8286 8441 8cf1 e3c2 e5f2 3a6b a0ab 90f4 ff"), first), HpackError::none);
+  ASSERT_EQ(decoder.decode(fromHex("8286 8441 8cf1 e3c2 e5f2 3a6b a0ab 90f4 ff"), first), HpackError::none);
   EXPECT_EQ(
       first,
       (Headers{{":method", "GET"}, {":scheme", "http"}, {":path", "/"}, {":authority", "www.example.com"}}));
   Headers second;
-  ASSERT_EQ(decoder.decode(hex("8286 84be 5886 a8eb 1064 9cbf"), second), HpackError::none);
+  ASSERT_EQ(decoder.decode(fromHex("8286 84be 5886 a8eb 1064 9cbf"), second), HpackError::none);
   EXPECT_EQ(second.back(), (Header{"cache-control", "no-cache"}));
   Headers third;
-  ASSERT_EQ(decoder.decode(hex("8287 85bf 4088 25a8 49e9 5ba9 7d7f 8925 a849 e95b b8e8 b4bf"), third),
+  ASSERT_EQ(decoder.decode(fromHex("8287 85bf 4088 25a8 49e9 5ba9 7d7f 8925 a849 e95b b8e8 b4bf"), third),
             HpackError::none);
   EXPECT_EQ(third.back(), (Header{"custom-key", "custom-value"}));
   EXPECT_EQ(decoder.table().size(), 164u);
 }
 
-TEST(Hpack, EvictsAsInAppendixC6) {
+TEST(Hpack, EvictsEntriesAsInAppendixC6) {
   HpackDecoder decoder({.tableBytes = 256});
   Headers out;
-  ASSERT_EQ(decoder.decode(hex("4882 6402 5885 aec3 771a 4b61 96d0 7abe 9410 54d4 44a8 2005 9504 0b81 66e0 "
-                               "82a6 2d1b ff6e 919d 29ad"
-                               "1718 63c7 8f0b 97c8 e9ae 82ae 43d3"),
-                           out),
-            HpackError::none);
+  ASSERT_EQ(
+      decoder.decode(fromHex("4882 6402 5885 aec3 771a 4b61 96d0 7abe 9410 54d4 44a8 2005 9504 0b81 66e0 "
+                             "82a6 2d1b ff6e 919d 29ad"
+                             "1718 63c7 8f0b 97c8 e9ae 82ae 43d3"),
+                     out),
+      HpackError::none);
   EXPECT_EQ(decoder.table().size(), 222u);
   out.clear();
-  ASSERT_EQ(decoder.decode(hex("4883 640e ffc1 c0bf"), out), HpackError::none);
+  ASSERT_EQ(decoder.decode(fromHex("4883 640e ffc1 c0bf"), out), HpackError::none);
   EXPECT_EQ(decoder.table().size(), 222u);
   EXPECT_EQ(out.front(), (Header{":status", "307"}));
 }
 
-TEST(Hpack, EveryByteSurvivesHuffman) {
-  std::string all;
-  for (int i = 0; i < 256; ++i) all.push_back(static_cast<char>(i));
-  std::string packed;
-  huffmanEncode(all, packed);
-  EXPECT_EQ(packed.size(), huffmanLength(all));
-  std::string back;
+TEST(Hpack, HuffmanCodingRoundTripsEveryByte) {
+  std::string allBytes;
+  for (int index = 0; index < 256; ++index) allBytes.push_back(static_cast<char>(index));
+  std::string encoded;
+  huffmanEncode(allBytes, encoded);
+  EXPECT_EQ(encoded.size(), huffmanLength(allBytes));
+  std::string decoded;
   ASSERT_TRUE(
-      huffmanDecode({reinterpret_cast<const std::uint8_t*>(packed.data()), packed.size()}, back, 256));
-  EXPECT_EQ(back, all);
-  back.clear();
+      huffmanDecode({reinterpret_cast<const std::uint8_t*>(encoded.data()), encoded.size()}, decoded, 256));
+  EXPECT_EQ(decoded, allBytes);
+  decoded.clear();
   EXPECT_FALSE(
-      huffmanDecode({reinterpret_cast<const std::uint8_t*>(packed.data()), packed.size()}, back, 255));
+      huffmanDecode({reinterpret_cast<const std::uint8_t*>(encoded.data()), encoded.size()}, decoded, 255));
 }
 
-TEST(Hpack, RefusesBadPaddingAndEos) {
+TEST(Hpack, RejectsBadPaddingAndEos) {
   std::string out;
-  EXPECT_FALSE(huffmanDecode(hex("18"), out, 100));        // 'a' and zeros
-  EXPECT_FALSE(huffmanDecode(hex("1fff"), out, 100));      // 'a' and more than 7 bits of padding
-  EXPECT_FALSE(huffmanDecode(hex("ffffffff"), out, 100));  // EOS
+  EXPECT_FALSE(huffmanDecode(fromHex("18"), out, 100));        // 'a' padded with zeros
+  EXPECT_FALSE(huffmanDecode(fromHex("1fff"), out, 100));      // 'a' with more than 7 bits of padding
+  EXPECT_FALSE(huffmanDecode(fromHex("ffffffff"), out, 100));  // EOS
 }
 
-TEST(Hpack, EncodedHeadersComeBackAndLaterBlocksAreShort) {
+TEST(Hpack, HeadersRoundTripAndRepeatedBlocksAreShorter) {
   HpackEncoder encoder;
   HpackDecoder decoder({});
   const Headers headers{{":status", "200"},
@@ -82,37 +83,37 @@
     std::string block;
     encoder.encode(headers, block);
     size = block.size();
-    Headers back;
-    ASSERT_EQ(decoder.decode({reinterpret_cast<const std::uint8_t*>(block.data()), block.size()}, back),
+    Headers decoded;
+    ASSERT_EQ(decoder.decode({reinterpret_cast<const std::uint8_t*>(block.data()), block.size()}, decoded),
               HpackError::none);
-    EXPECT_EQ(back, headers);
+    EXPECT_EQ(decoded, headers);
   }
   EXPECT_LT(sizes[1], sizes[0] - 10);
 }
 
-TEST(Hpack, ABombOfIndexedFieldsIsCutOffAndTheTableStaysInStep) {
+TEST(Hpack, TruncatesExcessiveIndexedFieldsAndKeepsTheTableSynchronized) {
   HpackDecoder decoder({.listBytes = 8192});
   std::string block;
   HpackEncoder encoder;
   encoder.encode({{"x", std::string(60, 'a')}}, block);
-  block.append(10'000, static_cast<char>(0x80 | 62));  // the entry that was just stored, again and again
+  block.append(10'000, static_cast<char>(0x80 | 62));  // repeats the entry that was just added
   Headers out;
   EXPECT_EQ(decoder.decode({reinterpret_cast<const std::uint8_t*>(block.data()), block.size()}, out),
             HpackError::listTooLarge);
   EXPECT_LT(out.size(), 130u);
-  Headers after;
-  EXPECT_EQ(decoder.decode(hex("be"), after), HpackError::none);
-  EXPECT_EQ(after.front().value, std::string(60, 'a'));
+  Headers nextHeaders;
+  EXPECT_EQ(decoder.decode(fromHex("be"), nextHeaders), HpackError::none);
+  EXPECT_EQ(nextHeaders.front().value, std::string(60, 'a'));
 }
 
-TEST(Hpack, NamesWhatIsWrong) {
+TEST(Hpack, ReportsSpecificErrors) {
   Headers out;
-  EXPECT_EQ(HpackDecoder({}).decode(hex("80"), out), HpackError::index);
-  EXPECT_EQ(HpackDecoder({}).decode(hex("ff80"), out), HpackError::truncated);
-  EXPECT_EQ(HpackDecoder({}).decode(hex("ffffffffffff7f"), out), HpackError::integer);
-  EXPECT_EQ(HpackDecoder({}).decode(hex("3fe2ff7f"), out), HpackError::tableSize);
-  EXPECT_EQ(HpackDecoder({}).decode(hex("8220"), out), HpackError::tableSize);  // not at the start
-  EXPECT_EQ(HpackDecoder({}).decode(hex("400a61"), out), HpackError::truncated);
+  EXPECT_EQ(HpackDecoder({}).decode(fromHex("80"), out), HpackError::index);
+  EXPECT_EQ(HpackDecoder({}).decode(fromHex("ff80"), out), HpackError::truncated);
+  EXPECT_EQ(HpackDecoder({}).decode(fromHex("ffffffffffff7f"), out), HpackError::integer);
+  EXPECT_EQ(HpackDecoder({}).decode(fromHex("3fe2ff7f"), out), HpackError::tableSize);
+  EXPECT_EQ(HpackDecoder({}).decode(fromHex("8220"), out), HpackError::tableSize);  // not at the start
+  EXPECT_EQ(HpackDecoder({}).decode(fromHex("400a61"), out), HpackError::truncated);
 }
 
 }  // namespace
