--- a/tests/interop/grpcpp_client.cpp
+++ b/tests/interop/grpcpp_client.cpp
@@ -1,5 +1,5 @@
-// An independent peer: the official C++ client, with stubs made from our public .proto, and the health and
-// reflection services by their own messages. Exits 0 when all that is checked holds.
+// Interoperability check with the official gRPC C++ client: uses stubs generated from the public .proto and
+// the standard health and reflection services. Exits with 0 if all checks pass.
 #include <grpcpp/grpcpp.h>
 
 #include <chrono>
@@ -14,13 +14,13 @@
 namespace {
 
 int failures = 0;
-void check(bool good, const char* what) {
-  std::cout << (good ? "ok    " : "WRONG ") << what << '\n';
-  failures += good ? 0 : 1;
+void check(bool passed, const char* description) {
+  std::cout << (passed ? "ok    " : "WRONG ") << description << '\n';
+  failures += passed ? 0 : 1;
 }
 
-void limit(grpc::ClientContext& context, int ms) {
-  context.set_deadline(std::chrono::system_clock::now() + std::chrono::milliseconds(ms));
+void setDeadline(grpc::ClientContext& context, int timeoutMs) {
+  context.set_deadline(std::chrono::system_clock::now() + std::chrono::milliseconds(timeoutMs));
 }
 
 }  // namespace
@@ -32,45 +32,46 @@
 
   {
     grpc::ClientContext context;
-    limit(context, 5000);
+    setDeadline(context, 5000);
     garnethook::v1::GenerateRequest request;
     request.set_prompt("is the north depot's flag on?");
     const auto reader = stub->Generate(&context, request);
     garnethook::v1::GenerateEvent event;
     std::uint32_t tokens = 0;
-    bool ordered = true;
-    bool finish = false;
+    bool isOrdered = true;
+    bool hasFinish = false;
     while (reader->Read(&event)) {
       if (event.has_tokens()) {
-        ordered = ordered && event.tokens().index() == tokens;
+        isOrdered = isOrdered && event.tokens().index() == tokens;
         tokens += event.tokens().count();
       }
-      finish = event.has_finish();
+      hasFinish = event.has_finish();
     }
     const auto status = reader->Finish();
-    check(status.ok() && finish && ordered && tokens > 0, "a streamed answer, in order, to its end");
+    check(status.ok() && hasFinish && isOrdered && tokens > 0,
+          "a streamed response arrives in order and completes");
   }
   {
     grpc::ClientContext context;
-    limit(context, 5000);
+    setDeadline(context, 5000);
     garnethook::v1::GenerateRequest request;
-    request.set_prompt(std::string(100'000, 'x'));  // many DATA frames, beyond the first window
+    request.set_prompt(std::string(100'000, 'x'));  // spans many DATA frames and exceeds the initial window
     garnethook::v1::GenerateResponse response;
     check(stub->GenerateOnce(&context, request, &response).ok() && !response.text().empty(),
-          "a unary answer to a long prompt");
+          "a unary response to a long prompt");
   }
   {
     grpc::ClientContext context;
-    limit(context, 5000);
+    setDeadline(context, 5000);
     garnethook::v1::GenerateResponse response;
     const auto status = stub->GenerateOnce(&context, {}, &response);
     check(status.error_code() == grpc::StatusCode::INVALID_ARGUMENT &&
               status.error_message() == "prompt: is empty",
-          "a refused argument with its text");
+          "an invalid argument is rejected with its message");
   }
   {
     grpc::ClientContext context;
-    limit(context, 5000);
+    setDeadline(context, 5000);
     garnethook::v1::GenerateRequest request;
     request.set_prompt("cancel me");
     const auto reader = stub->Generate(&context, request);
@@ -82,24 +83,24 @@
   {
     std::vector<std::thread> threads;
     std::atomic<int> served = 0;
-    for (int t = 0; t < 8; ++t)
-      threads.emplace_back([&, t] {
-        for (int i = 0; i < 10; ++i) {
+    for (int threadIndex = 0; threadIndex < 8; ++threadIndex)
+      threads.emplace_back([&, threadIndex] {
+        for (int index = 0; index < 10; ++index) {
           grpc::ClientContext context;
-          limit(context, 10'000);
+          setDeadline(context, 10'000);
           garnethook::v1::GenerateRequest request;
-          request.set_prompt("caller " + std::to_string(t * 100 + i));
+          request.set_prompt("caller " + std::to_string(threadIndex * 100 + index));
           garnethook::v1::GenerateResponse response;
           served += stub->GenerateOnce(&context, request, &response).ok() ? 1 : 0;
         }
       });
-    for (auto& t : threads) t.join();
-    check(served == 80, "eighty calls of eight threads on one connection");
+    for (auto& worker : threads) worker.join();
+    check(served == 80, "80 concurrent calls from 8 threads on one connection");
   }
   {
     const auto health = grpc::health::v1::Health::NewStub(channel);
     grpc::ClientContext context;
-    limit(context, 5000);
+    setDeadline(context, 5000);
     grpc::health::v1::HealthCheckResponse response;
     grpc::health::v1::HealthCheckRequest request;
     request.set_service("garnethook.v1.Generation");
@@ -107,7 +108,7 @@
               response.status() == grpc::health::v1::HealthCheckResponse::SERVING,
           "health");
     grpc::ClientContext other;
-    limit(other, 5000);
+    setDeadline(other, 5000);
     request.set_service("nobody");
     check(health->Check(&other, request, &response).error_code() == grpc::StatusCode::NOT_FOUND,
           "health of an unknown service");
@@ -115,7 +116,7 @@
   {
     const auto reflection = grpc::reflection::v1::ServerReflection::NewStub(channel);
     grpc::ClientContext context;
-    limit(context, 5000);
+    setDeadline(context, 5000);
     const auto stream = reflection->ServerReflectionInfo(&context);
     grpc::reflection::v1::ServerReflectionRequest request;
     grpc::reflection::v1::ServerReflectionResponse response;
@@ -126,9 +127,9 @@
     request.set_file_containing_symbol("garnethook.v1.Generation");
     check(stream->Write(request) && stream->Read(&response) &&
               response.file_descriptor_response().file_descriptor_proto_size() == 1,
-          "reflection gives our file");
+          "reflection returns the file descriptor of the service");
     stream->WritesDone();
-    check(stream->Finish().ok(), "reflection ends well");
+    check(stream->Finish().ok(), "the reflection stream ends with OK");
   }
   return failures == 0 ? 0 : 1;
 }
