--- a/src/http2/connection.cpp
+++ b/src/http2/connection.cpp
@@ -37,8 +37,8 @@
   return std::uint32_t{encoded[0]} << 24 | std::uint32_t{encoded[1]} << 16 | std::uint32_t{encoded[2]} << 8 |
          encoded[3];
 }
-void appendUint32(std::string& output, std::uint32_t v) {
-  for (int shift = 24; shift >= 0; shift -= 8) output.push_back(static_cast<char>(v >> shift));
+void appendUint32(std::string& output, std::uint32_t number) {
+  for (int shift = 24; shift >= 0; shift -= 8) output.push_back(static_cast<char>(number >> shift));
 }
 void appendSetting(std::string& output, SettingId id, std::uint32_t value) {
   output.push_back(static_cast<char>(id >> 8));
@@ -252,7 +252,7 @@
 }
 
 bool Connection::onContinuation(const Frame& frame) {
-  if (++blockFrameCount_ > limits_.maxContinuations ||
+  if (++blockFrameCount_ > limits_.maxHeaderBlockFrames ||
       headerBlock_.size() + frame.payload.size() > limits_.maxHeaderBlockBytes)
     return fail(ErrorCode::enhanceYourCalm, "header block too long");
   headerBlock_.append(reinterpret_cast<const char*>(frame.payload.data()), frame.payload.size());
--- a/src/http2/connection.h
+++ b/src/http2/connection.h
@@ -45,7 +45,7 @@
   std::uint32_t maxFrameBytes = 16'384;      // largest frame payload accepted, in bytes
   HpackLimits hpack;
   std::size_t maxHeaderBlockBytes = 64 * 1024;  // size of one header block including its CONTINUATIONs
-  unsigned maxContinuations = 16;               // frames per header block, including HEADERS
+  unsigned maxHeaderBlockFrames = 16;           // frames per header block, including HEADERS
   // Rates per second; exceeding one ends the connection with ENHANCE_YOUR_CALM.
   unsigned resets = 200;  // streams reset by the peer (rapid reset) or because of its errors
   unsigned pings = 100;
--- a/src/http2/hpack.cpp
+++ b/src/http2/hpack.cpp
@@ -158,8 +158,8 @@
   evict(capacity_);
 }
 
-void DynamicTable::evict(std::size_t maxBytes) {
-  while (size_ > maxBytes) {
+void DynamicTable::evict(std::size_t targetBytes) {
+  while (size_ > targetBytes) {
     size_ -= entryBytes(entries_.back().name, entries_.back().value);
     entries_.pop_back();
   }
@@ -237,15 +237,15 @@
   for (const Header& field : headers) {
     std::size_t nameIndex = 0;
     std::size_t exactIndex = 0;
-    for (std::size_t index = 0; index < kStaticEntries && exactIndex == 0; ++index) {
-      if (kStaticTable[index].first != field.name) continue;
-      if (nameIndex == 0) nameIndex = index + 1;
-      if (kStaticTable[index].second == field.value) exactIndex = index + 1;
+    for (std::size_t position = 0; position < kStaticEntries && exactIndex == 0; ++position) {
+      if (kStaticTable[position].first != field.name) continue;
+      if (nameIndex == 0) nameIndex = position + 1;
+      if (kStaticTable[position].second == field.value) exactIndex = position + 1;
     }
-    for (std::size_t index = 0; index < table_.count() && exactIndex == 0; ++index) {
-      if (table_.at(index)->name != field.name) continue;
-      if (nameIndex == 0) nameIndex = kStaticEntries + 1 + index;
-      if (table_.at(index)->value == field.value) exactIndex = kStaticEntries + 1 + index;
+    for (std::size_t position = 0; position < table_.count() && exactIndex == 0; ++position) {
+      if (table_.at(position)->name != field.name) continue;
+      if (nameIndex == 0) nameIndex = kStaticEntries + 1 + position;
+      if (table_.at(position)->value == field.value) exactIndex = kStaticEntries + 1 + position;
     }
     if (exactIndex > 0) {
       encodeInteger(0x80, 7, exactIndex, output);
--- a/src/http2/hpack.h
+++ b/src/http2/hpack.h
@@ -45,7 +45,7 @@
   void add(Header header);
 
  private:
-  void evict(std::size_t maxBytes);
+  void evict(std::size_t targetBytes);
   std::deque<Header> entries_;
   std::size_t size_ = 0;
   std::size_t capacity_;
--- a/tests/hpack_test.cpp
+++ b/tests/hpack_test.cpp
@@ -11,8 +11,8 @@
   std::string digits;
   for (const char c : text)
     if (c != ' ') digits.push_back(c);
-  for (std::size_t index = 0; index + 1 < digits.size(); index += 2)
-    bytes.push_back(static_cast<std::uint8_t>(std::stoi(digits.substr(index, 2), nullptr, 16)));
+  for (std::size_t position = 0; position + 1 < digits.size(); position += 2)
+    bytes.push_back(static_cast<std::uint8_t>(std::stoi(digits.substr(position, 2), nullptr, 16)));
   return bytes;
 }
 
@@ -35,23 +35,23 @@
 
 TEST(Hpack, EvictsEntriesAsInAppendixC6) {
   HpackDecoder decoder({.tableBytes = 256});
-  Headers out;
+  Headers output;
   ASSERT_EQ(
       decoder.decode(fromHex("4882 6402 5885 aec3 771a 4b61 96d0 7abe 9410 54d4 44a8 2005 9504 0b81 66e0 "
                              "82a6 2d1b ff6e 919d 29ad"
                              "1718 63c7 8f0b 97c8 e9ae 82ae 43d3"),
-                     out),
+                     output),
       HpackError::none);
   EXPECT_EQ(decoder.table().size(), 222u);
-  out.clear();
-  ASSERT_EQ(decoder.decode(fromHex("4883 640e ffc1 c0bf"), out), HpackError::none);
+  output.clear();
+  ASSERT_EQ(decoder.decode(fromHex("4883 640e ffc1 c0bf"), output), HpackError::none);
   EXPECT_EQ(decoder.table().size(), 222u);
-  EXPECT_EQ(out.front(), (Header{":status", "307"}));
+  EXPECT_EQ(output.front(), (Header{":status", "307"}));
 }
 
 TEST(Hpack, HuffmanCodingRoundTripsEveryByte) {
   std::string allBytes;
-  for (int index = 0; index < 256; ++index) allBytes.push_back(static_cast<char>(index));
+  for (int byte = 0; byte < 256; ++byte) allBytes.push_back(static_cast<char>(byte));
   std::string encoded;
   huffmanEncode(allBytes, encoded);
   EXPECT_EQ(encoded.size(), huffmanLength(allBytes));
@@ -65,10 +65,10 @@
 }
 
 TEST(Hpack, RejectsBadPaddingAndEos) {
-  std::string out;
-  EXPECT_FALSE(huffmanDecode(fromHex("18"), out, 100));        // 'a' padded with zeros
-  EXPECT_FALSE(huffmanDecode(fromHex("1fff"), out, 100));      // 'a' with more than 7 bits of padding
-  EXPECT_FALSE(huffmanDecode(fromHex("ffffffff"), out, 100));  // EOS
+  std::string output;
+  EXPECT_FALSE(huffmanDecode(fromHex("18"), output, 100));        // 'a' padded with zeros
+  EXPECT_FALSE(huffmanDecode(fromHex("1fff"), output, 100));      // 'a' with more than 7 bits of padding
+  EXPECT_FALSE(huffmanDecode(fromHex("ffffffff"), output, 100));  // EOS
 }
 
 TEST(Hpack, HeadersRoundTripAndRepeatedBlocksAreShorter) {
@@ -97,23 +97,23 @@
   HpackEncoder encoder;
   encoder.encode({{"x", std::string(60, 'a')}}, block);
   block.append(10'000, static_cast<char>(0x80 | 62));  // repeats the entry that was just added
-  Headers out;
-  EXPECT_EQ(decoder.decode({reinterpret_cast<const std::uint8_t*>(block.data()), block.size()}, out),
+  Headers output;
+  EXPECT_EQ(decoder.decode({reinterpret_cast<const std::uint8_t*>(block.data()), block.size()}, output),
             HpackError::listTooLarge);
-  EXPECT_LT(out.size(), 130u);
+  EXPECT_LT(output.size(), 130u);
   Headers nextHeaders;
   EXPECT_EQ(decoder.decode(fromHex("be"), nextHeaders), HpackError::none);
   EXPECT_EQ(nextHeaders.front().value, std::string(60, 'a'));
 }
 
 TEST(Hpack, ReportsSpecificErrors) {
-  Headers out;
-  EXPECT_EQ(HpackDecoder({}).decode(fromHex("80"), out), HpackError::index);
-  EXPECT_EQ(HpackDecoder({}).decode(fromHex("ff80"), out), HpackError::truncated);
-  EXPECT_EQ(HpackDecoder({}).decode(fromHex("ffffffffffff7f"), out), HpackError::integer);
-  EXPECT_EQ(HpackDecoder({}).decode(fromHex("3fe2ff7f"), out), HpackError::tableSize);
-  EXPECT_EQ(HpackDecoder({}).decode(fromHex("8220"), out), HpackError::tableSize);  // not at the start
-  EXPECT_EQ(HpackDecoder({}).decode(fromHex("400a61"), out), HpackError::truncated);
+  Headers output;
+  EXPECT_EQ(HpackDecoder({}).decode(fromHex("80"), output), HpackError::index);
+  EXPECT_EQ(HpackDecoder({}).decode(fromHex("ff80"), output), HpackError::truncated);
+  EXPECT_EQ(HpackDecoder({}).decode(fromHex("ffffffffffff7f"), output), HpackError::integer);
+  EXPECT_EQ(HpackDecoder({}).decode(fromHex("3fe2ff7f"), output), HpackError::tableSize);
+  EXPECT_EQ(HpackDecoder({}).decode(fromHex("8220"), output), HpackError::tableSize);  // not at the start
+  EXPECT_EQ(HpackDecoder({}).decode(fromHex("400a61"), output), HpackError::truncated);
 }
 
 }  // namespace
--- a/tests/interop/grpcpp_client.cpp
+++ b/tests/interop/grpcpp_client.cpp
@@ -85,11 +85,11 @@
     std::atomic<int> served = 0;
     for (int threadIndex = 0; threadIndex < 8; ++threadIndex)
       threads.emplace_back([&, threadIndex] {
-        for (int index = 0; index < 10; ++index) {
+        for (int callIndex = 0; callIndex < 10; ++callIndex) {
           grpc::ClientContext context;
           setDeadline(context, 10'000);
           garnethook::v1::GenerateRequest request;
-          request.set_prompt("caller " + std::to_string(threadIndex * 100 + index));
+          request.set_prompt("caller " + std::to_string(threadIndex * 100 + callIndex));
           garnethook::v1::GenerateResponse response;
           served += stub->GenerateOnce(&context, request, &response).ok() ? 1 : 0;
         }
