--- a/bench/counting_bench.cpp
+++ b/bench/counting_bench.cpp
@@ -121,11 +121,11 @@
 }
 
 // Short prompts of `shortBytes` each 2 ms for `lasting`, with or without long ones; their times, sorted.
-std::vector<double> shorts(const std::vector<counting::Loaded>& loaded, std::size_t shortBytes, bool flood,
-                           bool plainFifo) {
+std::vector<double> shorts(const std::vector<counting::LoadedTokeniser>& loaded, std::size_t shortBytes,
+                           bool flood, bool plainFifo) {
   counting::CounterOptions options;
   options.inlineBytes = 0;
-  options.within = 10'000'000;
+  options.timeout = 10'000'000;
   options.pool.queue.workers = 2;
   if (plainFifo) options.pool.sliceCost = 1u << 30;  // whole jobs, as a plain pool runs them
   if (plainFifo) options.pool.queue.longCost = 1u << 30;
@@ -160,7 +160,7 @@
   tokeniser::FileOptions file;
   file.format = tokeniser::Format::ranks;
   file.pattern = "cl100k_base";
-  const std::vector<counting::Loaded> loaded{
+  const std::vector<counting::LoadedTokeniser> loaded{
       {1, {"made", "1"}, tokeniser::readRanks("made", fake_engine::madeRanks(1), file)}};
   std::printf("short prompts of 4 KB every 2 ms, on two workers; the flood: 50 MB/s of prompts of 1 MB\n");
   double quiet = 0;
--- a/src/counting/counter.cpp
+++ b/src/counting/counter.cpp
@@ -26,7 +26,7 @@
   for (auto& [ticket, open] : open_) timers_.cancel(open.late);
 }
 
-CountTicket Counter::count(Prompt prompt, const std::vector<Loaded>& tokenisers, Done done) {
+CountTicket Counter::count(Prompt prompt, const std::vector<LoadedTokeniser>& tokenisers, Done done) {
   ++counters_.prompts;
   counters_.bytes += prompt.text->size();
   const std::uint64_t ticket = next_++;
@@ -36,7 +36,7 @@
   open.sharedCharacters = characters(std::string_view(*prompt.text).substr(0, prompt.sharedPrefixBytes));
   open.done = std::move(done);
   if (tokenisers.empty()) open.error = Estimate::noFile;
-  for (const Loaded& t : tokenisers) {
+  for (const LoadedTokeniser& t : tokenisers) {
     CountOrder order{t.tokeniser,
                      t.version.name + '\0' + t.version.version + '\0' + std::to_string(t.number),
                      prompt.text,
@@ -78,8 +78,8 @@
     open.done(counts);
     return {};
   }
-  const Micros within = prompt.within > 0 ? std::min(prompt.within, options_.within) : options_.within;
-  open.late = timers_.after(within, [this, ticket] {
+  const Micros timeout = prompt.timeout > 0 ? std::min(prompt.timeout, options_.timeout) : options_.timeout;
+  open.late = timers_.after(timeout, [this, ticket] {
     Open& o = open_.at(ticket);
     o.error = Estimate::late;
     ++counters_.estimatedLate;
--- a/src/counting/counter.h
+++ b/src/counting/counter.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "counting/prompt_count.h"
-#include "counting/version_book.h"
+#include "counting/tokeniser_registry.h"
 #include "scheduler/worker_pool.h"
 #include "timing/timers.h"
 
@@ -25,7 +25,7 @@
   std::size_t inlineBytes = 2048;  // shorter texts are counted in the loop's thread
   std::size_t lookBytes =
       64u << 10;                  // and of texts up to this it looks there whether the count is remembered
-  Micros within = 200'000;        // then the estimate is taken
+  Micros timeout = 200'000;       // then the estimate is taken
   double charactersPerToken = 4;  // the estimate where nothing is learnt
   bool sessionIds = false;        // keep the ids of conversations
 };
@@ -70,7 +70,7 @@
     std::size_t sharedPrefixBytes = 0;
     std::string session;
     bool specialTokens = false;
-    Micros within =
+    Micros timeout =
         0;  // then the estimate is taken, or after the options' time where that is less; 0: after that
   };
   Counter(const CounterOptions& options, timing::Timers& timers,
@@ -80,7 +80,7 @@
   // Counts with every one of `tokenisers`, the first being the main one. `done` comes once, maybe before this
   // returns; then the ticket is 0.
   using Done = std::function<void(const PromptCounts&)>;
-  CountTicket count(Prompt prompt, const std::vector<Loaded>& tokenisers, Done done);
+  CountTicket count(Prompt prompt, const std::vector<LoadedTokeniser>& tokenisers, Done done);
   // `done` does not come any more; work that nobody waits for stops.
   void cancel(CountTicket ticket);
 
--- a/src/counting/version_book.cpp
+++ b/src/counting/tokeniser_registry.cpp
@@ -1,4 +1,4 @@
-#include "counting/version_book.h"
+#include "counting/tokeniser_registry.h"
 
 #include <algorithm>
 #include <bit>
@@ -17,7 +17,8 @@
 
 std::string text(const VersionName& v) { return v.version.empty() ? v.name : v.name + " " + v.version; }
 
-std::uint64_t VersionBook::load(VersionName version, std::shared_ptr<const tokeniser::Tokeniser> tokeniser) {
+std::uint64_t TokeniserRegistry::load(VersionName version,
+                                      std::shared_ptr<const tokeniser::Tokeniser> tokeniser) {
   const std::uint64_t number = next_++;
   if (const auto old = byVersion_.find(version); old != byVersion_.end()) loaded_.erase(old->second);
   byVersion_[version] = number;
@@ -31,7 +32,7 @@
   return number;
 }
 
-void VersionBook::set(Engine& e, std::optional<VersionName> version) {
+void TokeniserRegistry::set(Engine& e, std::optional<VersionName> version) {
   if (e.version == version) return;
   e.version = std::move(version);
   e.doubted = false;
@@ -39,8 +40,8 @@
   ++edition_;
 }
 
-void VersionBook::listed(EndpointId engine, Micros startedAt, const std::optional<VersionName>& told,
-                         Micros now) {
+void TokeniserRegistry::listed(EndpointId engine, Micros startedAt,
+                               const std::optional<VersionName>& versionReported, Micros now) {
   const auto [at, isNew] = engines_.try_emplace(engine.value);
   Engine& e = at->second;
   const bool restarted = !isNew && e.startedAt != startedAt;
@@ -49,10 +50,10 @@
     e.factor = e.published = usualFactor();
     ++edition_;
   }
-  e.fromList = told.has_value();
-  if (told) {
+  e.fromList = versionReported.has_value();
+  if (versionReported) {
     if (restarted) e.doubted = false;
-    return set(e, told);
+    return set(e, versionReported);
   }
   if (isNew || restarted) {
     set(e, std::nullopt);
@@ -62,7 +63,7 @@
   }
 }
 
-std::vector<EndpointId> VersionBook::toAsk(Micros now) {
+std::vector<EndpointId> TokeniserRegistry::enginesToQuery(Micros now) {
   std::vector<EndpointId> out;
   for (auto& [id, e] : engines_)
     if (!e.fromList && !e.asking && now >= e.askAt) {
@@ -73,52 +74,52 @@
   return out;
 }
 
-std::optional<Micros> VersionBook::nextAsk() const {
+std::optional<Micros> TokeniserRegistry::nextQueryTime() const {
   std::optional<Micros> next;
   for (const auto& [id, e] : engines_)
     if (!e.fromList && !e.asking) next = std::min(next.value_or(e.askAt), e.askAt);
   return next;
 }
 
-void VersionBook::told(EndpointId engine, const VersionName& version, Micros now) {
+void TokeniserRegistry::versionReported(EndpointId engine, const VersionName& version, Micros now) {
   const auto at = engines_.find(engine.value);
   if (at == engines_.end() || at->second.fromList) return;
   Engine& e = at->second;
   e.asking = false;
   e.failures = 0;
-  e.askAt = now + options_.askEvery;
+  e.askAt = now + options_.queryInterval;
   set(e, version);
 }
 
-void VersionBook::cannotTell(EndpointId engine, Micros now) {
+void TokeniserRegistry::versionUnsupported(EndpointId engine, Micros now) {
   const auto at = engines_.find(engine.value);
   if (at == engines_.end() || at->second.fromList) return;
   Engine& e = at->second;
   e.asking = false;
   e.failures = 0;
-  e.askAt = now + options_.askEvery;
+  e.askAt = now + options_.queryInterval;
   set(e, options_.usual);
 }
 
 // A silent engine keeps the version that it told: it is the same process as far as anybody knows.
-void VersionBook::noAnswer(EndpointId engine, Micros now) {
+void TokeniserRegistry::versionQueryFailed(EndpointId engine, Micros now) {
   const auto at = engines_.find(engine.value);
   if (at == engines_.end()) return;
   Engine& e = at->second;
   e.asking = false;
-  e.askAt = now + std::min(options_.askEvery, options_.retryFirst << std::min(e.failures, 16));
+  e.askAt = now + std::min(options_.queryInterval, options_.retryFirst << std::min(e.failures, 16));
   ++e.failures;
 }
 
-bool VersionBook::read(EndpointId engine, double main, std::optional<double> exact, std::uint64_t number,
-                       double reported) {
+bool TokeniserRegistry::recordReportedTokens(EndpointId engine, double main, std::optional<double> exact,
+                                             std::uint64_t number, double reported) {
   const auto at = engines_.find(engine.value);
   if (at == engines_.end() || main <= 0 || reported <= 0) return false;
   Engine& e = at->second;
   const double sample = std::clamp(reported / main, kFactorLeast, kFactorMost);
   ++e.reads;
   e.factor += std::max(kWeight, 1.0 / e.reads) * (sample - e.factor);
-  const Loaded* const now = file(e);
+  const LoadedTokeniser* const now = file(e);
   if (std::abs(e.factor - e.published) > kTold * e.published) {
     e.published = e.factor;
     if (now == nullptr) ++edition_;
@@ -131,21 +132,21 @@
   return true;
 }
 
-const Loaded* VersionBook::file(const Engine& e) const {
+const LoadedTokeniser* TokeniserRegistry::file(const Engine& e) const {
   if (!e.version || e.doubted) return nullptr;
   const auto at = byVersion_.find(*e.version);
   return at == byVersion_.end() ? nullptr : &loaded_.at(at->second);
 }
 
-VersionBook::Basis VersionBook::basis(EndpointId engine) const {
+TokeniserRegistry::Basis TokeniserRegistry::basis(EndpointId engine) const {
   const auto at = engines_.find(engine.value);
   if (at == engines_.end()) return {};
-  const Loaded* const loaded = file(at->second);
+  const LoadedTokeniser* const loaded = file(at->second);
   return {loaded == nullptr ? 0 : loaded->number,
           at->second.reads > 0 ? at->second.published : usualFactor()};
 }
 
-double VersionBook::usualFactor() const {
+double TokeniserRegistry::usualFactor() const {
   double sum = 0;
   double weight = 0;
   for (const auto& [id, e] : engines_)
@@ -156,14 +157,15 @@
   return weight == 0 ? 1 : sum / weight;
 }
 
-std::vector<Loaded> VersionBook::inUse() const {
+std::vector<LoadedTokeniser> TokeniserRegistry::inUse() const {
   std::map<std::uint64_t, std::size_t> engines;
   for (const auto& [id, e] : engines_)
-    if (const Loaded* loaded = file(e)) ++engines[loaded->number];
-  std::vector<Loaded> out;
+    if (const LoadedTokeniser* loaded = file(e)) ++engines[loaded->number];
+  std::vector<LoadedTokeniser> out;
   for (const auto& [number, count] : engines) out.push_back(loaded_.at(number));
-  std::stable_sort(out.begin(), out.end(),
-                   [&](const Loaded& a, const Loaded& b) { return engines[a.number] > engines[b.number]; });
+  std::stable_sort(out.begin(), out.end(), [&](const LoadedTokeniser& a, const LoadedTokeniser& b) {
+    return engines[a.number] > engines[b.number];
+  });
   if (out.empty() && options_.usual)
     if (const auto at = byVersion_.find(*options_.usual); at != byVersion_.end())
       out.push_back(loaded_.at(at->second));
@@ -171,7 +173,7 @@
   return out;
 }
 
-std::size_t VersionBook::estimated() const {
+std::size_t TokeniserRegistry::estimated() const {
   return static_cast<std::size_t>(std::count_if(
       engines_.begin(), engines_.end(), [&](const auto& item) { return file(item.second) == nullptr; }));
 }
--- a/src/counting/version_book.h
+++ b/src/counting/tokeniser_registry.h
@@ -32,40 +32,42 @@
 std::string text(const VersionName& v);
 
 // A loaded file. Each load has its own number, also a second one of the same version.
-struct Loaded {
+struct LoadedTokeniser {
   std::uint64_t number = 0;  // from 1
   VersionName version;
   std::shared_ptr<const tokeniser::Tokeniser> tokeniser;
 };
 
-class VersionBook {
+class TokeniserRegistry {
  public:
   struct Options {
-    Micros askEvery = 5'000'000;       // an engine that told its version is asked again
-    Micros retryFirst = 100'000;       // one that did not is asked again after this, doubled up to askEvery
+    Micros queryInterval = 5'000'000;  // an engine that told its version is asked again
+    Micros retryFirst = 100'000;  // one that did not is asked again after this, doubled up to queryInterval
     std::optional<VersionName> usual;  // of engines that don't tell; none: their counts are estimated
   };
-  explicit VersionBook(Options options) : options_(std::move(options)) {}
+  explicit TokeniserRegistry(Options options) : options_(std::move(options)) {}
 
   // A file was loaded, maybe in place of one for the same version. Its number.
   std::uint64_t load(VersionName version, std::shared_ptr<const tokeniser::Tokeniser> tokeniser);
 
   // ---- engines ----
   // Listed, for the first time or again. `told`: the list itself names the version.
-  void listed(EndpointId engine, Micros startedAt, const std::optional<VersionName>& told, Micros now);
+  void listed(EndpointId engine, Micros startedAt, const std::optional<VersionName>& versionReported,
+              Micros now);
   void gone(EndpointId engine) { engines_.erase(engine.value); }
-  // Engines that are to be asked now; each is then awaited until told(), cannotTell() or noAnswer().
-  std::vector<EndpointId> toAsk(Micros now);
-  std::optional<Micros> nextAsk() const;
-  void told(EndpointId engine, const VersionName& version, Micros now);
+  // Engines that are to be asked now; each is then awaited until told(), versionUnsupported() or
+  // versionQueryFailed().
+  std::vector<EndpointId> enginesToQuery(Micros now);
+  std::optional<Micros> nextQueryTime() const;
+  void versionReported(EndpointId engine, const VersionName& version, Micros now);
   // It answered, and knows no such thing.
-  void cannotTell(EndpointId engine, Micros now);
-  void noAnswer(EndpointId engine, Micros now);
+  void versionUnsupported(EndpointId engine, Micros now);
+  void versionQueryFailed(EndpointId engine, Micros now);
   // An engine read a prompt and told how many tokens it had. `main`: the request's main count; `exact`: the
   // count by the tokeniser of this number, none where it was estimated. True: from now on the engine is not
   // believed.
-  bool read(EndpointId engine, double main, std::optional<double> exact, std::uint64_t number,
-            double reported);
+  bool recordReportedTokens(EndpointId engine, double main, std::optional<double> exact, std::uint64_t number,
+                            double reported);
 
   // ---- answers ----
   struct Basis {
@@ -73,10 +75,10 @@
     double factor = 1;         // the estimate, over the request's main count
   };
   Basis basis(EndpointId engine) const;
-  // Loaded tokenisers that count for an engine now, the one of most engines first. Where none does, the usual
-  // one or the latest loaded, for the main count.
-  std::vector<Loaded> inUse() const;
-  const std::map<std::uint64_t, Loaded>& loaded() const { return loaded_; }
+  // LoadedTokeniser tokenisers that count for an engine now, the one of most engines first. Where none does,
+  // the usual one or the latest loaded, for the main count.
+  std::vector<LoadedTokeniser> inUse() const;
+  const std::map<std::uint64_t, LoadedTokeniser>& loaded() const { return loaded_; }
   // Engines whose counts are estimated.
   std::size_t estimated() const;
   // Changes with every answer of basis() or inUse() that changes.
@@ -96,13 +98,13 @@
     std::uint32_t differences = 0;  // of the last exact counts, a bit each
     double published = 1;           // the factor that basis() tells
   };
-  const Loaded* file(const Engine& e) const;
+  const LoadedTokeniser* file(const Engine& e) const;
   void set(Engine& e, std::optional<VersionName> version);
   // Without one of its own: the mean of the others'.
   double usualFactor() const;
 
   Options options_;
-  std::map<std::uint64_t, Loaded> loaded_;
+  std::map<std::uint64_t, LoadedTokeniser> loaded_;
   std::map<VersionName, std::uint64_t> byVersion_;
   std::unordered_map<std::uint64_t, Engine> engines_;
   std::uint64_t next_ = 1;
--- a/src/server/settings.cpp
+++ b/src/server/settings.cpp
@@ -196,9 +196,9 @@
   c.store.sessionBytes = static_cast<std::size_t>(counting.number("session_ids_mb", 64, 0.1, 1e5) * 1e6);
   c.sessionIds = counting.flag("session_ids", false);
   c.inlineBytes = static_cast<std::size_t>(counting.integer("inline_bytes", 2048, 0, 1 << 20));
-  c.within = counting.micros("within_ms", 200, 1, kHour);
+  c.timeout = counting.micros("within_ms", 200, 1, kHour);
   c.charactersPerToken = out.intake.charactersPerToken;
-  out.counting.versions.askEvery = counting.micros("ask_every_ms", 5000, 10, kHour);
+  out.counting.versions.queryInterval = counting.micros("ask_every_ms", 5000, 10, kHour);
   const std::string usual = counting.text("usual", "");
   const std::string usualVersion = counting.text("usual_version", "");
   if (!usual.empty()) {
--- a/src/server/token_counts.cpp
+++ b/src/server/token_counts.cpp
@@ -82,7 +82,7 @@
   const Micros since = loop_.now();
   auto prompt = promptOf(request);
   // A count may take a tenth of the time that there is.
-  prompt.within = std::max<Micros>(1, request.remaining / 10);
+  prompt.timeout = std::max<Micros>(1, request.remaining / 10);
   const auto shared = std::make_shared<routing::Request>(std::move(request));
   return counter_
       ->count(std::move(prompt), book_.inUse(),
@@ -121,9 +121,9 @@
   std::set<EndpointId> present;
   for (const auto& [name, e] : engines) {
     present.insert(e.id);
-    std::optional<VersionName> told;
-    if (!e.tokeniser.empty()) told = VersionName{e.tokeniser, e.tokeniserVersion};
-    book_.listed(e.id, e.startedAt.sinceEpoch, told, now);
+    std::optional<VersionName> versionReported;
+    if (!e.tokeniser.empty()) versionReported = VersionName{e.tokeniser, e.tokeniserVersion};
+    book_.listed(e.id, e.startedAt.sinceEpoch, versionReported, now);
   }
   for (const EndpointId id : listed_)
     if (!present.contains(id)) book_.gone(id);
@@ -134,9 +134,9 @@
 
 void TokenCounts::ask() {
   const Micros now = loop_.now();
-  for (const EndpointId id : book_.toAsk(now)) {
+  for (const EndpointId id : book_.enginesToQuery(now)) {
     if (engines_.tokeniserPath().empty()) {
-      book_.cannotTell(id, now);
+      book_.versionUnsupported(id, now);
       continue;
     }
     engines_.fetch(id, engines_.tokeniserPath(),
@@ -144,16 +144,16 @@
                      if (!*alive) return;
                      const auto version = status == 200 ? versionIn(body) : std::nullopt;
                      if (version)
-                       book_.told(id, *version, loop_.now());
+                       book_.versionReported(id, *version, loop_.now());
                      else if (status == 0 || status >= 500)
-                       book_.noAnswer(id, loop_.now());
+                       book_.versionQueryFailed(id, loop_.now());
                      else
-                       book_.cannotTell(id, loop_.now());
+                       book_.versionUnsupported(id, loop_.now());
                      look();
                      ask();
                    });
   }
-  if (const auto next = book_.nextAsk())
+  if (const auto next = book_.nextQueryTime())
     askAlarm_.start(std::max<Micros>(1000, *next - loop_.now()), [this] { ask(); });
   look();
 }
@@ -202,7 +202,7 @@
   std::optional<double> exact;
   for (const auto& c : request.counts)
     if (c.tokeniser == number) exact = c.promptTokens;
-  if (book_.read(server, request.promptTokens, exact, number, tokens))
+  if (book_.recordReportedTokens(server, request.promptTokens, exact, number, tokens))
     log_.warn("tokeniser-doubted",
               {{"engine", server.value}, {"counted", exact.value_or(0)}, {"told", tokens}});
   // The router is in the middle of an event; what it is told of this comes in the next turn.
--- a/src/server/token_counts.h
+++ b/src/server/token_counts.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "counting/counter.h"
-#include "counting/version_book.h"
+#include "counting/tokeniser_registry.h"
 #include "engine/http_engine_client.h"
 #include "grpc_frontend/prompt_counting.h"
 #include "log/log.h"
@@ -27,7 +27,7 @@
 
 struct CountingSettings {
   std::vector<TokeniserFile> files;  // none: prompts are estimated by their characters
-  counting::VersionBook::Options versions;
+  counting::TokeniserRegistry::Options versions;
   counting::CounterOptions counter;
 };
 
@@ -53,7 +53,7 @@
 
   std::size_t open() const { return counter_ ? counter_->open() : 0; }
   bool on() const { return counter_ != nullptr; }
-  const counting::VersionBook& versions() const { return book_; }
+  const counting::TokeniserRegistry& versions() const { return book_; }
   const counting::Counter* counter() const { return counter_.get(); }
   std::string summary() const;
 
@@ -69,7 +69,7 @@
   log::Log& log_;
   std::function<void()> changed_;
   routing::Router* router_ = nullptr;
-  counting::VersionBook book_;
+  counting::TokeniserRegistry book_;
   std::uint64_t edition_ = 0;
   std::vector<std::uint64_t> inUse_;
   std::vector<EndpointId> listed_;
--- a/tests/counting_test.cpp
+++ b/tests/counting_test.cpp
@@ -255,10 +255,11 @@
   std::promise<void> open;
   net::Loop loop;
   CounterOptions options;
-  options.within = 20'000;
+  options.timeout = 20'000;
   auto counter =
       std::make_unique<Counter>(options, loop, [&](std::function<void()> t) { loop.post(std::move(t)); });
-  const std::vector<Loaded> hanging{{1, {"h", "1"}, std::make_shared<Hanging>(open.get_future().share())}};
+  const std::vector<LoadedTokeniser> hanging{
+      {1, {"h", "1"}, std::make_shared<Hanging>(open.get_future().share())}};
   std::optional<PromptCounts> counts;
   int turns = 0;
   std::function<void()> turn = [&] {
@@ -286,17 +287,17 @@
 const VersionName kOne{"model", "1"};
 const VersionName kTwo{"model", "2"};
 
-TEST(VersionBook, EachEngineByItsOwnVersion) {
-  VersionBook book({});
+TEST(TokeniserRegistry, EachEngineByItsOwnVersion) {
+  TokeniserRegistry book({});
   const auto one = book.load(kOne, loaded(1));
   const auto two = book.load(kTwo, loaded(2));
   for (std::uint64_t id = 1; id <= 3; ++id) book.listed({id}, 0, std::nullopt, 0);
-  EXPECT_EQ(book.toAsk(0).size(), 3U);
-  EXPECT_TRUE(book.toAsk(0).empty()) << "asked once at a time";
+  EXPECT_EQ(book.enginesToQuery(0).size(), 3U);
+  EXPECT_TRUE(book.enginesToQuery(0).empty()) << "asked once at a time";
   EXPECT_EQ(book.basis({1}).number, 0U) << "unknown until told";
-  book.told({1}, kOne, 0);
-  book.told({2}, kTwo, 0);
-  book.told({3}, kTwo, 0);
+  book.versionReported({1}, kOne, 0);
+  book.versionReported({2}, kTwo, 0);
+  book.versionReported({3}, kTwo, 0);
   EXPECT_EQ(book.basis({1}).number, one);
   EXPECT_EQ(book.basis({2}).number, two);
   const auto use = book.inUse();
@@ -304,88 +305,88 @@
   EXPECT_EQ(use[0].number, two) << "that of most engines first";
 }
 
-TEST(VersionBook, ARestartMakesTheVersionUnknownAtOnce) {
-  VersionBook book({});
+TEST(TokeniserRegistry, ARestartMakesTheVersionUnknownAtOnce) {
+  TokeniserRegistry book({});
   const auto one = book.load(kOne, loaded(1));
   book.listed({1}, 5, std::nullopt, 0);
-  book.toAsk(0);
-  book.told({1}, kOne, 0);
+  book.enginesToQuery(0);
+  book.versionReported({1}, kOne, 0);
   EXPECT_EQ(book.basis({1}).number, one);
   const auto before = book.edition();
   book.listed({1}, 6, std::nullopt, 10 * kMs);
   EXPECT_EQ(book.basis({1}).number, 0U);
   EXPECT_NE(book.edition(), before);
-  EXPECT_EQ(book.toAsk(10 * kMs).size(), 1U);
-  book.told({1}, kTwo, 20 * kMs);  // no file for it
+  EXPECT_EQ(book.enginesToQuery(10 * kMs).size(), 1U);
+  book.versionReported({1}, kTwo, 20 * kMs);  // no file for it
   EXPECT_EQ(book.basis({1}).number, 0U);
   EXPECT_EQ(book.estimated(), 1U);
 }
 
-TEST(VersionBook, WithoutAFileByTheEnginesOwnRatio) {
-  VersionBook book({});
+TEST(TokeniserRegistry, WithoutAFileByTheEnginesOwnRatio) {
+  TokeniserRegistry book({});
   book.load(kOne, loaded(1));
   for (std::uint64_t id = 1; id <= 2; ++id) {
     book.listed({id}, 0, std::nullopt, 0);
-    book.toAsk(0);
-    book.told({id}, kTwo, 0);
+    book.enginesToQuery(0);
+    book.versionReported({id}, kTwo, 0);
   }
   for (int i = 0; i < 50; ++i) {
-    book.read({1}, 1000, std::nullopt, 0, 1500);
-    book.read({2}, 1000, std::nullopt, 0, 700);
+    book.recordReportedTokens({1}, 1000, std::nullopt, 0, 1500);
+    book.recordReportedTokens({2}, 1000, std::nullopt, 0, 700);
   }
   EXPECT_NEAR(book.basis({1}).factor, 1.5, 0.05);
   EXPECT_NEAR(book.basis({2}).factor, 0.7, 0.05);
   book.listed({3}, 0, std::nullopt, 0);
   EXPECT_NEAR(book.basis({3}).factor, 1.1, 0.05) << "one that was never read on: the others' mean";
-  book.read({1}, 1000, std::nullopt, 0, 1e12);  // a report that lies
+  book.recordReportedTokens({1}, 1000, std::nullopt, 0, 1e12);  // a report that lies
   EXPECT_LT(book.basis({1}).factor, 2.5);
 }
 
-TEST(VersionBook, AnEngineWhoseReportsDifferIsNotBelieved) {
-  VersionBook book({});
+TEST(TokeniserRegistry, AnEngineWhoseReportsDifferIsNotBelieved) {
+  TokeniserRegistry book({});
   const auto one = book.load(kOne, loaded(1));
   book.listed({1}, 0, std::nullopt, 0);
-  book.toAsk(0);
-  book.told({1}, kOne, 0);
-  for (int i = 0; i < 100; ++i) EXPECT_FALSE(book.read({1}, 100, 100.0, one, 100));
+  book.enginesToQuery(0);
+  book.versionReported({1}, kOne, 0);
+  for (int i = 0; i < 100; ++i) EXPECT_FALSE(book.recordReportedTokens({1}, 100, 100.0, one, 100));
   // Counted by another file than now: says nothing.
-  for (int i = 0; i < 100; ++i) EXPECT_FALSE(book.read({1}, 100, 100.0, one + 7, 130));
+  for (int i = 0; i < 100; ++i) EXPECT_FALSE(book.recordReportedTokens({1}, 100, 100.0, one + 7, 130));
   int until = 0;
-  while (!book.read({1}, 100, 100.0, one, 130)) ASSERT_LT(++until, 10);
+  while (!book.recordReportedTokens({1}, 100, 100.0, one, 130)) ASSERT_LT(++until, 10);
   EXPECT_EQ(until, 3);
   EXPECT_EQ(book.basis({1}).number, 0U);
   EXPECT_GT(book.basis({1}).factor, 1.2);
-  book.told({1}, kOne, 0);
+  book.versionReported({1}, kOne, 0);
   EXPECT_EQ(book.basis({1}).number, 0U) << "the same word again is no proof";
   const auto again = book.load(kOne, loaded(1));
   EXPECT_EQ(book.basis({1}).number, again) << "another file, another chance";
 }
 
-TEST(VersionBook, AsksAgainLaterAndLater) {
-  VersionBook book({.askEvery = 1000 * kMs, .retryFirst = 100 * kMs});
+TEST(TokeniserRegistry, AsksAgainLaterAndLater) {
+  TokeniserRegistry book({.queryInterval = 1000 * kMs, .retryFirst = 100 * kMs});
   book.listed({1}, 0, std::nullopt, 0);
   Micros now = 0;
   std::vector<Micros> pauses;
   for (int i = 0; i < 6; ++i) {
-    ASSERT_EQ(book.toAsk(now).size(), 1U);
-    book.noAnswer({1}, now);
-    pauses.push_back(*book.nextAsk() - now);
-    now = *book.nextAsk();
+    ASSERT_EQ(book.enginesToQuery(now).size(), 1U);
+    book.versionQueryFailed({1}, now);
+    pauses.push_back(*book.nextQueryTime() - now);
+    now = *book.nextQueryTime();
   }
   EXPECT_EQ(pauses,
             (std::vector<Micros>{100 * kMs, 200 * kMs, 400 * kMs, 800 * kMs, 1000 * kMs, 1000 * kMs}));
 }
 
-TEST(VersionBook, EnginesThatCannotTellTakeTheUsualOne) {
-  VersionBook book({.usual = kOne});
+TEST(TokeniserRegistry, EnginesThatCannotTellTakeTheUsualOne) {
+  TokeniserRegistry book({.usual = kOne});
   const auto one = book.load(kOne, loaded(1));
   book.listed({1}, 0, std::nullopt, 0);
-  book.toAsk(0);
+  book.enginesToQuery(0);
   EXPECT_EQ(book.inUse().size(), 1U) << "the main count before anybody told";
-  book.cannotTell({1}, 0);
+  book.versionUnsupported({1}, 0);
   EXPECT_EQ(book.basis({1}).number, one);
   book.listed({2}, 0, kTwo, 0);
-  EXPECT_TRUE(book.toAsk(0).empty()) << "the list told it";
+  EXPECT_TRUE(book.enginesToQuery(0).empty()) << "the list told it";
 }
 
 }  // namespace
