--- a/src/counting/count_cache.cpp
+++ b/src/counting/count_cache.cpp
@@ -7,23 +7,23 @@
 namespace garnethook::counting {
 namespace {
 
-// Entries that fit with their buckets (at most two of four bytes each) and sketch (at most four bytes
-// each).
-std::size_t entriesIn(std::size_t bytes, std::size_t entry) {
-  return std::max(bytes, CountCache::kLeast) / (entry + 8 + 4);
+// Number of entries that fit in `bytes`. Each entry also needs at most two buckets of four bytes and four
+// bytes of the frequency sketch.
+std::size_t entriesThatFit(std::size_t bytes, std::size_t entryBytes) {
+  return std::max(bytes, CountCache::kMinBytes) / (entryBytes + 8 + 4);
 }
 
 }  // namespace
 
 CountCache::CountCache(std::size_t bytes)
-    : entries_(entriesIn(bytes, sizeof(Entry))),
+    : entries_(entriesThatFit(bytes, sizeof(Entry))),
       buckets_(std::bit_ceil(entries_.size()), kNone),
       sketch_(entries_.size()),
-      windowMost_(std::max<std::size_t>(entries_.size() / 64, 8)),
-      guardedMost_((entries_.size() - windowMost_) * 4 / 5) {
+      windowCapacity_(std::max<std::size_t>(entries_.size() / 64, 8)),
+      protectedCapacity_((entries_.size() - windowCapacity_) * 4 / 5) {
   for (std::size_t i = entries_.size(); i-- > 0;) {
-    entries_[i].chain = free_;
-    free_ = static_cast<std::uint32_t>(i);
+    entries_[i].chain = freeHead_;
+    freeHead_ = static_cast<std::uint32_t>(i);
   }
 }
 
@@ -37,34 +37,35 @@
   return at;
 }
 
-void CountCache::link(std::uint32_t entry, Segment segment) {
+void CountCache::link(std::uint32_t index, Segment segment) {
   List& list = lists_[segment];
-  Entry& e = entries_[entry];
-  e.segment = segment;
-  e.newer = kNone;
-  e.older = list.newest;
-  if (list.newest != kNone) entries_[list.newest].newer = entry;
-  list.newest = entry;
-  if (list.oldest == kNone) list.oldest = entry;
+  Entry& entry = entries_[index];
+  entry.segment = segment;
+  entry.newer = kNone;
+  entry.older = list.newest;
+  if (list.newest != kNone) entries_[list.newest].newer = index;
+  list.newest = index;
+  if (list.oldest == kNone) list.oldest = index;
   ++list.size;
 }
 
-void CountCache::unlink(std::uint32_t entry) {
-  Entry& e = entries_[entry];
-  List& list = lists_[e.segment];
-  (e.newer == kNone ? list.newest : entries_[e.newer].older) = e.older;
-  (e.older == kNone ? list.oldest : entries_[e.older].newer) = e.newer;
+void CountCache::unlink(std::uint32_t index) {
+  Entry& entry = entries_[index];
+  List& list = lists_[entry.segment];
+  (entry.newer == kNone ? list.newest : entries_[entry.newer].older) = entry.older;
+  (entry.older == kNone ? list.oldest : entries_[entry.older].newer) = entry.newer;
   --list.size;
 }
 
-// Who is asked for in the main part gets into its guarded segment; the oldest there goes back to probation.
-void CountCache::touch(std::uint32_t entry) {
-  const Segment segment = entries_[entry].segment;
-  unlink(entry);
-  if (segment == window) return link(entry, window);
-  link(entry, guarded);
-  if (lists_[guarded].size <= guardedMost_) return;
-  const std::uint32_t oldest = lists_[guarded].oldest;
+// Marks an entry as used. An entry of the main segment moves to the protected segment; if that exceeds its
+// capacity, its least recently used entry returns to probation.
+void CountCache::promote(std::uint32_t index) {
+  const Segment segment = entries_[index].segment;
+  unlink(index);
+  if (segment == window) return link(index, window);
+  link(index, protectedSegment);
+  if (lists_[protectedSegment].size <= protectedCapacity_) return;
+  const std::uint32_t oldest = lists_[protectedSegment].oldest;
   unlink(oldest);
   link(oldest, probation);
 }
@@ -73,22 +74,22 @@
   sketch_.add(key);
   const std::uint32_t at = lookup(key);
   if (at == kNone) {
-    ++counters_.missed;
+    ++counters_.misses;
     return std::nullopt;
   }
-  ++counters_.found;
-  touch(at);
+  ++counters_.hits;
+  promote(at);
   return tokeniser::Mark{entries_[at].at, entries_[at].tokens};
 }
 
 void CountCache::put(const Digest& key, const tokeniser::Mark& mark) {
   if (mark.at > 0xffffffff || mark.tokens > 0xffffffff) return;
-  ++counters_.put;
+  ++counters_.writes;
   std::uint32_t at = lookup(key);
   if (at == kNone) {
-    makeRoom();
-    at = free_;
-    free_ = entries_[at].chain;
+    evictForInsert();
+    at = freeHead_;
+    freeHead_ = entries_[at].chain;
     ++used_;
     entries_[at].key = key;
     std::uint32_t& head = bucket(key);
@@ -100,40 +101,40 @@
   entries_[at].tokens = static_cast<std::uint32_t>(mark.tokens);
 }
 
-void CountCache::drop(std::uint32_t entry) {
-  unlink(entry);
-  std::uint32_t* at = &bucket(entries_[entry].key);
-  while (*at != entry) at = &entries_[*at].chain;
-  *at = entries_[entry].chain;
-  entries_[entry].chain = free_;
-  free_ = entry;
+void CountCache::evict(std::uint32_t index) {
+  unlink(index);
+  std::uint32_t* at = &bucket(entries_[index].key);
+  while (*at != index) at = &entries_[*at].chain;
+  *at = entries_[index].chain;
+  entries_[index].chain = freeHead_;
+  freeHead_ = index;
   --used_;
 }
 
-// The window's oldest goes on to the main part: into free room, or in the place of its oldest where it was
-// asked for more often than that.
-void CountCache::makeRoom() {
-  if (lists_[window].size >= windowMost_) {
+// Ensures that a free entry exists. If the window is full, its oldest entry moves to the main segment: into a
+// free entry, or in place of the oldest main entry if it was requested more often than that one.
+void CountCache::evictForInsert() {
+  if (lists_[window].size >= windowCapacity_) {
     const std::uint32_t candidate = lists_[window].oldest;
-    if (free_ != kNone) {
+    if (freeHead_ != kNone) {
       unlink(candidate);
       link(candidate, probation);
     } else {
       const std::uint32_t victim =
-          lists_[probation].oldest != kNone ? lists_[probation].oldest : lists_[guarded].oldest;
+          lists_[probation].oldest != kNone ? lists_[probation].oldest : lists_[protectedSegment].oldest;
       if (victim != kNone &&
           sketch_.estimate(entries_[candidate].key) > sketch_.estimate(entries_[victim].key)) {
-        drop(victim);
+        evict(victim);
         unlink(candidate);
         link(candidate, probation);
       } else {
         ++counters_.rejected;
-        drop(candidate);
+        evict(candidate);
       }
     }
   }
-  if (free_ == kNone)
-    drop(lists_[probation].oldest != kNone ? lists_[probation].oldest : lists_[window].oldest);
+  if (freeHead_ == kNone)
+    evict(lists_[probation].oldest != kNone ? lists_[probation].oldest : lists_[window].oldest);
 }
 
 }  // namespace garnethook::counting
--- a/src/counting/count_cache.h
+++ b/src/counting/count_cache.h
@@ -1,12 +1,13 @@
-// Token counts of texts and of beginnings, by digest, in a fixed block of memory.
+// Fixed-memory cache of token counts, keyed by the digest of a text or of one of its prefixes.
 //
-// W-TinyLFU (Einziger, Friedman and Manes, 2017): new keys enter a small window; who leaves the window gets
-// into the main part only by having been asked for more often than the one it would drive out. So a flood of
-// texts that come once passes through the window and leaves the rest alone. The main part is a segmented LRU.
-// Everything stands in arrays made at the beginning: memory() is what the cache takes, whatever comes.
+// Implements W-TinyLFU (Einziger, Friedman and Manes, 2017). New keys enter a small window. A key evicted
+// from the window is admitted to the main segment only if it was requested more often than the entry that it
+// would replace, so a flood of texts that occur once passes through the window without displacing other
+// entries. The main segment is a segmented LRU. All arrays are allocated by the constructor, so memory() is
+// constant.
 //
-// Plain alternative: std::unordered_map with an LRU list (bench/count_cache_bench.cpp measures both).
-// Used by one thread at a time.
+// The plain alternative is std::unordered_map with an LRU list; bench/count_cache_bench.cpp compares both.
+// Not thread-safe.
 #pragma once
 
 #include <array>
@@ -22,19 +23,19 @@
 namespace garnethook::counting {
 
 struct CacheCounters {
-  std::uint64_t found = 0;
-  std::uint64_t missed = 0;
-  std::uint64_t put = 0;
-  std::uint64_t rejected = 0;  // left the window and did not get into the main part
+  std::uint64_t hits = 0;
+  std::uint64_t misses = 0;
+  std::uint64_t writes = 0;
+  std::uint64_t rejected = 0;  // evicted from the window and not admitted to the main segment
 };
 
 class CountCache {
  public:
-  // Takes no more than `bytes` in all; at least kLeast are taken.
-  static constexpr std::size_t kLeast = 64u << 10;
+  // Uses at most `bytes`, or kMinBytes if that is larger.
+  static constexpr std::size_t kMinBytes = 64u << 10;
   explicit CountCache(std::size_t bytes);
 
-  // Marks with places or counts of 2^32 and more are not kept.
+  // Marks with a position or token count of 2^32 or more are not stored.
   std::optional<tokeniser::Mark> find(const Digest& key);
   void put(const Digest& key, const tokeniser::Mark& mark);
 
@@ -45,12 +46,12 @@
 
  private:
   static constexpr std::uint32_t kNone = 0xffffffff;
-  enum Segment : std::uint8_t { window, probation, guarded };
+  enum Segment : std::uint8_t { window, probation, protectedSegment };
   struct Entry {
     Digest key;
     std::uint32_t at = 0;
     std::uint32_t tokens = 0;
-    std::uint32_t chain = kNone;  // next with the same bucket; next free one
+    std::uint32_t chain = kNone;  // next entry of the same bucket, or of the free list
     std::uint32_t newer = kNone;
     std::uint32_t older = kNone;
     Segment segment = window;
@@ -65,19 +66,19 @@
     return buckets_[static_cast<std::size_t>(key.low) & (buckets_.size() - 1)];
   }
   std::uint32_t lookup(const Digest& key);
-  void link(std::uint32_t entry, Segment segment);
-  void unlink(std::uint32_t entry);
-  void touch(std::uint32_t entry);
-  void drop(std::uint32_t entry);
-  void makeRoom();
+  void link(std::uint32_t index, Segment segment);
+  void unlink(std::uint32_t index);
+  void promote(std::uint32_t index);
+  void evict(std::uint32_t index);
+  void evictForInsert();
 
   std::vector<Entry> entries_;
   std::vector<std::uint32_t> buckets_;
   FrequencySketch sketch_;
   std::array<List, 3> lists_{};
-  std::size_t windowMost_;
-  std::size_t guardedMost_;
-  std::uint32_t free_ = kNone;
+  std::size_t windowCapacity_;
+  std::size_t protectedCapacity_;
+  std::uint32_t freeHead_ = kNone;
   std::size_t used_ = 0;
   CacheCounters counters_;
 };
--- a/src/counting/counter.cpp
+++ b/src/counting/counter.cpp
@@ -8,14 +8,14 @@
 
 std::size_t characters(std::string_view text) {
   return static_cast<std::size_t>(std::count_if(
-      text.begin(), text.end(), [](char c) { return (static_cast<std::uint8_t>(c) & 0xc0U) != 0x80; }));
+      text.begin(), text.end(), [](char byte) { return (static_cast<std::uint8_t>(byte) & 0xc0U) != 0x80; }));
 }
 
 }  // namespace
 
-std::string_view name(Estimate e) {
+std::string_view name(Estimate estimate) {
   constexpr std::array<std::string_view, 5> names{"none", "no-file", "queue-full", "late", "failed"};
-  return names[static_cast<std::size_t>(e)];
+  return names[static_cast<std::size_t>(estimate)];
 }
 
 Counter::Counter(const CounterOptions& options, timing::Timers& timers,
@@ -23,128 +23,129 @@
     : options_(options), timers_(timers), store_(options.store), pool_(options.pool, std::move(post)) {}
 
 Counter::~Counter() {
-  for (auto& [ticket, open] : open_) timers_.cancel(open.late);
+  for (auto& [ticket, pending] : pending_) timers_.cancel(pending.timeoutTimer);
 }
 
 CountTicket Counter::count(Prompt prompt, const std::vector<LoadedTokeniser>& tokenisers, Done done) {
   ++counters_.prompts;
   counters_.bytes += prompt.text->size();
-  const std::uint64_t ticket = next_++;
-  Open open;
-  open.bytes = prompt.text->size();
-  open.characters = characters(*prompt.text);
-  open.sharedCharacters = characters(std::string_view(*prompt.text).substr(0, prompt.sharedPrefixBytes));
-  open.done = std::move(done);
-  if (tokenisers.empty()) open.error = Estimate::noFile;
+  const std::uint64_t ticket = nextTicket_++;
+  PendingPrompt pending;
+  pending.bytes = prompt.text->size();
+  pending.characters = characters(*prompt.text);
+  pending.sharedCharacters = characters(std::string_view(*prompt.text).substr(0, prompt.sharedPrefixBytes));
+  pending.done = std::move(done);
+  if (tokenisers.empty()) pending.error = Estimate::noFile;
   for (const LoadedTokeniser& t : tokenisers) {
-    CountOrder order{t.tokeniser,
-                     t.version.name + '\0' + t.version.version + '\0' + std::to_string(t.number),
-                     prompt.text,
-                     prompt.sharedPrefixBytes,
-                     options_.sessionIds ? prompt.session : std::string(),
-                     prompt.specialTokens};
-    Part part{t.number, std::make_shared<PromptCount>(store_, std::move(order)), std::nullopt, false};
+    CountRequest request{t.tokeniser,
+                         t.version.name + '\0' + t.version.version + '\0' + std::to_string(t.number),
+                         prompt.text,
+                         prompt.sharedPrefixBytes,
+                         options_.sessionIds ? prompt.session : std::string(),
+                         prompt.specialTokens};
+    Part part{t.number, std::make_shared<PromptCount>(store_, std::move(request)), std::nullopt, false};
     try {
-      if (open.bytes <= options_.lookBytes && !options_.sessionIds && part.count->remembered()) {
-        part.known = true;
+      if (pending.bytes <= options_.cacheLookupBytes && !options_.sessionIds && part.count->findCached()) {
+        part.counted = true;
         ++counters_.remembered;
-      } else if (open.bytes <= options_.inlineBytes && t.tokeniser->inParts()) {
+      } else if (pending.bytes <= options_.inlineBytes && t.tokeniser->inParts()) {
         while (part.count->slice(options_.inlineBytes) > 0) {}
-        part.known = true;
-        ++counters_.inLoop;
+        part.counted = true;
+        ++counters_.countedInline;
         counters_.bytesEncoded += part.count->result().encoded;
       }
     } catch (const std::exception&) {
-      open.error = Estimate::failed;
+      pending.error = Estimate::failed;
       ++counters_.estimatedFailed;
       part.count.reset();
     }
-    open.parts.push_back(std::move(part));
+    pending.parts.push_back(std::move(part));
   }
-  for (std::size_t i = 0; i < open.parts.size(); ++i) {
-    Part& part = open.parts[i];
-    if (part.known || !part.count) continue;
-    part.job = pool_.submit(scheduler::Level::waited, open.bytes, part.count,
-                            [this, ticket, i](std::exception_ptr error) { partDone(ticket, i, error); });
+  for (std::size_t i = 0; i < pending.parts.size(); ++i) {
+    Part& part = pending.parts[i];
+    if (part.counted || !part.count) continue;
+    part.job = pool_.submit(scheduler::Level::foreground, pending.bytes, part.count,
+                            [this, ticket, i](std::exception_ptr error) { onPartDone(ticket, i, error); });
     if (part.job) {
-      ++open.waiting;
+      ++pending.runningParts;
     } else {
-      open.error = Estimate::full;
+      pending.error = Estimate::full;
       ++counters_.estimatedFull;
     }
   }
-  if (open.waiting == 0) {
-    const PromptCounts counts = result(open);
-    open.done(counts);
+  if (pending.runningParts == 0) {
+    const PromptCounts counts = result(pending);
+    pending.done(counts);
     return {};
   }
   const Micros timeout = prompt.timeout > 0 ? std::min(prompt.timeout, options_.timeout) : options_.timeout;
-  open.late = timers_.after(timeout, [this, ticket] {
-    Open& o = open_.at(ticket);
-    o.error = Estimate::late;
+  pending.timeoutTimer = timers_.after(timeout, [this, ticket] {
+    PendingPrompt& expired = pending_.at(ticket);
+    expired.error = Estimate::late;
     ++counters_.estimatedLate;
     finish(ticket);
   });
-  open_.emplace(ticket, std::move(open));
+  pending_.emplace(ticket, std::move(pending));
   return {ticket};
 }
 
-void Counter::partDone(std::uint64_t ticket, std::size_t index, std::exception_ptr error) {
-  const auto at = open_.find(ticket);
-  if (at == open_.end()) return;
+void Counter::onPartDone(std::uint64_t ticket, std::size_t index, std::exception_ptr error) {
+  const auto at = pending_.find(ticket);
+  if (at == pending_.end()) return;
   Part& part = at->second.parts[index];
   part.job.reset();
   if (error) {
     at->second.error = Estimate::failed;
     ++counters_.estimatedFailed;
   } else {
-    part.known = true;
+    part.counted = true;
     ++counters_.onWorkers;
     counters_.bytesEncoded += part.count->result().encoded;
   }
-  if (--at->second.waiting == 0) finish(ticket);
+  if (--at->second.runningParts == 0) finish(ticket);
 }
 
 void Counter::finish(std::uint64_t ticket) {
-  auto node = open_.extract(ticket);
-  Open& open = node.mapped();
-  timers_.cancel(open.late);
-  for (const Part& part : open.parts)
+  auto node = pending_.extract(ticket);
+  PendingPrompt& pending = node.mapped();
+  timers_.cancel(pending.timeoutTimer);
+  for (const Part& part : pending.parts)
     if (part.job) pool_.cancel(*part.job);
-  open.done(result(open));
+  pending.done(result(pending));
 }
 
 void Counter::cancel(CountTicket ticket) {
-  auto node = open_.extract(ticket.value);
+  auto node = pending_.extract(ticket.value);
   if (node.empty()) return;
   ++counters_.cancelled;
-  timers_.cancel(node.mapped().late);
+  timers_.cancel(node.mapped().timeoutTimer);
   for (const Part& part : node.mapped().parts)
     if (part.job) pool_.cancel(*part.job);
 }
 
-// The main count is that of the first tokeniser; else of another that was counted; else by characters.
-PromptCounts Counter::result(const Open& open) {
+// The main count comes from the first tokeniser. If that did not count the prompt, another tokeniser's count
+// is used, and if there is none, an estimate from the number of characters.
+PromptCounts Counter::result(const PendingPrompt& pending) {
   PromptCounts out;
-  for (const Part& part : open.parts) {
-    if (!part.known) continue;
-    const Count& c = part.count->result();
-    out.exact.push_back({part.number, std::max(1.0, static_cast<double>(c.tokens)),
-                         static_cast<double>(c.sharedPrefixTokens)});
-    if (!out.blocks) out.blocks = c.blocks;
+  for (const Part& part : pending.parts) {
+    if (!part.counted) continue;
+    const Count& count = part.count->result();
+    out.exact.push_back({part.number, std::max(1.0, static_cast<double>(count.tokens)),
+                         static_cast<double>(count.sharedPrefixTokens)});
+    if (!out.blocks) out.blocks = count.blocks;
   }
-  if (!open.parts.empty() && open.parts.front().known) {
+  if (!pending.parts.empty() && pending.parts.front().counted) {
     out.main = out.exact.front().prompt;
     out.mainShared = out.exact.front().shared;
     return out;
   }
-  out.estimate = open.error;
+  out.estimate = pending.error;
   if (!out.exact.empty()) {
     out.main = out.exact.front().prompt;
     out.mainShared = out.exact.front().shared;
   } else {
-    out.main = std::max(1.0, static_cast<double>(open.characters) / options_.charactersPerToken);
-    out.mainShared = static_cast<double>(open.sharedCharacters) / options_.charactersPerToken;
+    out.main = std::max(1.0, static_cast<double>(pending.characters) / options_.charactersPerToken);
+    out.mainShared = static_cast<double>(pending.sharedCharacters) / options_.charactersPerToken;
   }
   return out;
 }
--- a/src/counting/counter.h
+++ b/src/counting/counter.h
@@ -1,5 +1,6 @@
-// Counts prompts for the loop's thread: at once where the count is remembered or the text is short, else on
-// workers, and by estimate where the workers' queue is full, a count takes too long or the tokeniser fails.
+// Counts the tokens of prompts for the event loop's thread. A count that is cached or whose text is short is
+// computed inline, any other on the worker pool. The count is estimated if the worker queue is full, counting
+// times out or the tokeniser fails.
 #pragma once
 
 #include <cstdint>
@@ -22,40 +23,41 @@
 struct CounterOptions {
   CountStore::Options store;
   scheduler::PoolOptions pool;
-  std::size_t inlineBytes = 2048;  // shorter texts are counted in the loop's thread
-  std::size_t lookBytes =
-      64u << 10;                  // and of texts up to this it looks there whether the count is remembered
-  Micros timeout = 200'000;       // then the estimate is taken
-  double charactersPerToken = 4;  // the estimate where nothing is learnt
-  bool sessionIds = false;        // keep the ids of conversations
+  std::size_t inlineBytes = 2048;  // texts up to this size are counted in the loop's thread
+  std::size_t cacheLookupBytes =
+      64u << 10;                  // texts up to this size are looked up in the cache in the loop's thread
+  Micros timeout = 200'000;       // after this the count is estimated
+  double charactersPerToken = 4;  // used for estimates if no tokeniser has counted the prompt
+  bool sessionIds = false;        // keep the token ids of sessions
 };
 
 struct CounterCounters {
   std::uint64_t prompts = 0;
-  std::uint64_t remembered = 0;  // counts that were known; the others of a prompt may not be
-  std::uint64_t inLoop = 0;      // counted in the loop's thread
-  std::uint64_t onWorkers = 0;   // counted there
+  std::uint64_t remembered =
+      0;  // counts found in the cache, per tokeniser: a prompt may have others that were not
+  std::uint64_t countedInline = 0;  // counts computed in the loop's thread
+  std::uint64_t onWorkers = 0;      // counts computed on the worker pool
   std::uint64_t estimatedFull = 0;
   std::uint64_t estimatedLate = 0;
   std::uint64_t estimatedFailed = 0;
   std::uint64_t cancelled = 0;
-  std::uint64_t bytes = 0;         // of all prompts
-  std::uint64_t bytesEncoded = 0;  // of them, not remembered
+  std::uint64_t bytes = 0;         // total size of all prompts
+  std::uint64_t bytesEncoded = 0;  // of these, bytes that were not in the cache
 };
 
 enum class Estimate { none, noFile, full, late, failed };
-std::string_view name(Estimate e);
+std::string_view name(Estimate estimate);
 
 struct VersionCount {
-  std::uint64_t number = 0;  // of the loaded tokeniser
+  std::uint64_t number = 0;  // load number of the tokeniser
   double prompt = 0;
   double shared = 0;
 };
 struct PromptCounts {
-  double main = 0;  // by the tokeniser of most engines; an estimate where `estimate` says so
+  double main = 0;  // by the tokeniser that most engines use; estimated unless `estimate` is none
   double mainShared = 0;
   Estimate estimate = Estimate::none;
-  std::vector<VersionCount> exact;  // one for each tokeniser in use that was counted
+  std::vector<VersionCount> exact;  // one per tokeniser in use that counted the prompt
   std::shared_ptr<const TokenBlocks> blocks;
 };
 
@@ -70,53 +72,53 @@
     std::size_t sharedPrefixBytes = 0;
     std::string session;
     bool specialTokens = false;
-    Micros timeout =
-        0;  // then the estimate is taken, or after the options' time where that is less; 0: after that
+    // Time until the count is estimated, at most CounterOptions::timeout; 0 means that timeout.
+    Micros timeout = 0;
   };
   Counter(const CounterOptions& options, timing::Timers& timers,
           std::function<void(std::function<void()>)> post);
   ~Counter();
 
-  // Counts with every one of `tokenisers`, the first being the main one. `done` comes once, maybe before this
-  // returns; then the ticket is 0.
+  // Counts the prompt with each of `tokenisers`; the first gives the main count. `done` is called once,
+  // possibly before this returns; the ticket is 0 in that case.
   using Done = std::function<void(const PromptCounts&)>;
   CountTicket count(Prompt prompt, const std::vector<LoadedTokeniser>& tokenisers, Done done);
-  // `done` does not come any more; work that nobody waits for stops.
+  // After this, `done` is not called; the count's outstanding jobs are cancelled.
   void cancel(CountTicket ticket);
 
-  // Background work on the same workers.
+  // The worker pool, also available for background jobs.
   scheduler::WorkerPool& workers() { return pool_; }
   const CounterCounters& counters() const { return counters_; }
   const CountStore& store() const { return store_; }
-  std::size_t open() const { return open_.size(); }
+  std::size_t open() const { return pending_.size(); }
 
  private:
   struct Part {
     std::uint64_t number = 0;
     std::shared_ptr<PromptCount> count;
     std::optional<scheduler::JobId> job;
-    bool known = false;
+    bool counted = false;
   };
-  struct Open {
+  struct PendingPrompt {
     std::size_t bytes = 0;
     std::size_t characters = 0;
     std::size_t sharedCharacters = 0;
     std::vector<Part> parts;
-    std::size_t waiting = 0;
+    std::size_t runningParts = 0;
     Estimate error = Estimate::none;
     Done done;
-    timing::TimerKey late;
+    timing::TimerKey timeoutTimer;
   };
-  PromptCounts result(const Open& open);
+  PromptCounts result(const PendingPrompt& pending);
   void finish(std::uint64_t ticket);
-  void partDone(std::uint64_t ticket, std::size_t part, std::exception_ptr error);
+  void onPartDone(std::uint64_t ticket, std::size_t part, std::exception_ptr error);
 
   CounterOptions options_;
   timing::Timers& timers_;
   CountStore store_;
   CounterCounters counters_;
-  std::unordered_map<std::uint64_t, Open> open_;
-  std::uint64_t next_ = 1;
+  std::unordered_map<std::uint64_t, PendingPrompt> pending_;
+  std::uint64_t nextTicket_ = 1;
   scheduler::WorkerPool pool_;
 };
 
--- a/src/counting/digest.h
+++ b/src/counting/digest.h
@@ -1,5 +1,6 @@
-// Names of texts and their beginnings, which nobody outside can foresee or bring to collide: SipHash-2-4 of
-// 128 bits (Aumasson and Bernstein, 2012) under a key drawn when the process starts, by OpenSSL.
+// Digests that identify texts and their prefixes. Clients can neither predict them nor construct collisions:
+// SipHash-2-4 with 128 bits (Aumasson and Bernstein, 2012) under a random key drawn at process start. Uses
+// OpenSSL.
 #pragma once
 
 #include <array>
@@ -19,45 +20,45 @@
 
 class DigestKey {
  public:
-  DigestKey();  // drawn by the system. Throws std::runtime_error where it can't
+  DigestKey();  // draws a random key; throws std::runtime_error on failure
   const std::array<std::uint8_t, 16>& bytes() const { return bytes_; }
 
  private:
   std::array<std::uint8_t, 16> bytes_{};
 };
 
-// Of one thread at a time.
+// Computes digests. Not thread-safe.
 class Digester {
  public:
   explicit Digester(const DigestKey& key);
   ~Digester();
   Digester(Digester&&) noexcept;
   Digester& operator=(Digester&&) noexcept;
-  // The digest of `bytes` behind what `before` names. `kind` keeps uses apart.
-  Digest of(const Digest& before, char kind, std::string_view bytes);
+  // Digest of `bytes` appended to the data that `previous` identifies. `kind` separates the uses of a digest.
+  Digest of(const Digest& previous, char kind, std::string_view bytes);
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts_;
+  struct MacState;
+  std::unique_ptr<MacState> state_;
 };
 
-// The digests of a text's beginnings. Each block of kBlock bytes is read once.
-class Beginnings {
+// Digests of a text's prefixes. Each block of kBlockBytes bytes is hashed once for the chain of blocks.
+class PrefixDigests {
  public:
-  static constexpr std::size_t kBlock = 4096;
-  // `identity`: of tokeniser, version and options; other identities give other digests. The text must outlive
-  // this.
-  Beginnings(Digester& digester, const Digest& identity, std::string_view text);
-  // Of text[0, bytes), as a beginning of any text.
+  static constexpr std::size_t kBlockBytes = 4096;
+  // `identity`: digest of tokeniser, version and options, which separates their prefixes. The text must
+  // outlive this object.
+  PrefixDigests(Digester& digester, const Digest& identity, std::string_view text);
+  // Digest of text[0, bytes) as a prefix of any text.
   Digest at(std::size_t bytes);
-  // Of the text as a whole.
+  // Digest of the whole text; differs from that of an equal prefix.
   Digest whole();
 
  private:
-  const Digest& chain(std::size_t blocks);
+  const Digest& blockChain(std::size_t blocks);
   Digester& digester_;
   std::string_view text_;
-  std::vector<Digest> chain_;  // of 0, 1, 2... blocks
+  std::vector<Digest> blockChain_;  // digests of the first 0, 1, 2... blocks
 };
 
 }  // namespace garnethook::counting
--- a/src/counting/frequency_sketch.h
+++ b/src/counting/frequency_sketch.h
@@ -1,6 +1,7 @@
-// How often keys were asked for of late: a count-min sketch of four rows of four-bit counters (Cormode and
-// Muthukrishnan, 2005), all halved each time ten asks for each counter column came (TinyLFU: Einziger,
-// Friedman and Manes, 2017). Never tells less than the true count since the halvings, up to 15.
+// Estimates how often keys were requested recently: a count-min sketch of four rows of four-bit counters
+// (Cormode and Muthukrishnan, 2005). All counters are halved after ten additions per key of the sketch's
+// capacity (TinyLFU: Einziger, Friedman and Manes, 2017). Between halvings an estimate is never below the
+// true count, up to 15.
 #pragma once
 
 #include <array>
@@ -14,7 +15,7 @@
 
 class FrequencySketch {
  public:
-  // For about so many keys that matter; memory: two to four bytes for each.
+  // `keys`: number of distinct keys to track. Uses two to four bytes per key.
   explicit FrequencySketch(std::size_t keys);
   void add(const Digest& key);
   unsigned estimate(const Digest& key) const;
@@ -22,13 +23,13 @@
 
  private:
   static constexpr unsigned kRows = 4;
-  std::size_t counter(const Digest& key, unsigned row) const;
+  std::size_t counterIndex(const Digest& key, unsigned row) const;
   void halve();
 
-  std::vector<std::uint64_t> words_;  // sixteen counters each
+  std::vector<std::uint64_t> words_;  // sixteen counters per word
   std::size_t mask_;
-  std::size_t sample_;
-  std::size_t added_ = 0;
+  std::size_t samplePeriod_;
+  std::size_t additions_ = 0;
 };
 
 }  // namespace garnethook::counting
--- a/src/counting/prompt_count.cpp
+++ b/src/counting/prompt_count.cpp
@@ -23,7 +23,7 @@
   return sessions_.find(session);
 }
 
-void CountStore::keep(const Digest& session, SessionTokens::Turn turn) {
+void CountStore::putTurn(const Digest& session, SessionTokens::Turn turn) {
   const std::lock_guard lock(mutex_);
   sessions_.put(session, std::move(turn));
 }
@@ -38,63 +38,68 @@
   return cache_.counters();
 }
 
-std::unique_ptr<CountStore::Tools> CountStore::borrow() {
+std::unique_ptr<CountStore::Scratch> CountStore::acquireScratch() {
   {
-    const std::lock_guard lock(toolsMutex_);
-    if (!tools_.empty()) {
-      auto tools = std::move(tools_.back());
-      tools_.pop_back();
-      return tools;
+    const std::lock_guard lock(scratchMutex_);
+    if (!scratch_.empty()) {
+      auto scratch = std::move(scratch_.back());
+      scratch_.pop_back();
+      return scratch;
     }
   }
-  return std::make_unique<Tools>(key_);
+  return std::make_unique<Scratch>(key_);
 }
 
-void CountStore::giveBack(std::unique_ptr<Tools> tools) {
-  // A workspace that grew with a very long piece is not kept.
-  constexpr std::size_t kMostKept = 4u << 20;
-  const std::size_t size = tools->workspace.pieces.row.capacity() * 4 + tools->workspace.ids.capacity() * 4;
-  if (size > kMostKept) return;
-  const std::lock_guard lock(toolsMutex_);
-  if (tools_.size() < 16) tools_.push_back(std::move(tools));
+void CountStore::releaseScratch(std::unique_ptr<Scratch> scratch) {
+  // A workspace that grew large for a very long piece is freed.
+  constexpr std::size_t kMaxRetainedBytes = 4u << 20;
+  const std::size_t size =
+      scratch->workspace.pieces.row.capacity() * 4 + scratch->workspace.ids.capacity() * 4;
+  if (size > kMaxRetainedBytes) return;
+  const std::lock_guard lock(scratchMutex_);
+  if (scratch_.size() < 16) scratch_.push_back(std::move(scratch));
 }
 
-PromptCount::PromptCount(CountStore& store, CountOrder order) : store_(store), order_(std::move(order)) {
-  options_.specialTokens = order_.specialTokens;
+PromptCount::PromptCount(CountStore& store, CountRequest request)
+    : store_(store), request_(std::move(request)) {
+  options_.specialTokens = request_.specialTokens;
 }
 
-void PromptCount::prepare(CountStore::Tools& tools) {
+void PromptCount::prepare(CountStore::Scratch& scratch) {
   prepared_ = true;
-  text_ = *order_.text;
-  sharedBytes_ = std::min(order_.sharedPrefixBytes, text_.size());
-  const auto change = [&](std::optional<std::string> made, auto prefix) {
-    if (!made) return;
-    // The shared beginning in the changed text: as far as its own change is the beginning of the whole's.
-    const std::string_view shared = text_.substr(0, sharedBytes_);
-    const auto own = prefix(shared);
-    const std::string_view changedShared = own ? std::string_view(*own) : shared;
-    const auto [a, b] = std::mismatch(changedShared.begin(), changedShared.end(), made->begin(), made->end());
-    sharedBytes_ = tokeniser::characterStart(*made, static_cast<std::size_t>(a - changedShared.begin()));
-    changed_ = std::move(*made);
-    text_ = changed_;
+  text_ = *request_.text;
+  sharedPrefixBytes_ = std::min(request_.sharedPrefixBytes, text_.size());
+  const auto rewrite = [&](std::optional<std::string> newText, auto prefix) {
+    if (!newText) return;
+    // The shared prefix in the rewritten text ends where the prefix rewritten alone and the whole rewritten
+    // text first differ.
+    const std::string_view shared = text_.substr(0, sharedPrefixBytes_);
+    const auto newPrefix = prefix(shared);
+    const std::string_view newShared = newPrefix ? std::string_view(*newPrefix) : shared;
+    const auto [prefixEnd, textEnd] =
+        std::mismatch(newShared.begin(), newShared.end(), newText->begin(), newText->end());
+    sharedPrefixBytes_ =
+        tokeniser::characterStart(*newText, static_cast<std::size_t>(prefixEnd - newShared.begin()));
+    rewritten_ = std::move(*newText);
+    text_ = rewritten_;
   };
-  change(tokeniser::repaired(text_), [](std::string_view t) { return tokeniser::repaired(t); });
-  change(order_.tokeniser->normalised(text_, options_),
-         [&](std::string_view t) { return order_.tokeniser->normalised(t, options_); });
-  // What is certain of a beginning is known only where something follows it.
-  if (sharedBytes_ == text_.size() && sharedBytes_ > 0) --sharedBytes_;
-  sharedBytes_ = tokeniser::characterStart(text_, sharedBytes_);
-  identity_ = tools.digester.of({}, order_.specialTokens ? 's' : 'i', order_.identity);
+  rewrite(tokeniser::repaired(text_), [](std::string_view text) { return tokeniser::repaired(text); });
+  rewrite(request_.tokeniser->normalised(text_, options_),
+          [&](std::string_view text) { return request_.tokeniser->normalised(text, options_); });
+  // The certain tokens of a prefix are only known if some text follows it.
+  if (sharedPrefixBytes_ == text_.size() && sharedPrefixBytes_ > 0) --sharedPrefixBytes_;
+  sharedPrefixBytes_ = tokeniser::characterStart(text_, sharedPrefixBytes_);
+  identity_ = scratch.digester.of({}, request_.specialTokens ? 's' : 'i', request_.identity);
 }
 
-bool PromptCount::remembered() {
-  auto tools = store_.borrow();
-  if (!prepared_) prepare(*tools);
-  Beginnings beginnings(tools->digester, identity_, text_);
-  const auto whole = store_.find(beginnings.whole());
-  const auto shared =
-      sharedBytes_ > 0 && whole ? store_.find(beginnings.at(sharedBytes_)) : std::optional(Mark{});
-  store_.giveBack(std::move(tools));
+bool PromptCount::findCached() {
+  auto scratch = store_.acquireScratch();
+  if (!prepared_) prepare(*scratch);
+  PrefixDigests prefixDigests(scratch->digester, identity_, text_);
+  const auto whole = store_.find(prefixDigests.whole());
+  const auto shared = sharedPrefixBytes_ > 0 && whole ? store_.find(prefixDigests.at(sharedPrefixBytes_))
+                                                      : std::optional(Mark{});
+  store_.releaseScratch(std::move(scratch));
   if (!whole || !shared) return false;
   mark_ = *whole;
   result_.sharedPrefixTokens = shared->tokens;
@@ -102,15 +107,17 @@
   return true;
 }
 
-// The furthest remembered beginning that is no longer than `most`.
-Mark PromptCount::remember(Beginnings& beginnings, std::size_t most) {
-  if (sharedBytes_ > 0 && sharedBytes_ <= most)
-    if (const auto found = store_.find(beginnings.at(sharedBytes_)); found && most - sharedBytes_ < kStep) {
-      limit_ = sharedBytes_;
+// Returns the mark of the longest cached prefix of at most `maxBytes`, or an empty mark; sets limit_.
+Mark PromptCount::findLongestPrefix(PrefixDigests& prefixDigests, std::size_t maxBytes) {
+  if (sharedPrefixBytes_ > 0 && sharedPrefixBytes_ <= maxBytes)
+    if (const auto found = store_.find(prefixDigests.at(sharedPrefixBytes_));
+        found && maxBytes - sharedPrefixBytes_ < kCheckpointBytes) {
+      limit_ = sharedPrefixBytes_;
       return *found;
     }
-  for (std::size_t limit = most / kStep * kStep; limit > 0; limit -= kStep)
-    if (const auto found = store_.find(beginnings.at(limit))) {
+  for (std::size_t limit = maxBytes / kCheckpointBytes * kCheckpointBytes; limit > 0;
+       limit -= kCheckpointBytes)
+    if (const auto found = store_.find(prefixDigests.at(limit))) {
       limit_ = limit;
       return *found;
     }
@@ -118,53 +125,54 @@
   return {};
 }
 
-// Where encoding pauses next: at the next block, at the end of the shared beginning, or, within a piece that
-// is longer than that, at twice its part seen so far, so that looking at it again and again costs no more
-// than twice its length.
+// Returns the next position at which to pause encoding: the next block, the end of the shared prefix, or,
+// within a piece longer than a block, twice the part of it scanned so far. Doubling bounds the cost of
+// rescanning the piece to twice its length.
 std::size_t PromptCount::nextLimit() const {
-  if (!order_.tokeniser->inParts()) return text_.size();
+  if (!request_.tokeniser->inParts()) return text_.size();
   const std::size_t seen = limit_ > mark_.at ? limit_ - mark_.at : 0;
-  const std::size_t after = std::max(limit_ + 1, seen > kStep ? mark_.at + 2 * seen : 0);
-  std::size_t next = (after + kStep - 1) / kStep * kStep;
-  if (sharedBytes_ >= after && sharedBytes_ < next) next = sharedBytes_;
+  const std::size_t after = std::max(limit_ + 1, seen > kCheckpointBytes ? mark_.at + 2 * seen : 0);
+  std::size_t next = (after + kCheckpointBytes - 1) / kCheckpointBytes * kCheckpointBytes;
+  if (sharedPrefixBytes_ >= after && sharedPrefixBytes_ < next) next = sharedPrefixBytes_;
   return std::min(next, text_.size());
 }
 
 std::size_t PromptCount::slice(std::size_t bytes) {
-  auto tools = tools_ ? std::move(tools_) : store_.borrow();
-  if (!prepared_) prepare(*tools);
-  if (!beginnings_) {
-    beginnings_.emplace(tools->digester, identity_, text_);
-    keepsIds_ = !order_.session.empty() && order_.tokeniser->inParts();
-    if (keepsIds_) {
-      session_ = tools->digester.of(identity_, 'c', order_.session);
+  auto scratch = scratch_ ? std::move(scratch_) : store_.acquireScratch();
+  if (!prepared_) prepare(*scratch);
+  if (!prefixDigests_) {
+    prefixDigests_.emplace(scratch->digester, identity_, text_);
+    collectsIds_ = !request_.session.empty() && request_.tokeniser->inParts();
+    if (collectsIds_) {
+      session_ = scratch->digester.of(identity_, 'c', request_.session);
       const auto turn = store_.turn(session_);
-      if (turn && turn->bytes <= text_.size() && turn->beginning == beginnings_->at(turn->bytes)) {
+      if (turn && turn->bytes <= text_.size() && turn->prefixDigest == prefixDigests_->at(turn->bytes)) {
         turn_ = *turn;
         mark_ = turn->mark;
         limit_ = turn->bytes;
         ids_.assign(turn->tokens->ids().begin(), turn->tokens->ids().end());
       }
     }
-    // The shared beginning's own count comes first: what lies behind it does not tell it.
-    if (sharedBytes_ > 0) {
-      if (const auto shared = store_.find(beginnings_->at(sharedBytes_))) {
+    // The shared prefix is counted first, since the count of a longer prefix does not give it.
+    if (sharedPrefixBytes_ > 0) {
+      if (const auto shared = store_.find(prefixDigests_->at(sharedPrefixBytes_))) {
         result_.sharedPrefixTokens = shared->tokens;
-        sharedKnown_ = true;
+        sharedPrefixCounted_ = true;
       }
     } else {
-      sharedKnown_ = true;
+      sharedPrefixCounted_ = true;
     }
-    if (!keepsIds_) {
-      const auto whole = sharedKnown_ ? store_.find(beginnings_->whole()) : std::nullopt;
+    if (!collectsIds_) {
+      const auto whole = sharedPrefixCounted_ ? store_.find(prefixDigests_->whole()) : std::nullopt;
       if (whole) {
         mark_ = *whole;
         limit_ = text_.size();
       } else {
-        mark_ = remember(*beginnings_, sharedKnown_ ? text_.size() : sharedBytes_);
+        mark_ = findLongestPrefix(*prefixDigests_, sharedPrefixCounted_ ? text_.size() : sharedPrefixBytes_);
       }
     }
-    if (keepsIds_ && !sharedKnown_ && limit_ > sharedBytes_) {  // begin anew for it
+    if (collectsIds_ && !sharedPrefixCounted_ &&
+        limit_ > sharedPrefixBytes_) {  // restart to count the shared prefix
       mark_ = {};
       limit_ = 0;
       ids_.clear();
@@ -174,48 +182,49 @@
   while (limit_ < text_.size() || mark_.at < text_.size()) {
     const std::size_t limit = nextLimit();
     const Mark before = mark_;
-    mark_ = order_.tokeniser->advance(text_, mark_, limit, options_, tools->workspace,
-                                      keepsIds_ ? &ids_ : nullptr);
+    mark_ = request_.tokeniser->advance(text_, mark_, limit, options_, scratch->workspace,
+                                        collectsIds_ ? &ids_ : nullptr);
     result_.encoded += mark_.at - before.at;
     limit_ = limit;
     if (limit < text_.size()) {
-      store_.put(beginnings_->at(limit), mark_);
-      if (keepsIds_ && limit % kStep == 0) turn_ = {limit, beginnings_->at(limit), mark_, nullptr};
+      store_.put(prefixDigests_->at(limit), mark_);
+      if (collectsIds_ && limit % kCheckpointBytes == 0)
+        turn_ = {limit, prefixDigests_->at(limit), mark_, nullptr};
     }
-    if (limit == sharedBytes_ && !sharedKnown_) {
-      sharedKnown_ = true;
+    if (limit == sharedPrefixBytes_ && !sharedPrefixCounted_) {
+      sharedPrefixCounted_ = true;
       result_.sharedPrefixTokens = mark_.tokens;
     }
     if (limit < text_.size() && mark_.at - from >= bytes) {
-      tools_ = std::move(tools);
+      scratch_ = std::move(scratch);
       return std::max<std::size_t>(text_.size() - mark_.at, 1);
     }
     if (limit == text_.size()) break;
   }
-  store_.put(beginnings_->whole(), {text_.size(), mark_.tokens});
-  if (keepsIds_ && turn_.bytes > 0) {
+  store_.put(prefixDigests_->whole(), {text_.size(), mark_.tokens});
+  if (collectsIds_ && turn_.bytes > 0) {
     std::vector<tokeniser::TokenId> kept(ids_.begin(),
                                          ids_.begin() + static_cast<std::ptrdiff_t>(turn_.mark.tokens));
     turn_.tokens = std::make_shared<const TokenBlocks>(std::move(kept));
-    store_.keep(session_, turn_);
+    store_.putTurn(session_, turn_);
   }
-  beginnings_.reset();
-  store_.giveBack(std::move(tools));
+  prefixDigests_.reset();
+  store_.releaseScratch(std::move(scratch));
   finish();
   return 0;
 }
 
 void PromptCount::finish() {
-  const std::size_t before = order_.tokeniser->before().size();
-  const std::size_t behind = order_.tokeniser->behind().size();
+  const std::size_t before = request_.tokeniser->before().size();
+  const std::size_t behind = request_.tokeniser->behind().size();
   result_.tokens = before + mark_.tokens + behind;
-  if (sharedBytes_ > 0) result_.sharedPrefixTokens += before;
-  if (!keepsIds_) return;
+  if (sharedPrefixBytes_ > 0) result_.sharedPrefixTokens += before;
+  if (!collectsIds_) return;
   std::vector<tokeniser::TokenId> all;
   all.reserve(before + ids_.size() + behind);
-  all.insert(all.end(), order_.tokeniser->before().begin(), order_.tokeniser->before().end());
+  all.insert(all.end(), request_.tokeniser->before().begin(), request_.tokeniser->before().end());
   all.insert(all.end(), ids_.begin(), ids_.end());
-  all.insert(all.end(), order_.tokeniser->behind().begin(), order_.tokeniser->behind().end());
+  all.insert(all.end(), request_.tokeniser->behind().begin(), request_.tokeniser->behind().end());
   result_.blocks = std::make_shared<const TokenBlocks>(std::move(all));
 }
 
--- a/src/counting/prompt_count.h
+++ b/src/counting/prompt_count.h
@@ -1,9 +1,9 @@
-// One prompt being counted with one tokeniser: what is remembered of it is looked up, the rest is encoded in
-// slices, and each certain beginning on the way is remembered.
+// Counts one prompt with one tokeniser. Cached counts are looked up, the rest is encoded in slices, and the
+// count of each prefix that is certain is cached on the way.
 //
-// Why a remembered beginning may be gone on from: Tokeniser::advance() tells of text[0, limit) only what
-// holds for every text that begins so, and the digest names those bytes, the tokeniser's version and the
-// options. Another text with the same beginning therefore has the same tokens up to the same mark, and is
+// Resuming from a cached prefix is correct because Tokeniser::advance() reports for text[0, limit) only what
+// holds for every text with that prefix, and the digest covers those bytes, the tokeniser's version and the
+// options. Another text with the same prefix therefore has the same tokens up to the same mark, and is
 // encoded from there.
 #pragma once
 
@@ -23,7 +23,7 @@
 
 namespace garnethook::counting {
 
-// What all counts remember. Any thread.
+// Cache shared by all counts. Thread-safe.
 class CountStore {
  public:
   struct Options {
@@ -35,81 +35,81 @@
   std::optional<tokeniser::Mark> find(const Digest& key);
   void put(const Digest& key, const tokeniser::Mark& mark);
   std::optional<SessionTokens::Turn> turn(const Digest& session);
-  void keep(const Digest& session, SessionTokens::Turn turn);
+  void putTurn(const Digest& session, SessionTokens::Turn turn);
   const DigestKey& key() const { return key_; }
   std::size_t memory() const;
   CacheCounters counters() const;
 
-  // Scratch of one worker for one slice; kept for the next.
-  struct Tools {
-    explicit Tools(const DigestKey& key) : digester(key) {}
+  // Buffers that a worker uses during one slice; reused for later slices.
+  struct Scratch {
+    explicit Scratch(const DigestKey& key) : digester(key) {}
     Digester digester;
     tokeniser::Workspace workspace;
   };
-  std::unique_ptr<Tools> borrow();
-  void giveBack(std::unique_ptr<Tools> tools);
+  std::unique_ptr<Scratch> acquireScratch();
+  void releaseScratch(std::unique_ptr<Scratch> scratch);
 
  private:
   const DigestKey key_;
   mutable std::mutex mutex_;
   CountCache cache_;
   SessionTokens sessions_;
-  std::mutex toolsMutex_;
-  std::vector<std::unique_ptr<Tools>> tools_;
+  std::mutex scratchMutex_;
+  std::vector<std::unique_ptr<Scratch>> scratch_;
 };
 
-struct CountOrder {
+struct CountRequest {
   std::shared_ptr<const tokeniser::Tokeniser> tokeniser;
-  std::string identity;  // of tokeniser, version and load: counts of one are never taken for another's
+  std::string identity;  // tokeniser, version and load number; separates their cached counts
   std::shared_ptr<const std::string> text;
-  std::size_t sharedPrefixBytes = 0;  // of the text: the beginning that other requests have too
-  std::string session;                // not empty: ids are kept for its next turn
+  std::size_t sharedPrefixBytes = 0;  // length of the prefix that other requests share
+  std::string session;                // if not empty, the token ids are kept for the session's next turn
   bool specialTokens = false;
 };
 
 struct Count {
-  std::size_t tokens = 0;  // with the frame
-  // Tokens of the shared beginning that are the same whatever follows it, with those before the text.
+  std::size_t tokens = 0;  // including the tokens that the tokeniser adds before and after the text
+  // Tokens of the shared prefix that do not depend on what follows it, including those added before the text.
   std::size_t sharedPrefixTokens = 0;
-  std::size_t encoded = 0;                    // bytes that were encoded for it; the rest was remembered
-  std::shared_ptr<const TokenBlocks> blocks;  // of a session's prompt; none otherwise
+  std::size_t encoded = 0;                    // bytes that were encoded; the rest came from the cache
+  std::shared_ptr<const TokenBlocks> blocks;  // only set for a prompt with a session
 };
 
 class PromptCount final : public scheduler::Job {
  public:
-  // Bytes encoded between two remembered beginnings.
-  static constexpr std::size_t kStep = Beginnings::kBlock;
+  // Bytes encoded between two cached prefixes.
+  static constexpr std::size_t kCheckpointBytes = PrefixDigests::kBlockBytes;
 
-  // The store must outlive this.
-  PromptCount(CountStore& store, CountOrder order);
-  // Looks only whether the whole is remembered; reads the text once. True: result() stands.
-  bool remembered();
-  // May throw what the tokeniser throws.
+  // The store must outlive this object.
+  PromptCount(CountStore& store, CountRequest request);
+  // Looks up the whole text in the cache, reading it once. If this returns true, result() is valid.
+  bool findCached();
+  // Throws what the tokeniser throws.
   std::size_t slice(std::size_t bytes) override;
   const Count& result() const { return result_; }
 
  private:
-  void prepare(CountStore::Tools& tools);
+  void prepare(CountStore::Scratch& scratch);
   void finish();
   std::size_t nextLimit() const;
-  tokeniser::Mark remember(Beginnings& beginnings, std::size_t most);
+  tokeniser::Mark findLongestPrefix(PrefixDigests& prefixDigests, std::size_t maxBytes);
 
   CountStore& store_;
-  CountOrder order_;
+  CountRequest request_;
   tokeniser::TextOptions options_;
-  std::string changed_;    // the text where it had to be repaired or normalised
-  std::string_view text_;  // what is encoded
+  std::string rewritten_;  // the text, if it had to be repaired or normalised
+  std::string_view text_;  // the text that is encoded
   Digest identity_;
-  std::optional<Beginnings> beginnings_;
-  std::unique_ptr<CountStore::Tools> tools_;  // while a slice runs, and until the end: the beginnings use it
+  std::optional<PrefixDigests> prefixDigests_;
+  std::unique_ptr<CountStore::Scratch> scratch_;  // kept between slices, since prefixDigests_ refers to it
   bool prepared_ = false;
-  bool sharedKnown_ = false;
-  bool keepsIds_ = false;
+  bool sharedPrefixCounted_ = false;
+  bool collectsIds_ = false;
   Digest session_;
   std::vector<tokeniser::TokenId> ids_;
   tokeniser::Mark mark_;
-  std::size_t limit_ = 0;  // of the last advance
-  std::size_t sharedBytes_ = 0;
+  std::size_t limit_ = 0;  // limit of the last advance()
+  std::size_t sharedPrefixBytes_ = 0;
   SessionTokens::Turn turn_;
   Count result_;
 };
--- a/src/counting/session_tokens.cpp
+++ b/src/counting/session_tokens.cpp
@@ -3,26 +3,26 @@
 namespace garnethook::counting {
 
 std::optional<SessionTokens::Turn> SessionTokens::find(const Digest& session) {
-  const auto at = byKey_.find(session);
-  if (at == byKey_.end()) return std::nullopt;
-  order_.splice(order_.begin(), order_, at->second);
+  const auto at = index_.find(session);
+  if (at == index_.end()) return std::nullopt;
+  recency_.splice(recency_.begin(), recency_, at->second);
   return at->second->turn;
 }
 
 void SessionTokens::put(const Digest& session, Turn turn) {
-  if (const auto old = byKey_.find(session); old != byKey_.end()) drop(old->second);
-  const std::size_t bytes = kNode + (turn.tokens ? turn.tokens->memory() : 0);
-  if (bytes > most_ / 4) return;
-  while (!order_.empty() && memory() + bytes > most_) drop(std::prev(order_.end()));
-  order_.push_front({session, std::move(turn), bytes});
-  byKey_.emplace(session, order_.begin());
+  if (const auto old = index_.find(session); old != index_.end()) evict(old->second);
+  const std::size_t bytes = kNodeBytes + (turn.tokens ? turn.tokens->memory() : 0);
+  if (bytes > capacityBytes_ / 4) return;
+  while (!recency_.empty() && memory() + bytes > capacityBytes_) evict(std::prev(recency_.end()));
+  recency_.push_front({session, std::move(turn), bytes});
+  index_.emplace(session, recency_.begin());
   used_ += bytes;
 }
 
-void SessionTokens::drop(std::list<Held>::iterator at) {
+void SessionTokens::evict(std::list<Node>::iterator at) {
   used_ -= at->bytes;
-  byKey_.erase(at->key);
-  order_.erase(at);
+  index_.erase(at->key);
+  recency_.erase(at);
 }
 
 }  // namespace garnethook::counting
--- a/src/counting/token_blocks.h
+++ b/src/counting/token_blocks.h
@@ -1,4 +1,4 @@
-// A prompt's token ids with the chained hashes of its blocks, shared and never changed.
+// Immutable token ids of a prompt, with chained hashes of their blocks.
 #pragma once
 
 #include <xxhash.h>
@@ -18,13 +18,14 @@
   explicit TokenBlocks(std::vector<tokeniser::TokenId> ids) : ids_(std::move(ids)) {}
   std::span<const tokeniser::TokenId> ids() const { return ids_; }
 
-  // For each whole block of `size` tokens the hash of it and all before it. Appends to `out`.
+  // Appends to `out` one hash per complete block of `size` tokens. Each hash covers the block and all before
+  // it.
   void hashes(std::size_t size, std::vector<std::uint64_t>& out) const {
-    std::uint64_t before = 0;
+    std::uint64_t previous = 0;
     for (std::size_t from = 0; size > 0 && from + size <= ids_.size(); from += size) {
-      before = XXH3_64bits_withSeed(ids_.data() + from, size * sizeof(tokeniser::TokenId),
-                                    before ^ 0x9e3779b97f4a7c15U);
-      out.push_back(before);
+      previous = XXH3_64bits_withSeed(ids_.data() + from, size * sizeof(tokeniser::TokenId),
+                                      previous ^ 0x9e3779b97f4a7c15U);
+      out.push_back(previous);
     }
   }
   std::size_t memory() const { return sizeof(*this) + ids_.capacity() * sizeof(tokeniser::TokenId) + 32; }
--- a/src/counting/tokeniser_registry.cpp
+++ b/src/counting/tokeniser_registry.cpp
@@ -7,67 +7,70 @@
 namespace garnethook::counting {
 namespace {
 
-constexpr double kWeight = 0.1;       // of a new read in a factor
-constexpr double kFactorLeast = 0.1;  // a report beyond these is cut to them
-constexpr double kFactorMost = 10;
-constexpr double kTold = 0.03;   // a factor is told anew when it moved by more
-constexpr int kDifferences = 4;  // of the last 32 exact counts, until an engine is not believed
+constexpr double kFactorWeight = 0.1;  // weight of a new report in an engine's factor
+constexpr double kMinFactor = 0.1;     // reported ratios are clamped to this range
+constexpr double kMaxFactor = 10;
+constexpr double kPublishThreshold = 0.03;  // relative change of a factor that is published
+constexpr int kDoubtThreshold = 4;          // differing reports among the last 32 that make an engine doubted
 
 }  // namespace
 
-std::string text(const VersionName& v) { return v.version.empty() ? v.name : v.name + " " + v.version; }
+std::string text(const VersionName& version) {
+  return version.version.empty() ? version.name : version.name + " " + version.version;
+}
 
 std::uint64_t TokeniserRegistry::load(VersionName version,
                                       std::shared_ptr<const tokeniser::Tokeniser> tokeniser) {
-  const std::uint64_t number = next_++;
+  const std::uint64_t number = nextNumber_++;
   if (const auto old = byVersion_.find(version); old != byVersion_.end()) loaded_.erase(old->second);
   byVersion_[version] = number;
   loaded_[number] = {number, std::move(version), std::move(tokeniser)};
-  for (auto& [id, e] : engines_)
-    if (e.doubted && e.version == loaded_[number].version) {  // another file, another chance
-      e.doubted = false;
-      e.differences = 0;
+  for (auto& [id, engineState] : engines_)
+    if (engineState.doubted &&
+        engineState.version == loaded_[number].version) {  // the new file may match the engine's reports
+      engineState.doubted = false;
+      engineState.differences = 0;
     }
   ++edition_;
   return number;
 }
 
-void TokeniserRegistry::set(Engine& e, std::optional<VersionName> version) {
-  if (e.version == version) return;
-  e.version = std::move(version);
-  e.doubted = false;
-  e.differences = 0;
+void TokeniserRegistry::setVersion(Engine& engineState, std::optional<VersionName> version) {
+  if (engineState.version == version) return;
+  engineState.version = std::move(version);
+  engineState.doubted = false;
+  engineState.differences = 0;
   ++edition_;
 }
 
 void TokeniserRegistry::listed(EndpointId engine, Micros startedAt,
-                               const std::optional<VersionName>& versionReported, Micros now) {
+                               const std::optional<VersionName>& listedVersion, Micros now) {
   const auto [at, isNew] = engines_.try_emplace(engine.value);
-  Engine& e = at->second;
-  const bool restarted = !isNew && e.startedAt != startedAt;
-  e.startedAt = startedAt;
+  Engine& engineState = at->second;
+  const bool restarted = !isNew && engineState.startedAt != startedAt;
+  engineState.startedAt = startedAt;
   if (isNew) {
-    e.factor = e.published = usualFactor();
+    engineState.factor = engineState.publishedFactor = defaultFactor();
     ++edition_;
   }
-  e.fromList = versionReported.has_value();
-  if (versionReported) {
-    if (restarted) e.doubted = false;
-    return set(e, versionReported);
+  engineState.versionListed = listedVersion.has_value();
+  if (listedVersion) {
+    if (restarted) engineState.doubted = false;
+    return setVersion(engineState, listedVersion);
   }
   if (isNew || restarted) {
-    set(e, std::nullopt);
-    e.askAt = now;
-    e.failures = 0;
-    e.asking = false;
+    setVersion(engineState, std::nullopt);
+    engineState.nextQueryAt = now;
+    engineState.failures = 0;
+    engineState.queryPending = false;
   }
 }
 
 std::vector<EndpointId> TokeniserRegistry::enginesToQuery(Micros now) {
   std::vector<EndpointId> out;
-  for (auto& [id, e] : engines_)
-    if (!e.fromList && !e.asking && now >= e.askAt) {
-      e.asking = true;
+  for (auto& [id, engineState] : engines_)
+    if (!engineState.versionListed && !engineState.queryPending && now >= engineState.nextQueryAt) {
+      engineState.queryPending = true;
       out.push_back({id});
     }
   std::sort(out.begin(), out.end());
@@ -76,82 +79,85 @@
 
 std::optional<Micros> TokeniserRegistry::nextQueryTime() const {
   std::optional<Micros> next;
-  for (const auto& [id, e] : engines_)
-    if (!e.fromList && !e.asking) next = std::min(next.value_or(e.askAt), e.askAt);
+  for (const auto& [id, engineState] : engines_)
+    if (!engineState.versionListed && !engineState.queryPending)
+      next = std::min(next.value_or(engineState.nextQueryAt), engineState.nextQueryAt);
   return next;
 }
 
 void TokeniserRegistry::versionReported(EndpointId engine, const VersionName& version, Micros now) {
   const auto at = engines_.find(engine.value);
-  if (at == engines_.end() || at->second.fromList) return;
-  Engine& e = at->second;
-  e.asking = false;
-  e.failures = 0;
-  e.askAt = now + options_.queryInterval;
-  set(e, version);
+  if (at == engines_.end() || at->second.versionListed) return;
+  Engine& engineState = at->second;
+  engineState.queryPending = false;
+  engineState.failures = 0;
+  engineState.nextQueryAt = now + options_.queryInterval;
+  setVersion(engineState, version);
 }
 
 void TokeniserRegistry::versionUnsupported(EndpointId engine, Micros now) {
   const auto at = engines_.find(engine.value);
-  if (at == engines_.end() || at->second.fromList) return;
-  Engine& e = at->second;
-  e.asking = false;
-  e.failures = 0;
-  e.askAt = now + options_.queryInterval;
-  set(e, options_.usual);
+  if (at == engines_.end() || at->second.versionListed) return;
+  Engine& engineState = at->second;
+  engineState.queryPending = false;
+  engineState.failures = 0;
+  engineState.nextQueryAt = now + options_.queryInterval;
+  setVersion(engineState, options_.usual);
 }
 
-// A silent engine keeps the version that it told: it is the same process as far as anybody knows.
+// An engine that does not respond keeps its reported version, since there is no sign of a restart.
 void TokeniserRegistry::versionQueryFailed(EndpointId engine, Micros now) {
   const auto at = engines_.find(engine.value);
   if (at == engines_.end()) return;
-  Engine& e = at->second;
-  e.asking = false;
-  e.askAt = now + std::min(options_.queryInterval, options_.retryFirst << std::min(e.failures, 16));
-  ++e.failures;
+  Engine& engineState = at->second;
+  engineState.queryPending = false;
+  engineState.nextQueryAt = now + std::min(options_.queryInterval,
+                                           options_.initialRetryDelay << std::min(engineState.failures, 16));
+  ++engineState.failures;
 }
 
 bool TokeniserRegistry::recordReportedTokens(EndpointId engine, double main, std::optional<double> exact,
                                              std::uint64_t number, double reported) {
   const auto at = engines_.find(engine.value);
   if (at == engines_.end() || main <= 0 || reported <= 0) return false;
-  Engine& e = at->second;
-  const double sample = std::clamp(reported / main, kFactorLeast, kFactorMost);
-  ++e.reads;
-  e.factor += std::max(kWeight, 1.0 / e.reads) * (sample - e.factor);
-  const LoadedTokeniser* const now = file(e);
-  if (std::abs(e.factor - e.published) > kTold * e.published) {
-    e.published = e.factor;
+  Engine& engineState = at->second;
+  const double sample = std::clamp(reported / main, kMinFactor, kMaxFactor);
+  ++engineState.reports;
+  engineState.factor += std::max(kFactorWeight, 1.0 / engineState.reports) * (sample - engineState.factor);
+  const LoadedTokeniser* const now = loadedFor(engineState);
+  if (std::abs(engineState.factor - engineState.publishedFactor) >
+      kPublishThreshold * engineState.publishedFactor) {
+    engineState.publishedFactor = engineState.factor;
     if (now == nullptr) ++edition_;
   }
-  if (!exact || now == nullptr || now->number != number) return false;  // counted before a change
-  e.differences = e.differences << 1 | (std::abs(*exact - reported) > 0.5 ? 1U : 0U);
-  if (std::popcount(e.differences) < kDifferences) return false;
-  e.doubted = true;
+  if (!exact || now == nullptr || now->number != number) return false;  // counted with another tokeniser
+  engineState.differences = engineState.differences << 1 | (std::abs(*exact - reported) > 0.5 ? 1U : 0U);
+  if (std::popcount(engineState.differences) < kDoubtThreshold) return false;
+  engineState.doubted = true;
   ++edition_;
   return true;
 }
 
-const LoadedTokeniser* TokeniserRegistry::file(const Engine& e) const {
-  if (!e.version || e.doubted) return nullptr;
-  const auto at = byVersion_.find(*e.version);
+const LoadedTokeniser* TokeniserRegistry::loadedFor(const Engine& engineState) const {
+  if (!engineState.version || engineState.doubted) return nullptr;
+  const auto at = byVersion_.find(*engineState.version);
   return at == byVersion_.end() ? nullptr : &loaded_.at(at->second);
 }
 
 TokeniserRegistry::Basis TokeniserRegistry::basis(EndpointId engine) const {
   const auto at = engines_.find(engine.value);
   if (at == engines_.end()) return {};
-  const LoadedTokeniser* const loaded = file(at->second);
+  const LoadedTokeniser* const loaded = loadedFor(at->second);
   return {loaded == nullptr ? 0 : loaded->number,
-          at->second.reads > 0 ? at->second.published : usualFactor()};
+          at->second.reports > 0 ? at->second.publishedFactor : defaultFactor()};
 }
 
-double TokeniserRegistry::usualFactor() const {
+double TokeniserRegistry::defaultFactor() const {
   double sum = 0;
   double weight = 0;
-  for (const auto& [id, e] : engines_)
-    if (e.reads > 0 && file(e) == nullptr) {
-      sum += e.factor;
+  for (const auto& [id, engineState] : engines_)
+    if (engineState.reports > 0 && loadedFor(engineState) == nullptr) {
+      sum += engineState.factor;
       ++weight;
     }
   return weight == 0 ? 1 : sum / weight;
@@ -159,8 +165,8 @@
 
 std::vector<LoadedTokeniser> TokeniserRegistry::inUse() const {
   std::map<std::uint64_t, std::size_t> engines;
-  for (const auto& [id, e] : engines_)
-    if (const LoadedTokeniser* loaded = file(e)) ++engines[loaded->number];
+  for (const auto& [id, engineState] : engines_)
+    if (const LoadedTokeniser* loaded = loadedFor(engineState)) ++engines[loaded->number];
   std::vector<LoadedTokeniser> out;
   for (const auto& [number, count] : engines) out.push_back(loaded_.at(number));
   std::stable_sort(out.begin(), out.end(), [&](const LoadedTokeniser& a, const LoadedTokeniser& b) {
@@ -175,7 +181,7 @@
 
 std::size_t TokeniserRegistry::estimated() const {
   return static_cast<std::size_t>(std::count_if(
-      engines_.begin(), engines_.end(), [&](const auto& item) { return file(item.second) == nullptr; }));
+      engines_.begin(), engines_.end(), [&](const auto& item) { return loadedFor(item.second) == nullptr; }));
 }
 
 }  // namespace garnethook::counting
--- a/src/counting/tokeniser_registry.h
+++ b/src/counting/tokeniser_registry.h
@@ -1,12 +1,13 @@
-// Which tokeniser counts for which engine, and what to do where none does. Decides only: time comes in, no
-// I/O.
+// Selects the tokeniser that counts for each engine, and estimates counts for engines without one. Does no
+// I/O; the caller supplies the time.
 //
-// An engine tells its tokeniser's name and version; a file that is loaded for that version counts exactly for
-// it. From the moment an engine is listed with another start, its version is unknown until it tells anew:
-// counts of its old one are not taken for it. Without a file, or while unknown, the count is estimated: the
-// request's main count times a factor that is learnt from what this engine itself reports of the prompts it
-// read. An engine whose reports keep differing from what its version's file counts is not believed until it
-// tells another version or starts anew.
+// An engine reports its tokeniser's name and version; a file loaded for that version gives exact counts. When
+// discovery lists an engine with a new start time, its version is unknown until it is reported again, so
+// counts for the old version are not used for the new process. Without a matching file, or while the version
+// is unknown, the count is the request's main count times a factor learnt from the token counts that the
+// engine reports for the prompts it processed. An engine whose reports repeatedly differ from its version's
+// file is doubted: its counts are estimated until it reports another version, restarts or the file is loaded
+// again.
 #pragma once
 
 #include <compare>
@@ -29,11 +30,11 @@
   std::string version;
   friend auto operator<=>(const VersionName&, const VersionName&) = default;
 };
-std::string text(const VersionName& v);
+std::string text(const VersionName& version);
 
-// A loaded file. Each load has its own number, also a second one of the same version.
+// A loaded tokeniser file. Each load has a unique number, even a repeated load of the same version.
 struct LoadedTokeniser {
-  std::uint64_t number = 0;  // from 1
+  std::uint64_t number = 0;  // starts at 1
   VersionName version;
   std::shared_ptr<const tokeniser::Tokeniser> tokeniser;
 };
@@ -41,73 +42,74 @@
 class TokeniserRegistry {
  public:
   struct Options {
-    Micros queryInterval = 5'000'000;  // an engine that told its version is asked again
-    Micros retryFirst = 100'000;  // one that did not is asked again after this, doubled up to queryInterval
-    std::optional<VersionName> usual;  // of engines that don't tell; none: their counts are estimated
+    Micros queryInterval = 5'000'000;    // interval between version queries to an engine
+    Micros initialRetryDelay = 100'000;  // delay after a failed query; doubles up to queryInterval
+    std::optional<VersionName>
+        usual;  // version of engines that do not report one; if unset, their counts are estimated
   };
   explicit TokeniserRegistry(Options options) : options_(std::move(options)) {}
 
-  // A file was loaded, maybe in place of one for the same version. Its number.
+  // Registers a loaded file, replacing an earlier one of the same version. Returns its number.
   std::uint64_t load(VersionName version, std::shared_ptr<const tokeniser::Tokeniser> tokeniser);
 
   // ---- engines ----
-  // Listed, for the first time or again. `told`: the list itself names the version.
-  void listed(EndpointId engine, Micros startedAt, const std::optional<VersionName>& versionReported,
+  // Adds or updates an engine of the endpoint list. `listedVersion`: the version given in the list, if any.
+  void listed(EndpointId engine, Micros startedAt, const std::optional<VersionName>& listedVersion,
               Micros now);
   void gone(EndpointId engine) { engines_.erase(engine.value); }
-  // Engines that are to be asked now; each is then awaited until told(), versionUnsupported() or
-  // versionQueryFailed().
+  // Returns the engines whose version query is due. A query is pending until versionReported(),
+  // versionUnsupported() or versionQueryFailed() is called.
   std::vector<EndpointId> enginesToQuery(Micros now);
   std::optional<Micros> nextQueryTime() const;
   void versionReported(EndpointId engine, const VersionName& version, Micros now);
-  // It answered, and knows no such thing.
+  // The engine responded, but does not support the version query.
   void versionUnsupported(EndpointId engine, Micros now);
   void versionQueryFailed(EndpointId engine, Micros now);
-  // An engine read a prompt and told how many tokens it had. `main`: the request's main count; `exact`: the
-  // count by the tokeniser of this number, none where it was estimated. True: from now on the engine is not
-  // believed.
+  // Records the number of prompt tokens that an engine reported. `main`: the request's main count; `exact`:
+  // the count by the tokeniser with this number, unset if it was estimated. Returns true if this report makes
+  // the engine doubted.
   bool recordReportedTokens(EndpointId engine, double main, std::optional<double> exact, std::uint64_t number,
                             double reported);
 
-  // ---- answers ----
+  // ---- queries ----
   struct Basis {
-    std::uint64_t number = 0;  // the loaded tokeniser that counts for it; 0: estimate
-    double factor = 1;         // the estimate, over the request's main count
+    std::uint64_t number = 0;  // load number of the engine's tokeniser; 0 if counts are estimated
+    double factor = 1;         // estimate divided by the request's main count
   };
   Basis basis(EndpointId engine) const;
-  // LoadedTokeniser tokenisers that count for an engine now, the one of most engines first. Where none does,
-  // the usual one or the latest loaded, for the main count.
+  // Returns the loaded tokenisers that currently count for an engine, most used first. If there are none,
+  // returns the usual version's or the last loaded one, for the main count.
   std::vector<LoadedTokeniser> inUse() const;
   const std::map<std::uint64_t, LoadedTokeniser>& loaded() const { return loaded_; }
-  // Engines whose counts are estimated.
+  // Number of engines whose counts are estimated.
   std::size_t estimated() const;
-  // Changes with every answer of basis() or inUse() that changes.
+  // Changes whenever a result of basis() or inUse() changes.
   std::uint64_t edition() const { return edition_; }
 
  private:
   struct Engine {
     Micros startedAt = 0;
     std::optional<VersionName> version;
-    bool fromList = false;
+    bool versionListed = false;
     bool doubted = false;
-    bool asking = false;
+    bool queryPending = false;
     int failures = 0;
-    Micros askAt = 0;
+    Micros nextQueryAt = 0;
     double factor = 1;
-    int reads = 0;
-    std::uint32_t differences = 0;  // of the last exact counts, a bit each
-    double published = 1;           // the factor that basis() tells
+    int reports = 0;
+    std::uint32_t differences = 0;  // one bit per recent exact count; set if the report differed
+    double publishedFactor = 1;     // factor that basis() returns
   };
-  const LoadedTokeniser* file(const Engine& e) const;
-  void set(Engine& e, std::optional<VersionName> version);
-  // Without one of its own: the mean of the others'.
-  double usualFactor() const;
+  const LoadedTokeniser* loadedFor(const Engine& engineState) const;
+  void setVersion(Engine& engineState, std::optional<VersionName> version);
+  // Factor of an engine without reports: the mean over the other estimated engines.
+  double defaultFactor() const;
 
   Options options_;
   std::map<std::uint64_t, LoadedTokeniser> loaded_;
   std::map<VersionName, std::uint64_t> byVersion_;
   std::unordered_map<std::uint64_t, Engine> engines_;
-  std::uint64_t next_ = 1;
+  std::uint64_t nextNumber_ = 1;
   std::uint64_t edition_ = 1;
 };
 
--- a/src/scheduler/work_queue.h
+++ b/src/scheduler/work_queue.h
@@ -1,9 +1,10 @@
-// Which job a free worker takes next, and which jobs are taken at all. Decides only: no threads, no clock.
+// Scheduling policy of the worker pool: which jobs are accepted and which job a free worker runs next. Uses
+// no threads and no clock.
 //
-// Jobs run in slices. Of the jobs of a level the one with the least left goes first, so a short one waits for
-// a slice at most, never for a long one; each kOldestEvery-th slice goes to the oldest, so that a long one
-// ends under any flood of short ones. Levels go in their order, and each kLowerEvery-th slice to the next
-// level. Long jobs never run on all workers at once.
+// Jobs run in slices. Within a level, the job with the least remaining cost runs first, so a short job waits
+// for at most one slice of a long one. Every kOldestJobInterval-th slice goes to the oldest job, so a long
+// job completes under any flood of short ones. Levels run in order of priority, except that every
+// kLowerLevelInterval-th slice goes to the lower level first. Long jobs never occupy all workers at once.
 #pragma once
 
 #include <array>
@@ -20,35 +21,36 @@
   friend auto operator<=>(const JobId&, const JobId&) = default;
 };
 
-// Somebody waits for the answer; or nobody does.
-enum class Level { waited, background };
+// Foreground jobs have a caller waiting for the result; background jobs do not.
+enum class Level { foreground, background };
 constexpr std::size_t kLevels = 2;
 
 struct Budget {
-  std::size_t jobs = 1024;        // waiting and running
-  std::size_t cost = 256u << 20;  // what is left of them, in the jobs' own unit
+  std::size_t jobs = 1024;        // maximum number of jobs, waiting or running
+  std::size_t cost = 256u << 20;  // maximum total remaining cost, in the unit of the jobs
 };
 
 struct QueueOptions {
   unsigned workers = 2;
-  std::size_t longCost = 16u << 10;  // a job with more left than this is a long one
+  std::size_t longCost = 16u << 10;  // a job with a higher remaining cost is a long job
   std::array<Budget, kLevels> budgets{};
 };
 
 class WorkQueue {
  public:
-  static constexpr std::uint64_t kOldestEvery = 8;
-  static constexpr std::uint64_t kLowerEvery = 16;
+  static constexpr std::uint64_t kOldestJobInterval = 8;
+  static constexpr std::uint64_t kLowerLevelInterval = 16;
 
   explicit WorkQueue(const QueueOptions& options) : options_(options) {}
 
-  // False: the level's budget is used up, nothing is kept of it. Ids are not used twice.
+  // Returns false, without storing the job, if the level's budget is exhausted. Ids must be unique.
   bool add(JobId id, Level level, std::size_t cost);
-  // The job to run a slice of now; none where all are running or may not run yet.
+  // Returns the job whose slice to run now, or nothing if all jobs are running or may not run yet.
   std::optional<JobId> next();
-  // Its slice is over with so much left. True: it is done (0 left) or cancelled, and forgotten.
-  bool ran(JobId id, std::size_t left);
-  // Forgets a job. True where it was not running; a running one is forgotten when its slice is over.
+  // Reports the end of a job's slice. Returns true if the job is done (nothing remains) or cancelled; it is
+  // then removed.
+  bool sliceFinished(JobId id, std::size_t remaining);
+  // Removes a job and returns true, unless it is running: then it is removed at the end of its slice.
   bool cancel(JobId id);
 
   std::size_t jobs(Level level) const { return loads_[index(level)].jobs; }
@@ -56,24 +58,24 @@
 
  private:
   struct Job {
-    Level level = Level::waited;
-    std::size_t left = 0;
+    Level level = Level::foreground;
+    std::size_t remaining = 0;
     bool running = false;
     bool cancelled = false;
   };
   struct Load {
     std::size_t jobs = 0;
     std::size_t cost = 0;
-    std::set<std::pair<std::size_t, JobId>> byLeft;  // those that wait for a slice
-    std::set<JobId> byAge;
+    std::set<std::pair<std::size_t, JobId>> byRemainingCost;  // jobs that wait for a slice
+    std::set<JobId> bySubmission;
     std::uint64_t slices = 0;
   };
   static std::size_t index(Level level) { return static_cast<std::size_t>(level); }
   std::optional<JobId> pick(Load& load) const;
-  void wait(JobId id, const Job& job);
-  void unwait(JobId id, const Job& job);
-  void forget(JobId id);
-  bool isLong(std::size_t left) const { return left > options_.longCost; }
+  void enqueue(JobId id, const Job& job);
+  void dequeue(JobId id, const Job& job);
+  void removeJob(JobId id);
+  bool isLong(std::size_t remaining) const { return remaining > options_.longCost; }
 
   QueueOptions options_;
   std::unordered_map<std::uint64_t, Job> jobs_;
--- a/src/scheduler/worker_pool.cpp
+++ b/src/scheduler/worker_pool.cpp
@@ -7,7 +7,7 @@
 WorkerPool::WorkerPool(const PoolOptions& options, std::function<void(std::function<void()>)> post)
     : options_(options), post_(std::move(post)), queue_(options.queue) {
   for (unsigned i = 0; i < std::max(1U, options.queue.workers); ++i)
-    threads_.emplace_back([this] { work(); });
+    threads_.emplace_back([this] { runWorker(); });
 }
 
 WorkerPool::~WorkerPool() {
@@ -16,8 +16,8 @@
     stopping_ = true;
   }
   wake_.notify_all();
-  for (auto& t : threads_) t.join();
-  waiting_->clear();
+  for (auto& thread : threads_) thread.join();
+  callbacks_->clear();
 }
 
 std::optional<JobId> WorkerPool::submit(Level level, std::size_t cost, std::shared_ptr<Job> job, Done done) {
@@ -26,25 +26,25 @@
     const std::lock_guard lock(mutex_);
     id = {nextId_++};
     if (!queue_.add(id, level, cost)) {
-      ++counters_.full;
+      ++counters_.rejected;
       return std::nullopt;
     }
-    ++counters_.taken;
+    ++counters_.accepted;
     jobs_.emplace(id.value, std::move(job));
-    waiting_->emplace(id.value, std::move(done));
+    callbacks_->emplace(id.value, std::move(done));
   }
   wake_.notify_one();
   return id;
 }
 
 void WorkerPool::cancel(JobId id) {
-  if (waiting_->erase(id.value) == 0) return;
+  if (callbacks_->erase(id.value) == 0) return;
   const std::lock_guard lock(mutex_);
   ++counters_.cancelled;
   if (queue_.cancel(id)) jobs_.erase(id.value);
 }
 
-void WorkerPool::work() {
+void WorkerPool::runWorker() {
   std::unique_lock lock(mutex_);
   while (!stopping_) {
     const auto id = queue_.next();
@@ -55,26 +55,26 @@
     const std::shared_ptr<Job> job = jobs_.at(id->value);
     ++counters_.slices;
     lock.unlock();
-    std::size_t left = 0;
+    std::size_t remaining = 0;
     std::exception_ptr error;
     try {
-      left = job->slice(options_.sliceCost);
+      remaining = job->slice(options_.sliceCost);
     } catch (...) { error = std::current_exception(); }
     lock.lock();
-    const bool over = queue_.ran(*id, left);
-    // The end of a long one's slice may let another run.
+    const bool finished = queue_.sliceFinished(*id, remaining);
+    // The end of a long job's slice may allow another long job to run.
     wake_.notify_one();
-    if (!over) continue;
+    if (!finished) continue;
     jobs_.erase(id->value);
-    if (left > 0) continue;  // cancelled
+    if (remaining > 0) continue;  // cancelled
     ++(error ? counters_.failed : counters_.done);
-    post_([waiting = std::weak_ptr(waiting_), id = id->value, error] {
-      const auto all = waiting.lock();
-      if (!all) return;
-      const auto at = all->find(id);
-      if (at == all->end()) return;  // cancelled
+    post_([callbacks = std::weak_ptr(callbacks_), id = id->value, error] {
+      const auto pending = callbacks.lock();
+      if (!pending) return;
+      const auto at = pending->find(id);
+      if (at == pending->end()) return;  // cancelled
       const Done done = std::move(at->second);
-      all->erase(at);
+      pending->erase(at);
       done(error);
     });
   }
--- a/src/scheduler/worker_pool.h
+++ b/src/scheduler/worker_pool.h
@@ -1,5 +1,5 @@
-// Threads that run jobs in slices, in the order that WorkQueue decides. Owned and called by one thread, whose
-// turn gets the results.
+// Thread pool that runs jobs in slices, in the order given by WorkQueue. It is owned and called by one
+// thread, on which the completion callbacks run.
 #pragma once
 
 #include <condition_variable>
@@ -15,11 +15,12 @@
 
 namespace garnethook::scheduler {
 
-// Runs on workers, one slice at a time, never two at once.
+// A unit of work. Its slices run on worker threads, never two at once.
 class Job {
  public:
   virtual ~Job() = default;
-  // Works for about so much cost and returns what is left; 0: done. May throw: the job is over then.
+  // Does work of about `cost` and returns the remaining cost; 0 if the job is done. An exception ends the
+  // job.
   virtual std::size_t slice(std::size_t cost) = 0;
 };
 
@@ -29,8 +30,8 @@
 };
 
 struct PoolCounters {
-  std::uint64_t taken = 0;
-  std::uint64_t full = 0;  // not taken: no budget
+  std::uint64_t accepted = 0;
+  std::uint64_t rejected = 0;  // budget exhausted
   std::uint64_t done = 0;
   std::uint64_t failed = 0;
   std::uint64_t cancelled = 0;
@@ -39,18 +40,18 @@
 
 class WorkerPool {
  public:
-  // `post` runs a task in the owner's thread, and may be called from any.
+  // `post` runs a task on the owner's thread and must be callable from any thread.
   WorkerPool(const PoolOptions& options, std::function<void(std::function<void()>)> post);
-  // Waits for the slices that run; no call comes after.
+  // Waits for running slices. No callback is called afterwards.
   ~WorkerPool();
   WorkerPool(const WorkerPool&) = delete;
   WorkerPool& operator=(const WorkerPool&) = delete;
 
-  // `done` comes in the owner's thread, never within submit(); with the exception where a slice threw. None:
-  // the budget is used up.
+  // `done` is called on the owner's thread, never within submit(), with the exception if a slice threw one.
+  // Returns nothing if the budget is exhausted.
   using Done = std::function<void(std::exception_ptr)>;
   std::optional<JobId> submit(Level level, std::size_t cost, std::shared_ptr<Job> job, Done done);
-  // `done` does not come any more. A slice that runs goes on to its end.
+  // After this, `done` is not called. A running slice continues to its end.
   void cancel(JobId id);
 
   PoolCounters counters() const;
@@ -58,7 +59,7 @@
   std::size_t cost(Level level) const;
 
  private:
-  void work();
+  void runWorker();
 
   PoolOptions options_;
   std::function<void(std::function<void()>)> post_;
@@ -69,8 +70,8 @@
   PoolCounters counters_;
   bool stopping_ = false;
   std::uint64_t nextId_ = 1;
-  // Of the owner's thread alone.
-  std::shared_ptr<std::unordered_map<std::uint64_t, Done>> waiting_ =
+  // Accessed only on the owner's thread.
+  std::shared_ptr<std::unordered_map<std::uint64_t, Done>> callbacks_ =
       std::make_shared<std::unordered_map<std::uint64_t, Done>>();
   std::vector<std::thread> threads_;
 };
