--- a/tests/counting_test.cpp
+++ b/tests/counting_test.cpp
@@ -1,4 +1,4 @@
-// Counts remembered, beginnings gone on from, versions of engines.
+// Cached token counts, resuming from cached prefixes, and the tokeniser versions of engines.
 #include <gtest/gtest.h>
 
 #include <future>
@@ -32,9 +32,9 @@
   return tokeniser::readRanks("made", ranks(seed), options);
 }
 
-class Texts {
+class TextGenerator {
  public:
-  explicit Texts(std::uint64_t seed) : random_(seed) {}
+  explicit TextGenerator(std::uint64_t seed) : random_(seed) {}
   string draw(std::size_t bytes) {
     static const std::vector<string> parts{
         " the",   " hello", "a",  "aaaa", " ", "   ", "\n",  " \n",   "12345",   "é", "e\u0301",
@@ -49,26 +49,26 @@
   std::mt19937_64 random_;
 };
 
-Count counted(CountStore& store, const std::shared_ptr<const Tokeniser>& t, const string& text,
-              std::size_t shared = 0, const string& session = {}, const string& identity = "t",
-              bool special = false, std::size_t slice = 3000) {
+Count countTokens(CountStore& store, const std::shared_ptr<const Tokeniser>& t, const string& text,
+                  std::size_t shared = 0, const string& session = {}, const string& identity = "t",
+                  bool special = false, std::size_t slice = 3000) {
   PromptCount count(store, {t, identity, std::make_shared<const string>(text), shared, session, special});
   while (count.slice(slice) > 0) {}
   return count.result();
 }
 
-std::size_t plainly(const Tokeniser& t, const string& text, bool special = false) {
+std::size_t tokenCount(const Tokeniser& t, const string& text, bool special = false) {
   tokeniser::Workspace workspace;
   return tokeniser::encode(t, text, {special, true}, workspace).size();
 }
 
-// An adversarial stream: beginnings shared and cut anywhere, runs, seams, repeats, other identities; counts
-// with what is remembered equal the stand-in's own way.
-TEST(PromptCount, RememberedBeginningsNeverChangeACount) {
+// Prevents cached prefixes from changing a count. Prefixes are shared and cut at any position, with runs of
+// one character, repeated texts and sessions; every count must equal that of the fake engine's own tokeniser.
+TEST(PromptCount, CachedPrefixesNeverChangeACount) {
   const auto t = loaded();
   const fake_engine::OwnTokeniser own("made", "1", ranks(1), tokeniser::knownPattern("cl100k_base"));
   CountStore store({.countBytes = 256u << 10, .sessionBytes = 1u << 20});
-  Texts texts(7);
+  TextGenerator texts(7);
   std::vector<string> pool;
   for (int i = 0; i < 12; ++i) pool.push_back(texts.draw(16'000));
   pool.push_back(string(9000, 'a'));
@@ -84,7 +84,7 @@
     const std::size_t shared = i % 4 == 0 ? 0 : cut;
     const string session = i % 5 == 0 ? "s" + std::to_string(i % 3) : "";
     const auto expected = own.encode(text);
-    const Count c = counted(store, t, text, shared, session);
+    const Count c = countTokens(store, t, text, shared, session);
     ASSERT_EQ(c.tokens, expected.size()) << i;
     if (!session.empty()) {
       ASSERT_TRUE(c.blocks);
@@ -94,12 +94,12 @@
     bytes += text.size();
     ASSERT_LE(store.memory(), (256u << 10) + (1u << 20) + 4096);
   }
-  EXPECT_LT(encoded, bytes * 9 / 10) << "nothing was remembered";
+  EXPECT_LT(encoded, bytes * 9 / 10) << "nothing came from the cache";
 }
 
-TEST(PromptCount, TheSharedCountIsTheBeginningsAlone) {
+TEST(PromptCount, SharedPrefixCountDependsOnThePrefixOnly) {
   const auto t = loaded();
-  Texts texts(3);
+  TextGenerator texts(3);
   for (int i = 0; i < 60; ++i) {
     const string begin = texts.draw(1 + texts.below(9000));
     CountStore warm({});
@@ -107,60 +107,61 @@
     for (int k = 0; k < 6; ++k) {
       const string text = begin + texts.draw(texts.below(3000) + 1);
       CountStore cold({});
-      const auto a = counted(warm, t, text, begin.size());
-      const auto b = counted(cold, t, text, begin.size());
+      const auto a = countTokens(warm, t, text, begin.size());
+      const auto b = countTokens(cold, t, text, begin.size());
       ASSERT_EQ(a.sharedPrefixTokens, b.sharedPrefixTokens);
-      ASSERT_EQ(a.sharedPrefixTokens, first.value_or(a.sharedPrefixTokens)) << "differs by what follows";
+      ASSERT_EQ(a.sharedPrefixTokens, first.value_or(a.sharedPrefixTokens))
+          << "the count depends on the text after the prefix";
       first = a.sharedPrefixTokens;
-      ASSERT_LE(a.sharedPrefixTokens, plainly(*t, begin));
-      ASSERT_EQ(a.tokens, plainly(*t, text));
+      ASSERT_LE(a.sharedPrefixTokens, tokenCount(*t, begin));
+      ASSERT_EQ(a.tokens, tokenCount(*t, text));
     }
   }
 }
 
-TEST(PromptCount, CountsOfOneVersionOrOptionAreNotTakenForAnothers) {
+TEST(PromptCount, CountsAreCachedPerVersionAndOptions) {
   const auto one = loaded(1);
   const auto two = loaded(2);
   CountStore store({});
-  const string text = Texts(5).draw(6000) + "<|end|>";
-  ASSERT_NE(plainly(*one, text), plainly(*two, text)) << "the two vocabularies count alike";
-  EXPECT_EQ(counted(store, one, text, 0, "", "1").tokens, plainly(*one, text));
-  EXPECT_EQ(counted(store, two, text, 0, "", "2").tokens, plainly(*two, text));
-  EXPECT_EQ(counted(store, one, text, 0, "", "1", true).tokens, plainly(*one, text, true));
-  EXPECT_EQ(counted(store, one, text, 0, "", "1").encoded, 0U);
+  const string text = TextGenerator(5).draw(6000) + "<|end|>";
+  ASSERT_NE(tokenCount(*one, text), tokenCount(*two, text)) << "both vocabularies give the same count";
+  EXPECT_EQ(countTokens(store, one, text, 0, "", "1").tokens, tokenCount(*one, text));
+  EXPECT_EQ(countTokens(store, two, text, 0, "", "2").tokens, tokenCount(*two, text));
+  EXPECT_EQ(countTokens(store, one, text, 0, "", "1", true).tokens, tokenCount(*one, text, true));
+  EXPECT_EQ(countTokens(store, one, text, 0, "", "1").encoded, 0U);
 }
 
-TEST(PromptCount, AConversationEncodesOnlyWhatIsNew) {
+TEST(PromptCount, SessionEncodesOnlyNewText) {
   const auto t = loaded();
   CountStore store({});
-  Texts texts(9);
+  TextGenerator texts(9);
   string text = texts.draw(50'000);
-  counted(store, t, text, 0, "session");
+  countTokens(store, t, text, 0, "session");
   for (int turn = 0; turn < 5; ++turn) {
     text += texts.draw(2000);
-    const auto c = counted(store, t, text, 0, "session");
-    EXPECT_LT(c.encoded, 2000U + 2 * PromptCount::kStep);
-    ASSERT_EQ(c.tokens, plainly(*t, text));
+    const auto c = countTokens(store, t, text, 0, "session");
+    EXPECT_LT(c.encoded, 2000U + 2 * PromptCount::kCheckpointBytes);
+    ASSERT_EQ(c.tokens, tokenCount(*t, text));
     std::vector<std::uint64_t> hashes;
     c.blocks->hashes(16, hashes);
     EXPECT_EQ(hashes.size(), c.tokens / 16);
   }
-  // Another text under the same key: nothing of it is taken.
+  // A different text with the same session key: the kept tokens are not used.
   const string other = "x" + text;
-  EXPECT_EQ(counted(store, t, other, 0, "session").tokens, plainly(*t, other));
+  EXPECT_EQ(countTokens(store, t, other, 0, "session").tokens, tokenCount(*t, other));
 }
 
-TEST(PromptCount, IllFormedTextIsCountedAsRepaired) {
+TEST(PromptCount, IllFormedTextIsCountedAfterRepair) {
   const auto t = loaded();
   CountStore store({});
   const string bad = string("abc\xff\xfe def \xe2\x82") + string(5000, '\xf0') + " end";
-  EXPECT_EQ(counted(store, t, bad, 2000).tokens, plainly(*t, tokeniser::repaired(bad).value()));
+  EXPECT_EQ(countTokens(store, t, bad, 2000).tokens, tokenCount(*t, tokeniser::repaired(bad).value()));
 }
 
-TEST(CountCache, KeepsWhatIsAskedForThroughAFlood) {
+TEST(CountCache, KeepsFrequentKeysDuringAFlood) {
   Digester digester{DigestKey()};
   const auto key = [&](const string& text) { return digester.of({}, 'x', text); };
-  CountCache cache(CountCache::kLeast);
+  CountCache cache(CountCache::kMinBytes);
   const std::size_t hot = cache.capacity() / 2;
   for (int round = 0; round < 4; ++round)
     for (std::size_t i = 0; i < hot; ++i) {
@@ -179,25 +180,25 @@
       ++kept;
     }
   EXPECT_GT(kept, hot * 9 / 10);
-  EXPECT_LE(cache.memory(), CountCache::kLeast + 512);
+  EXPECT_LE(cache.memory(), CountCache::kMinBytes + 512);
 }
 
-TEST(CountCache, AgreesWithAMapOnWhatItHolds) {
+TEST(CountCache, FoundValuesMatchAMap) {
   Digester digester{DigestKey()};
-  CountCache cache(CountCache::kLeast);
-  std::map<std::uint64_t, std::size_t> truth;
+  CountCache cache(CountCache::kMinBytes);
+  std::map<std::uint64_t, std::size_t> expectedTokens;
   std::mt19937_64 random(3);
   for (int i = 0; i < 50'000; ++i) {
     const auto n = random() % 4000;
     const auto k = digester.of({}, 'x', std::to_string(n));
-    if (const auto found = cache.find(k)) { ASSERT_EQ(found->tokens, truth.at(n)); }
-    truth[n] = random() % 1000;
-    cache.put(k, {7, truth[n]});
+    if (const auto found = cache.find(k)) { ASSERT_EQ(found->tokens, expectedTokens.at(n)); }
+    expectedTokens[n] = random() % 1000;
+    cache.put(k, {7, expectedTokens[n]});
     ASSERT_LE(cache.size(), cache.capacity());
   }
 }
 
-TEST(FrequencySketch, NeverTellsLessBetweenHalvings) {
+TEST(FrequencySketch, NeverUnderestimatesBetweenHalvings) {
   Digester digester{DigestKey()};
   FrequencySketch sketch(4096);
   std::vector<int> asked(200);
@@ -212,7 +213,7 @@
               static_cast<unsigned>(std::min(asked[n], 15)));
 }
 
-TEST(SessionTokens, StaysWithinItsBound) {
+TEST(SessionTokens, StaysWithinMemoryBound) {
   SessionTokens sessions(100'000);
   Digester digester{DigestKey()};
   for (int i = 0; i < 2000; ++i) {
@@ -230,10 +231,10 @@
   EXPECT_FALSE(sessions.find(digester.of({}, 'x', "huge")));
 }
 
-// Stands for a tokeniser that another process runs, and that has stopped answering.
-class Hanging final : public Tokeniser {
+// A tokeniser run by another process that has stopped responding.
+class HangingTokeniser final : public Tokeniser {
  public:
-  explicit Hanging(std::shared_future<void> open) : open_(std::move(open)) {}
+  explicit HangingTokeniser(std::shared_future<void> open) : open_(std::move(open)) {}
   std::optional<string> normalised(std::string_view, const tokeniser::TextOptions&) const override {
     return std::nullopt;
   }
@@ -251,7 +252,7 @@
   std::shared_future<void> open_;
 };
 
-TEST(Counter, ATokeniserThatHangsHoldsUpNeitherTheLoopNorTheRequest) {
+TEST(Counter, HangingTokeniserBlocksNeitherLoopNorRequest) {
   std::promise<void> open;
   net::Loop loop;
   CounterOptions options;
@@ -259,7 +260,7 @@
   auto counter =
       std::make_unique<Counter>(options, loop, [&](std::function<void()> t) { loop.post(std::move(t)); });
   const std::vector<LoadedTokeniser> hanging{
-      {1, {"h", "1"}, std::make_shared<Hanging>(open.get_future().share())}};
+      {1, {"h", "1"}, std::make_shared<HangingTokeniser>(open.get_future().share())}};
   std::optional<PromptCounts> counts;
   int turns = 0;
   std::function<void()> turn = [&] {
@@ -287,106 +288,107 @@
 const VersionName kOne{"model", "1"};
 const VersionName kTwo{"model", "2"};
 
-TEST(TokeniserRegistry, EachEngineByItsOwnVersion) {
-  TokeniserRegistry book({});
-  const auto one = book.load(kOne, loaded(1));
-  const auto two = book.load(kTwo, loaded(2));
-  for (std::uint64_t id = 1; id <= 3; ++id) book.listed({id}, 0, std::nullopt, 0);
-  EXPECT_EQ(book.enginesToQuery(0).size(), 3U);
-  EXPECT_TRUE(book.enginesToQuery(0).empty()) << "asked once at a time";
-  EXPECT_EQ(book.basis({1}).number, 0U) << "unknown until told";
-  book.versionReported({1}, kOne, 0);
-  book.versionReported({2}, kTwo, 0);
-  book.versionReported({3}, kTwo, 0);
-  EXPECT_EQ(book.basis({1}).number, one);
-  EXPECT_EQ(book.basis({2}).number, two);
-  const auto use = book.inUse();
+TEST(TokeniserRegistry, EachEngineIsCountedWithItsVersion) {
+  TokeniserRegistry registry({});
+  const auto one = registry.load(kOne, loaded(1));
+  const auto two = registry.load(kTwo, loaded(2));
+  for (std::uint64_t id = 1; id <= 3; ++id) registry.listed({id}, 0, std::nullopt, 0);
+  EXPECT_EQ(registry.enginesToQuery(0).size(), 3U);
+  EXPECT_TRUE(registry.enginesToQuery(0).empty()) << "one query at a time";
+  EXPECT_EQ(registry.basis({1}).number, 0U) << "unknown until reported";
+  registry.versionReported({1}, kOne, 0);
+  registry.versionReported({2}, kTwo, 0);
+  registry.versionReported({3}, kTwo, 0);
+  EXPECT_EQ(registry.basis({1}).number, one);
+  EXPECT_EQ(registry.basis({2}).number, two);
+  const auto use = registry.inUse();
   ASSERT_EQ(use.size(), 2U);
-  EXPECT_EQ(use[0].number, two) << "that of most engines first";
+  EXPECT_EQ(use[0].number, two) << "the most used tokeniser comes first";
 }
 
-TEST(TokeniserRegistry, ARestartMakesTheVersionUnknownAtOnce) {
-  TokeniserRegistry book({});
-  const auto one = book.load(kOne, loaded(1));
-  book.listed({1}, 5, std::nullopt, 0);
-  book.enginesToQuery(0);
-  book.versionReported({1}, kOne, 0);
-  EXPECT_EQ(book.basis({1}).number, one);
-  const auto before = book.edition();
-  book.listed({1}, 6, std::nullopt, 10 * kMs);
-  EXPECT_EQ(book.basis({1}).number, 0U);
-  EXPECT_NE(book.edition(), before);
-  EXPECT_EQ(book.enginesToQuery(10 * kMs).size(), 1U);
-  book.versionReported({1}, kTwo, 20 * kMs);  // no file for it
-  EXPECT_EQ(book.basis({1}).number, 0U);
-  EXPECT_EQ(book.estimated(), 1U);
+TEST(TokeniserRegistry, RestartMakesVersionUnknownImmediately) {
+  TokeniserRegistry registry({});
+  const auto one = registry.load(kOne, loaded(1));
+  registry.listed({1}, 5, std::nullopt, 0);
+  registry.enginesToQuery(0);
+  registry.versionReported({1}, kOne, 0);
+  EXPECT_EQ(registry.basis({1}).number, one);
+  const auto before = registry.edition();
+  registry.listed({1}, 6, std::nullopt, 10 * kMs);
+  EXPECT_EQ(registry.basis({1}).number, 0U);
+  EXPECT_NE(registry.edition(), before);
+  EXPECT_EQ(registry.enginesToQuery(10 * kMs).size(), 1U);
+  registry.versionReported({1}, kTwo, 20 * kMs);  // no file is loaded for this version
+  EXPECT_EQ(registry.basis({1}).number, 0U);
+  EXPECT_EQ(registry.estimated(), 1U);
 }
 
-TEST(TokeniserRegistry, WithoutAFileByTheEnginesOwnRatio) {
-  TokeniserRegistry book({});
-  book.load(kOne, loaded(1));
+TEST(TokeniserRegistry, WithoutAFileUsesTheEnginesOwnFactor) {
+  TokeniserRegistry registry({});
+  registry.load(kOne, loaded(1));
   for (std::uint64_t id = 1; id <= 2; ++id) {
-    book.listed({id}, 0, std::nullopt, 0);
-    book.enginesToQuery(0);
-    book.versionReported({id}, kTwo, 0);
+    registry.listed({id}, 0, std::nullopt, 0);
+    registry.enginesToQuery(0);
+    registry.versionReported({id}, kTwo, 0);
   }
   for (int i = 0; i < 50; ++i) {
-    book.recordReportedTokens({1}, 1000, std::nullopt, 0, 1500);
-    book.recordReportedTokens({2}, 1000, std::nullopt, 0, 700);
+    registry.recordReportedTokens({1}, 1000, std::nullopt, 0, 1500);
+    registry.recordReportedTokens({2}, 1000, std::nullopt, 0, 700);
   }
-  EXPECT_NEAR(book.basis({1}).factor, 1.5, 0.05);
-  EXPECT_NEAR(book.basis({2}).factor, 0.7, 0.05);
-  book.listed({3}, 0, std::nullopt, 0);
-  EXPECT_NEAR(book.basis({3}).factor, 1.1, 0.05) << "one that was never read on: the others' mean";
-  book.recordReportedTokens({1}, 1000, std::nullopt, 0, 1e12);  // a report that lies
-  EXPECT_LT(book.basis({1}).factor, 2.5);
+  EXPECT_NEAR(registry.basis({1}).factor, 1.5, 0.05);
+  EXPECT_NEAR(registry.basis({2}).factor, 0.7, 0.05);
+  registry.listed({3}, 0, std::nullopt, 0);
+  EXPECT_NEAR(registry.basis({3}).factor, 1.1, 0.05)
+      << "an engine without reports uses the mean of the others";
+  registry.recordReportedTokens({1}, 1000, std::nullopt, 0, 1e12);  // an implausible report
+  EXPECT_LT(registry.basis({1}).factor, 2.5);
 }
 
-TEST(TokeniserRegistry, AnEngineWhoseReportsDifferIsNotBelieved) {
-  TokeniserRegistry book({});
-  const auto one = book.load(kOne, loaded(1));
-  book.listed({1}, 0, std::nullopt, 0);
-  book.enginesToQuery(0);
-  book.versionReported({1}, kOne, 0);
-  for (int i = 0; i < 100; ++i) EXPECT_FALSE(book.recordReportedTokens({1}, 100, 100.0, one, 100));
-  // Counted by another file than now: says nothing.
-  for (int i = 0; i < 100; ++i) EXPECT_FALSE(book.recordReportedTokens({1}, 100, 100.0, one + 7, 130));
+TEST(TokeniserRegistry, EngineWithDifferingReportsIsDoubted) {
+  TokeniserRegistry registry({});
+  const auto one = registry.load(kOne, loaded(1));
+  registry.listed({1}, 0, std::nullopt, 0);
+  registry.enginesToQuery(0);
+  registry.versionReported({1}, kOne, 0);
+  for (int i = 0; i < 100; ++i) EXPECT_FALSE(registry.recordReportedTokens({1}, 100, 100.0, one, 100));
+  // Counted with a file that is no longer in use: ignored.
+  for (int i = 0; i < 100; ++i) EXPECT_FALSE(registry.recordReportedTokens({1}, 100, 100.0, one + 7, 130));
   int until = 0;
-  while (!book.recordReportedTokens({1}, 100, 100.0, one, 130)) ASSERT_LT(++until, 10);
+  while (!registry.recordReportedTokens({1}, 100, 100.0, one, 130)) ASSERT_LT(++until, 10);
   EXPECT_EQ(until, 3);
-  EXPECT_EQ(book.basis({1}).number, 0U);
-  EXPECT_GT(book.basis({1}).factor, 1.2);
-  book.versionReported({1}, kOne, 0);
-  EXPECT_EQ(book.basis({1}).number, 0U) << "the same word again is no proof";
-  const auto again = book.load(kOne, loaded(1));
-  EXPECT_EQ(book.basis({1}).number, again) << "another file, another chance";
+  EXPECT_EQ(registry.basis({1}).number, 0U);
+  EXPECT_GT(registry.basis({1}).factor, 1.2);
+  registry.versionReported({1}, kOne, 0);
+  EXPECT_EQ(registry.basis({1}).number, 0U) << "reporting the same version again does not clear the doubt";
+  const auto again = registry.load(kOne, loaded(1));
+  EXPECT_EQ(registry.basis({1}).number, again) << "loading the file again clears the doubt";
 }
 
-TEST(TokeniserRegistry, AsksAgainLaterAndLater) {
-  TokeniserRegistry book({.queryInterval = 1000 * kMs, .retryFirst = 100 * kMs});
-  book.listed({1}, 0, std::nullopt, 0);
+TEST(TokeniserRegistry, FailedQueriesAreRetriedWithBackoff) {
+  TokeniserRegistry registry({.queryInterval = 1000 * kMs, .initialRetryDelay = 100 * kMs});
+  registry.listed({1}, 0, std::nullopt, 0);
   Micros now = 0;
-  std::vector<Micros> pauses;
+  std::vector<Micros> delays;
   for (int i = 0; i < 6; ++i) {
-    ASSERT_EQ(book.enginesToQuery(now).size(), 1U);
-    book.versionQueryFailed({1}, now);
-    pauses.push_back(*book.nextQueryTime() - now);
-    now = *book.nextQueryTime();
+    ASSERT_EQ(registry.enginesToQuery(now).size(), 1U);
+    registry.versionQueryFailed({1}, now);
+    delays.push_back(*registry.nextQueryTime() - now);
+    now = *registry.nextQueryTime();
   }
-  EXPECT_EQ(pauses,
+  EXPECT_EQ(delays,
             (std::vector<Micros>{100 * kMs, 200 * kMs, 400 * kMs, 800 * kMs, 1000 * kMs, 1000 * kMs}));
 }
 
-TEST(TokeniserRegistry, EnginesThatCannotTellTakeTheUsualOne) {
-  TokeniserRegistry book({.usual = kOne});
-  const auto one = book.load(kOne, loaded(1));
-  book.listed({1}, 0, std::nullopt, 0);
-  book.enginesToQuery(0);
-  EXPECT_EQ(book.inUse().size(), 1U) << "the main count before anybody told";
-  book.versionUnsupported({1}, 0);
-  EXPECT_EQ(book.basis({1}).number, one);
-  book.listed({2}, 0, kTwo, 0);
-  EXPECT_TRUE(book.enginesToQuery(0).empty()) << "the list told it";
+TEST(TokeniserRegistry, EnginesWithoutVersionUseTheUsualOne) {
+  TokeniserRegistry registry({.usual = kOne});
+  const auto one = registry.load(kOne, loaded(1));
+  registry.listed({1}, 0, std::nullopt, 0);
+  registry.enginesToQuery(0);
+  EXPECT_EQ(registry.inUse().size(), 1U) << "used for the main count before any engine reports a version";
+  registry.versionUnsupported({1}, 0);
+  EXPECT_EQ(registry.basis({1}).number, one);
+  registry.listed({2}, 0, kTwo, 0);
+  EXPECT_TRUE(registry.enginesToQuery(0).empty()) << "the endpoint list gives the version";
 }
 
 }  // namespace
