--- a/src/counting/counter.cpp
+++ b/src/counting/counter.cpp
@@ -13,9 +13,9 @@
 
 }  // namespace
 
-std::string_view name(Estimate estimate) {
+std::string_view name(Estimate cause) {
   constexpr std::array<std::string_view, 5> names{"none", "no-file", "queue-full", "late", "failed"};
-  return names[static_cast<std::size_t>(estimate)];
+  return names[static_cast<std::size_t>(cause)];
 }
 
 Counter::Counter(const CounterOptions& options, timing::Timers& timers,
@@ -129,10 +129,10 @@
   PromptCounts out;
   for (const Part& part : pending.parts) {
     if (!part.counted) continue;
-    const Count& count = part.count->result();
-    out.exact.push_back({part.number, std::max(1.0, static_cast<double>(count.tokens)),
-                         static_cast<double>(count.sharedPrefixTokens)});
-    if (!out.blocks) out.blocks = count.blocks;
+    const Count& partCount = part.count->result();
+    out.exact.push_back({part.number, std::max(1.0, static_cast<double>(partCount.tokens)),
+                         static_cast<double>(partCount.sharedPrefixTokens)});
+    if (!out.blocks) out.blocks = partCount.blocks;
   }
   if (!pending.parts.empty() && pending.parts.front().counted) {
     out.main = out.exact.front().prompt;
--- a/src/counting/counter.h
+++ b/src/counting/counter.h
@@ -24,8 +24,8 @@
   CountStore::Options store;
   scheduler::PoolOptions pool;
   std::size_t inlineBytes = 2048;  // texts up to this size are counted in the loop's thread
-  std::size_t cacheLookupBytes =
-      64u << 10;                  // texts up to this size are looked up in the cache in the loop's thread
+  // Texts up to this size are looked up in the cache in the loop's thread.
+  std::size_t cacheLookupBytes = 64u << 10;
   Micros timeout = 200'000;       // after this the count is estimated
   double charactersPerToken = 4;  // used for estimates if no tokeniser has counted the prompt
   bool sessionIds = false;        // keep the token ids of sessions
@@ -33,8 +33,8 @@
 
 struct CounterCounters {
   std::uint64_t prompts = 0;
-  std::uint64_t remembered =
-      0;  // counts found in the cache, per tokeniser: a prompt may have others that were not
+  // Counts found in the cache, one per tokeniser; a prompt's other counts may be missing from it.
+  std::uint64_t remembered = 0;
   std::uint64_t countedInline = 0;  // counts computed in the loop's thread
   std::uint64_t onWorkers = 0;      // counts computed on the worker pool
   std::uint64_t estimatedFull = 0;
@@ -45,8 +45,9 @@
   std::uint64_t bytesEncoded = 0;  // of these, bytes that were not in the cache
 };
 
+// Why a count was estimated.
 enum class Estimate { none, noFile, full, late, failed };
-std::string_view name(Estimate estimate);
+std::string_view name(Estimate cause);
 
 struct VersionCount {
   std::uint64_t number = 0;  // load number of the tokeniser
@@ -61,6 +62,7 @@
   std::shared_ptr<const TokenBlocks> blocks;
 };
 
+// Identifies a pending count; 0 if there is none.
 struct CountTicket {
   std::uint64_t value = 0;
 };
--- a/src/counting/prompt_count.cpp
+++ b/src/counting/prompt_count.cpp
@@ -83,9 +83,9 @@
     rewritten_ = std::move(*newText);
     text_ = rewritten_;
   };
-  rewrite(tokeniser::repaired(text_), [](std::string_view text) { return tokeniser::repaired(text); });
+  rewrite(tokeniser::repaired(text_), [](std::string_view input) { return tokeniser::repaired(input); });
   rewrite(request_.tokeniser->normalised(text_, options_),
-          [&](std::string_view text) { return request_.tokeniser->normalised(text, options_); });
+          [&](std::string_view input) { return request_.tokeniser->normalised(input, options_); });
   // The certain tokens of a prefix are only known if some text follows it.
   if (sharedPrefixBytes_ == text_.size() && sharedPrefixBytes_ > 0) --sharedPrefixBytes_;
   sharedPrefixBytes_ = tokeniser::characterStart(text_, sharedPrefixBytes_);
@@ -171,8 +171,8 @@
         mark_ = findLongestPrefix(*prefixDigests_, sharedPrefixCounted_ ? text_.size() : sharedPrefixBytes_);
       }
     }
-    if (collectsIds_ && !sharedPrefixCounted_ &&
-        limit_ > sharedPrefixBytes_) {  // restart to count the shared prefix
+    // Restart to count the shared prefix.
+    if (collectsIds_ && !sharedPrefixCounted_ && limit_ > sharedPrefixBytes_) {
       mark_ = {};
       limit_ = 0;
       ids_.clear();
@@ -220,12 +220,12 @@
   result_.tokens = before + mark_.tokens + behind;
   if (sharedPrefixBytes_ > 0) result_.sharedPrefixTokens += before;
   if (!collectsIds_) return;
-  std::vector<tokeniser::TokenId> all;
-  all.reserve(before + ids_.size() + behind);
-  all.insert(all.end(), request_.tokeniser->before().begin(), request_.tokeniser->before().end());
-  all.insert(all.end(), ids_.begin(), ids_.end());
-  all.insert(all.end(), request_.tokeniser->behind().begin(), request_.tokeniser->behind().end());
-  result_.blocks = std::make_shared<const TokenBlocks>(std::move(all));
+  std::vector<tokeniser::TokenId> allIds;
+  allIds.reserve(before + ids_.size() + behind);
+  allIds.insert(allIds.end(), request_.tokeniser->before().begin(), request_.tokeniser->before().end());
+  allIds.insert(allIds.end(), ids_.begin(), ids_.end());
+  allIds.insert(allIds.end(), request_.tokeniser->behind().begin(), request_.tokeniser->behind().end());
+  result_.blocks = std::make_shared<const TokenBlocks>(std::move(allIds));
 }
 
 }  // namespace garnethook::counting
--- a/src/counting/tokeniser_registry.cpp
+++ b/src/counting/tokeniser_registry.cpp
@@ -26,8 +26,8 @@
   byVersion_[version] = number;
   loaded_[number] = {number, std::move(version), std::move(tokeniser)};
   for (auto& [id, engineState] : engines_)
-    if (engineState.doubted &&
-        engineState.version == loaded_[number].version) {  // the new file may match the engine's reports
+    // The new file may match the engine's reports.
+    if (engineState.doubted && engineState.version == loaded_[number].version) {
       engineState.doubted = false;
       engineState.differences = 0;
     }
--- a/src/counting/tokeniser_registry.h
+++ b/src/counting/tokeniser_registry.h
@@ -44,8 +44,8 @@
   struct Options {
     Micros queryInterval = 5'000'000;    // interval between version queries to an engine
     Micros initialRetryDelay = 100'000;  // delay after a failed query; doubles up to queryInterval
-    std::optional<VersionName>
-        usual;  // version of engines that do not report one; if unset, their counts are estimated
+    // Version of engines that do not report one. If unset, their counts are estimated.
+    std::optional<VersionName> usual;
   };
   explicit TokeniserRegistry(Options options) : options_(std::move(options)) {}
 
--- a/tests/counting_test.cpp
+++ b/tests/counting_test.cpp
@@ -24,7 +24,7 @@
   return text;
 }
 
-std::shared_ptr<const Tokeniser> loaded(std::uint64_t seed = 1) {
+std::shared_ptr<const Tokeniser> loadTokeniser(std::uint64_t seed = 1) {
   tokeniser::FileOptions options;
   options.format = tokeniser::Format::ranks;
   options.pattern = "cl100k_base";
@@ -39,33 +39,34 @@
     static const std::vector<string> parts{
         " the",   " hello", "a",  "aaaa", " ", "   ", "\n",  " \n",   "12345",   "é", "e\u0301",
         "日本語", "😀",      "==", "'s",   "'", "l",   " st", " prou", "<|end|>", "<|"};
-    string out;
-    while (out.size() < bytes) out += parts[random_() % parts.size()];
-    return out;
+    string drawn;
+    while (drawn.size() < bytes) drawn += parts[random_() % parts.size()];
+    return drawn;
   }
-  std::size_t below(std::size_t n) { return random_() % n; }
+  std::size_t below(std::size_t bound) { return random_() % bound; }
 
  private:
   std::mt19937_64 random_;
 };
 
-Count countTokens(CountStore& store, const std::shared_ptr<const Tokeniser>& t, const string& text,
-                  std::size_t shared = 0, const string& session = {}, const string& identity = "t",
-                  bool special = false, std::size_t slice = 3000) {
-  PromptCount count(store, {t, identity, std::make_shared<const string>(text), shared, session, special});
+Count countTokens(CountStore& store, const std::shared_ptr<const Tokeniser>& testTokeniser,
+                  const string& text, std::size_t shared = 0, const string& session = {},
+                  const string& identity = "t", bool special = false, std::size_t slice = 3000) {
+  PromptCount count(
+      store, {testTokeniser, identity, std::make_shared<const string>(text), shared, session, special});
   while (count.slice(slice) > 0) {}
   return count.result();
 }
 
-std::size_t tokenCount(const Tokeniser& t, const string& text, bool special = false) {
+std::size_t tokenCount(const Tokeniser& testTokeniser, const string& text, bool special = false) {
   tokeniser::Workspace workspace;
-  return tokeniser::encode(t, text, {special, true}, workspace).size();
+  return tokeniser::encode(testTokeniser, text, {special, true}, workspace).size();
 }
 
 // Prevents cached prefixes from changing a count. Prefixes are shared and cut at any position, with runs of
 // one character, repeated texts and sessions; every count must equal that of the fake engine's own tokeniser.
 TEST(PromptCount, CachedPrefixesNeverChangeACount) {
-  const auto t = loaded();
+  const auto testTokeniser = loadTokeniser();
   const fake_engine::OwnTokeniser own("made", "1", ranks(1), tokeniser::knownPattern("cl100k_base"));
   CountStore store({.countBytes = 256u << 10, .sessionBytes = 1u << 20});
   TextGenerator texts(7);
@@ -84,13 +85,14 @@
     const std::size_t shared = i % 4 == 0 ? 0 : cut;
     const string session = i % 5 == 0 ? "s" + std::to_string(i % 3) : "";
     const auto expected = own.encode(text);
-    const Count c = countTokens(store, t, text, shared, session);
-    ASSERT_EQ(c.tokens, expected.size()) << i;
+    const Count counted = countTokens(store, testTokeniser, text, shared, session);
+    ASSERT_EQ(counted.tokens, expected.size()) << i;
     if (!session.empty()) {
-      ASSERT_TRUE(c.blocks);
-      ASSERT_EQ(std::vector<std::uint32_t>(c.blocks->ids().begin(), c.blocks->ids().end()), expected);
+      ASSERT_TRUE(counted.blocks);
+      ASSERT_EQ(std::vector<std::uint32_t>(counted.blocks->ids().begin(), counted.blocks->ids().end()),
+                expected);
     }
-    encoded += c.encoded;
+    encoded += counted.encoded;
     bytes += text.size();
     ASSERT_LE(store.memory(), (256u << 10) + (1u << 20) + 4096);
   }
@@ -98,30 +100,30 @@
 }
 
 TEST(PromptCount, SharedPrefixCountDependsOnThePrefixOnly) {
-  const auto t = loaded();
+  const auto testTokeniser = loadTokeniser();
   TextGenerator texts(3);
   for (int i = 0; i < 60; ++i) {
     const string begin = texts.draw(1 + texts.below(9000));
     CountStore warm({});
     std::optional<std::size_t> first;
-    for (int k = 0; k < 6; ++k) {
+    for (int variant = 0; variant < 6; ++variant) {
       const string text = begin + texts.draw(texts.below(3000) + 1);
       CountStore cold({});
-      const auto a = countTokens(warm, t, text, begin.size());
-      const auto b = countTokens(cold, t, text, begin.size());
-      ASSERT_EQ(a.sharedPrefixTokens, b.sharedPrefixTokens);
-      ASSERT_EQ(a.sharedPrefixTokens, first.value_or(a.sharedPrefixTokens))
+      const auto warmCount = countTokens(warm, testTokeniser, text, begin.size());
+      const auto coldCount = countTokens(cold, testTokeniser, text, begin.size());
+      ASSERT_EQ(warmCount.sharedPrefixTokens, coldCount.sharedPrefixTokens);
+      ASSERT_EQ(warmCount.sharedPrefixTokens, first.value_or(warmCount.sharedPrefixTokens))
           << "the count depends on the text after the prefix";
-      first = a.sharedPrefixTokens;
-      ASSERT_LE(a.sharedPrefixTokens, tokenCount(*t, begin));
-      ASSERT_EQ(a.tokens, tokenCount(*t, text));
+      first = warmCount.sharedPrefixTokens;
+      ASSERT_LE(warmCount.sharedPrefixTokens, tokenCount(*testTokeniser, begin));
+      ASSERT_EQ(warmCount.tokens, tokenCount(*testTokeniser, text));
     }
   }
 }
 
 TEST(PromptCount, CountsAreCachedPerVersionAndOptions) {
-  const auto one = loaded(1);
-  const auto two = loaded(2);
+  const auto one = loadTokeniser(1);
+  const auto two = loadTokeniser(2);
   CountStore store({});
   const string text = TextGenerator(5).draw(6000) + "<|end|>";
   ASSERT_NE(tokenCount(*one, text), tokenCount(*two, text)) << "both vocabularies give the same count";
@@ -132,30 +134,31 @@
 }
 
 TEST(PromptCount, SessionEncodesOnlyNewText) {
-  const auto t = loaded();
+  const auto testTokeniser = loadTokeniser();
   CountStore store({});
   TextGenerator texts(9);
   string text = texts.draw(50'000);
-  countTokens(store, t, text, 0, "session");
+  countTokens(store, testTokeniser, text, 0, "session");
   for (int turn = 0; turn < 5; ++turn) {
     text += texts.draw(2000);
-    const auto c = countTokens(store, t, text, 0, "session");
-    EXPECT_LT(c.encoded, 2000U + 2 * PromptCount::kCheckpointBytes);
-    ASSERT_EQ(c.tokens, tokenCount(*t, text));
+    const auto counted = countTokens(store, testTokeniser, text, 0, "session");
+    EXPECT_LT(counted.encoded, 2000U + 2 * PromptCount::kCheckpointBytes);
+    ASSERT_EQ(counted.tokens, tokenCount(*testTokeniser, text));
     std::vector<std::uint64_t> hashes;
-    c.blocks->hashes(16, hashes);
-    EXPECT_EQ(hashes.size(), c.tokens / 16);
+    counted.blocks->hashes(16, hashes);
+    EXPECT_EQ(hashes.size(), counted.tokens / 16);
   }
   // A different text with the same session key: the kept tokens are not used.
   const string other = "x" + text;
-  EXPECT_EQ(countTokens(store, t, other, 0, "session").tokens, tokenCount(*t, other));
+  EXPECT_EQ(countTokens(store, testTokeniser, other, 0, "session").tokens, tokenCount(*testTokeniser, other));
 }
 
 TEST(PromptCount, IllFormedTextIsCountedAfterRepair) {
-  const auto t = loaded();
+  const auto testTokeniser = loadTokeniser();
   CountStore store({});
   const string bad = string("abc\xff\xfe def \xe2\x82") + string(5000, '\xf0') + " end";
-  EXPECT_EQ(countTokens(store, t, bad, 2000).tokens, tokenCount(*t, tokeniser::repaired(bad).value()));
+  EXPECT_EQ(countTokens(store, testTokeniser, bad, 2000).tokens,
+            tokenCount(*testTokeniser, tokeniser::repaired(bad).value()));
 }
 
 TEST(CountCache, KeepsFrequentKeysDuringAFlood) {
@@ -165,13 +168,13 @@
   const std::size_t hot = cache.capacity() / 2;
   for (int round = 0; round < 4; ++round)
     for (std::size_t i = 0; i < hot; ++i) {
-      const auto k = key("hot" + std::to_string(i));
-      if (!cache.find(k)) cache.put(k, {i, i + 1});
+      const auto entryKey = key("hot" + std::to_string(i));
+      if (!cache.find(entryKey)) cache.put(entryKey, {i, i + 1});
     }
   for (std::size_t i = 0; i < 20 * cache.capacity(); ++i) {
-    const auto k = key("flood" + std::to_string(i));
-    ASSERT_FALSE(cache.find(k));
-    cache.put(k, {1, 1});
+    const auto entryKey = key("flood" + std::to_string(i));
+    ASSERT_FALSE(cache.find(entryKey));
+    cache.put(entryKey, {1, 1});
   }
   std::size_t kept = 0;
   for (std::size_t i = 0; i < hot; ++i)
@@ -189,11 +192,11 @@
   std::map<std::uint64_t, std::size_t> expectedTokens;
   std::mt19937_64 random(3);
   for (int i = 0; i < 50'000; ++i) {
-    const auto n = random() % 4000;
-    const auto k = digester.of({}, 'x', std::to_string(n));
-    if (const auto found = cache.find(k)) { ASSERT_EQ(found->tokens, expectedTokens.at(n)); }
-    expectedTokens[n] = random() % 1000;
-    cache.put(k, {7, expectedTokens[n]});
+    const auto index = random() % 4000;
+    const auto entryKey = digester.of({}, 'x', std::to_string(index));
+    if (const auto found = cache.find(entryKey)) { ASSERT_EQ(found->tokens, expectedTokens.at(index)); }
+    expectedTokens[index] = random() % 1000;
+    cache.put(entryKey, {7, expectedTokens[index]});
     ASSERT_LE(cache.size(), cache.capacity());
   }
 }
@@ -204,13 +207,13 @@
   std::vector<int> asked(200);
   std::mt19937_64 random(1);
   for (int i = 0; i < 1500; ++i) {
-    const auto n = random() % asked.size();
-    ++asked[n];
-    sketch.add(digester.of({}, 'x', std::to_string(n)));
+    const auto index = random() % asked.size();
+    ++asked[index];
+    sketch.add(digester.of({}, 'x', std::to_string(index)));
   }
-  for (std::size_t n = 0; n < asked.size(); ++n)
-    EXPECT_GE(sketch.estimate(digester.of({}, 'x', std::to_string(n))),
-              static_cast<unsigned>(std::min(asked[n], 15)));
+  for (std::size_t index = 0; index < asked.size(); ++index)
+    EXPECT_GE(sketch.estimate(digester.of({}, 'x', std::to_string(index))),
+              static_cast<unsigned>(std::min(asked[index], 15)));
 }
 
 TEST(SessionTokens, StaysWithinMemoryBound) {
@@ -257,8 +260,8 @@
   net::Loop loop;
   CounterOptions options;
   options.timeout = 20'000;
-  auto counter =
-      std::make_unique<Counter>(options, loop, [&](std::function<void()> t) { loop.post(std::move(t)); });
+  auto counter = std::make_unique<Counter>(options, loop,
+                                           [&](std::function<void()> task) { loop.post(std::move(task)); });
   const std::vector<LoadedTokeniser> hanging{
       {1, {"h", "1"}, std::make_shared<HangingTokeniser>(open.get_future().share())}};
   std::optional<PromptCounts> counts;
@@ -270,8 +273,8 @@
   loop.after(0, [&] {
     turn();
     counter->count({std::make_shared<const string>("eight ch"), 0, "", false}, hanging,
-                   [&](const PromptCounts& c) {
-                     counts = c;
+                   [&](const PromptCounts& result) {
+                     counts = result;
                      loop.stop();
                    });
   });
@@ -290,8 +293,8 @@
 
 TEST(TokeniserRegistry, EachEngineIsCountedWithItsVersion) {
   TokeniserRegistry registry({});
-  const auto one = registry.load(kOne, loaded(1));
-  const auto two = registry.load(kTwo, loaded(2));
+  const auto one = registry.load(kOne, loadTokeniser(1));
+  const auto two = registry.load(kTwo, loadTokeniser(2));
   for (std::uint64_t id = 1; id <= 3; ++id) registry.listed({id}, 0, std::nullopt, 0);
   EXPECT_EQ(registry.enginesToQuery(0).size(), 3U);
   EXPECT_TRUE(registry.enginesToQuery(0).empty()) << "one query at a time";
@@ -308,7 +311,7 @@
 
 TEST(TokeniserRegistry, RestartMakesVersionUnknownImmediately) {
   TokeniserRegistry registry({});
-  const auto one = registry.load(kOne, loaded(1));
+  const auto one = registry.load(kOne, loadTokeniser(1));
   registry.listed({1}, 5, std::nullopt, 0);
   registry.enginesToQuery(0);
   registry.versionReported({1}, kOne, 0);
@@ -325,7 +328,7 @@
 
 TEST(TokeniserRegistry, WithoutAFileUsesTheEnginesOwnFactor) {
   TokeniserRegistry registry({});
-  registry.load(kOne, loaded(1));
+  registry.load(kOne, loadTokeniser(1));
   for (std::uint64_t id = 1; id <= 2; ++id) {
     registry.listed({id}, 0, std::nullopt, 0);
     registry.enginesToQuery(0);
@@ -346,7 +349,7 @@
 
 TEST(TokeniserRegistry, EngineWithDifferingReportsIsDoubted) {
   TokeniserRegistry registry({});
-  const auto one = registry.load(kOne, loaded(1));
+  const auto one = registry.load(kOne, loadTokeniser(1));
   registry.listed({1}, 0, std::nullopt, 0);
   registry.enginesToQuery(0);
   registry.versionReported({1}, kOne, 0);
@@ -360,7 +363,7 @@
   EXPECT_GT(registry.basis({1}).factor, 1.2);
   registry.versionReported({1}, kOne, 0);
   EXPECT_EQ(registry.basis({1}).number, 0U) << "reporting the same version again does not clear the doubt";
-  const auto again = registry.load(kOne, loaded(1));
+  const auto again = registry.load(kOne, loadTokeniser(1));
   EXPECT_EQ(registry.basis({1}).number, again) << "loading the file again clears the doubt";
 }
 
@@ -381,7 +384,7 @@
 
 TEST(TokeniserRegistry, EnginesWithoutVersionUseTheUsualOne) {
   TokeniserRegistry registry({.usual = kOne});
-  const auto one = registry.load(kOne, loaded(1));
+  const auto one = registry.load(kOne, loadTokeniser(1));
   registry.listed({1}, 0, std::nullopt, 0);
   registry.enginesToQuery(0);
   EXPECT_EQ(registry.inUse().size(), 1U) << "used for the main count before any engine reports a version";
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -120,7 +120,7 @@
 };
 
 struct SlicedJob final : Job {
-  explicit SlicedJob(std::size_t cost) : remaining(cost) {}
+  explicit SlicedJob(std::size_t initialCost) : remaining(initialCost) {}
   std::size_t slice(std::size_t cost) override {
     if (running.exchange(true)) ranConcurrently = true;
     if (gate.valid()) gate.wait();
