--- a/src/counting/tokeniser_registry.cpp
+++ b/src/counting/tokeniser_registry.cpp
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-std::string text(const VersionName& version) {
-  return version.version.empty() ? version.name : version.name + " " + version.version;
+std::string text(const VersionName& versionName) {
+  return versionName.version.empty() ? versionName.name : versionName.name + " " + versionName.version;
 }
 
 std::uint64_t TokeniserRegistry::load(VersionName version,
--- a/src/counting/tokeniser_registry.h
+++ b/src/counting/tokeniser_registry.h
@@ -30,7 +30,7 @@
   std::string version;
   friend auto operator<=>(const VersionName&, const VersionName&) = default;
 };
-std::string text(const VersionName& version);
+std::string text(const VersionName& versionName);
 
 // A loaded tokeniser file. Each load has a unique number, even a repeated load of the same version.
 struct LoadedTokeniser {
--- a/tests/counting_test.cpp
+++ b/tests/counting_test.cpp
@@ -273,8 +273,8 @@
   loop.after(0, [&] {
     turn();
     counter->count({std::make_shared<const string>("eight ch"), 0, "", false}, hanging,
-                   [&](const PromptCounts& result) {
-                     counts = result;
+                   [&](const PromptCounts& promptCounts) {
+                     counts = promptCounts;
                      loop.stop();
                    });
   });
