--- a/src/fake_engine/answer.cpp
+++ b/src/fake_engine/answer.cpp
@@ -12,11 +12,11 @@
                                                   " hall",  " and",   " then", " roll", " out", " by",
                                                   " depot", " after", " noon", "."};
 
-std::uint64_t step(std::uint64_t x) {
-  x += 0x9e3779b97f4a7c15ULL;
-  x = (x ^ x >> 30) * 0xbf58476d1ce4e5b9ULL;
-  x = (x ^ x >> 27) * 0x94d049bb133111ebULL;
-  return x ^ x >> 31;
+std::uint64_t mixBits(std::uint64_t value) {
+  value += 0x9e3779b97f4a7c15ULL;
+  value = (value ^ value >> 30) * 0xbf58476d1ce4e5b9ULL;
+  value = (value ^ value >> 27) * 0x94d049bb133111ebULL;
+  return value ^ value >> 31;
 }
 
 }  // namespace
@@ -29,22 +29,22 @@
 
 Answer::Answer(std::string_view prompt, std::uint32_t maxTokens)
     : seed_(XXH3_64bits(prompt.data(), prompt.size())) {
-  const std::uint32_t wanted = 12 + static_cast<std::uint32_t>(step(seed_) % 52);
-  tokens_ = std::min(wanted, std::max<std::uint32_t>(1, maxTokens));
-  cut_ = tokens_ < wanted;
+  const std::uint32_t fullLength = 12 + static_cast<std::uint32_t>(mixBits(seed_) % 52);
+  tokens_ = std::min(fullLength, std::max<std::uint32_t>(1, maxTokens));
+  truncated_ = tokens_ < fullLength;
 }
 
-std::uint32_t Answer::id(std::uint32_t index) const {
-  return static_cast<std::uint32_t>(step(seed_ + index) % 50'000);
+std::uint32_t Answer::tokenId(std::uint32_t index) const {
+  return static_cast<std::uint32_t>(mixBits(seed_ + index) % 50'000);
 }
-std::string Answer::token(std::uint32_t index) const {
-  return std::string(kWords[id(index) % kWords.size()]);
+std::string Answer::tokenText(std::uint32_t index) const {
+  return std::string(kWords[tokenId(index) % kWords.size()]);
 }
 
 std::string Answer::text() const {
-  std::string out;
-  for (std::uint32_t i = 0; i < tokens_; ++i) out += token(i);
-  return out;
+  std::string joined;
+  for (std::uint32_t i = 0; i < tokens_; ++i) joined += tokenText(i);
+  return joined;
 }
 
 }  // namespace garnethook::fake_engine
--- a/src/fake_engine/fleet.cpp
+++ b/src/fake_engine/fleet.cpp
@@ -10,69 +10,70 @@
 namespace garnethook::fake_engine {
 
 std::shared_ptr<const OwnTokeniser> madeTokeniser(std::uint64_t seed) {
-  auto made = std::make_shared<OwnTokeniser>("made", std::to_string(seed), madeRanks(seed),
-                                             tokeniser::knownPattern("cl100k_base"));
-  made->addSpecial("<|end|>", kMadeSpecial);
-  return made;
+  auto generated = std::make_shared<OwnTokeniser>("made", std::to_string(seed), madeRanks(seed),
+                                                  tokeniser::knownPattern("cl100k_base"));
+  generated->addSpecial("<|end|>", kMadeSpecial);
+  return generated;
 }
 
 std::vector<EngineOptions> readFleet(const config::Node& root, std::string_view key) {
-  std::vector<EngineOptions> out;
-  std::map<std::int64_t, std::shared_ptr<const OwnTokeniser>> made;
-  for (const auto& n : root.array(key)) {
-    EngineOptions o;
-    const std::string name = n.text("name");
-    const auto count = n.integer("count", 0, 0, 1000);
-    o.role = static_cast<Role>(n.choice("role", {"reader", "writer", "both"}, 2));
-    o.kind = n.text("kind");
-    o.zone = n.text("zone", "");
-    o.cell = n.text("cell", "");
-    o.host = n.text("host", "127.0.0.1");
-    if (!o.host.starts_with("127.")) n.failAt("host", "a loopback address is wanted");
-    const auto port = n.integer("port", 0, 0, 65'535);
-    o.readPerSecond = n.number("read_tokens_per_s", o.readPerSecond, 1, 1e9);
-    o.readBase = n.micros("read_base_ms", 2, 0, 1e6);
-    o.slots = static_cast<unsigned>(n.integer("slots", o.slots, 1, 1'000'000));
-    o.queue = static_cast<unsigned>(n.integer("queue", o.queue, 0, 1'000'000));
-    o.memoryTokens = n.number("memory_tokens", o.memoryTokens, 1, 1e12);
-    o.cacheTokens = n.number("cache_tokens", o.cacheTokens, 0, 1e9);
-    o.tokenInterval = n.micros("token_ms", 5, 0.001, 1e6);
-    o.linkPerSecond = n.number("link_tokens_per_s", o.linkPerSecond, 1, 1e12);
-    o.farFactor = n.number("far_factor", o.farFactor, 1, 1000);
-    o.warmUpMinCapacity = n.number("cold_from", o.warmUpMinCapacity, 0.01, 1);
-    o.warmUpDuration = n.micros("warm_within_ms", 0, 0, 1e6);
-    o.overloadMultiple = n.number("fall_multiple", o.overloadMultiple, 0.1, 1e6);
-    o.overloadWindow = n.micros("fall_after_ms", 2000, 1, 1e6);
-    o.stateLife = n.micros("state_life_ms", 20'000, 1, 1e7);
-    o.cancelStops = n.flag("cancel_stops", true);
-    o.tellsTokeniser = n.flag("tells_tokeniser", true);
-    if (const auto seed = n.integer("made_tokeniser", 0, 0, 1'000'000); seed > 0) {
-      auto& tokeniser = made[seed];
+  std::vector<EngineOptions> result;
+  std::map<std::int64_t, std::shared_ptr<const OwnTokeniser>> generated;
+  for (const auto& node : root.array(key)) {
+    EngineOptions options;
+    const std::string name = node.text("name");
+    const auto count = node.integer("count", 0, 0, 1000);
+    options.role = static_cast<Role>(node.choice("role", {"reader", "writer", "both"}, 2));
+    options.kind = node.text("kind");
+    options.zone = node.text("zone", "");
+    options.cell = node.text("cell", "");
+    options.host = node.text("host", "127.0.0.1");
+    if (!options.host.starts_with("127.")) node.failAt("host", "a loopback address is wanted");
+    const auto port = node.integer("port", 0, 0, 65'535);
+    options.prefillTokensPerSecond = node.number("read_tokens_per_s", options.prefillTokensPerSecond, 1, 1e9);
+    options.prefillBaseTime = node.micros("read_base_ms", 2, 0, 1e6);
+    options.slots = static_cast<unsigned>(node.integer("slots", options.slots, 1, 1'000'000));
+    options.queue = static_cast<unsigned>(node.integer("queue", options.queue, 0, 1'000'000));
+    options.memoryTokens = node.number("memory_tokens", options.memoryTokens, 1, 1e12);
+    options.cacheTokens = node.number("cache_tokens", options.cacheTokens, 0, 1e9);
+    options.tokenInterval = node.micros("token_ms", 5, 0.001, 1e6);
+    options.transferTokensPerSecond =
+        node.number("link_tokens_per_s", options.transferTokensPerSecond, 1, 1e12);
+    options.crossCellFactor = node.number("far_factor", options.crossCellFactor, 1, 1000);
+    options.warmUpMinCapacity = node.number("cold_from", options.warmUpMinCapacity, 0.01, 1);
+    options.warmUpDuration = node.micros("warm_within_ms", 0, 0, 1e6);
+    options.overloadMultiple = node.number("fall_multiple", options.overloadMultiple, 0.1, 1e6);
+    options.overloadWindow = node.micros("fall_after_ms", 2000, 1, 1e6);
+    options.kvStateLifetime = node.micros("state_life_ms", 20'000, 1, 1e7);
+    options.cancelStopsPrefill = node.flag("cancel_stops", true);
+    options.reportsTokeniser = node.flag("tells_tokeniser", true);
+    if (const auto seed = node.integer("made_tokeniser", 0, 0, 1'000'000); seed > 0) {
+      auto& tokeniser = generated[seed];
       if (!tokeniser) tokeniser = madeTokeniser(static_cast<std::uint64_t>(seed));
-      o.tokeniser = tokeniser;
+      options.tokeniser = tokeniser;
     }
-    n.done();
+    node.done();
     for (std::int64_t i = 1; i <= std::max<std::int64_t>(1, count); ++i) {
-      o.name = count > 0 ? name + "-" + std::to_string(i) : name;
-      o.port = static_cast<std::uint16_t>(port == 0 ? 0 : port + i - 1);
-      out.push_back(o);
+      options.name = count > 0 ? name + "-" + std::to_string(i) : name;
+      options.port = static_cast<std::uint16_t>(port == 0 ? 0 : port + i - 1);
+      result.push_back(options);
     }
   }
-  return out;
+  return result;
 }
 
 Fleet::Fleet(net::Loop& loop, const std::vector<EngineOptions>& engines, Recorder& recorder)
     : loop_(loop), recorder_(recorder) {
-  for (const auto& o : engines) {
-    engines_.push_back(
-        std::make_unique<Engine>(loop, o, recorder, [this](const std::string& name) { return find(name); }));
-    listed_[o.name] = Listed::running;
+  for (const auto& options : engines) {
+    engines_.push_back(std::make_unique<Engine>(loop, options, recorder,
+                                                [this](const std::string& name) { return find(name); }));
+    listed_[options.name] = Listed::running;
   }
 }
 
 Engine* Fleet::find(const std::string& name) {
-  for (const auto& e : engines_)
-    if (e->options().name == name) return e.get();
+  for (const auto& engine : engines_)
+    if (engine->options().name == name) return engine.get();
   return nullptr;
 }
 
@@ -80,29 +81,29 @@
 
 std::string Fleet::listText() const {
   nlohmann::ordered_json list = nlohmann::ordered_json::array();
-  for (const auto& e : engines_) {
-    const auto& o = e->options();
-    const Listed state = listed_.at(o.name);
+  for (const auto& engine : engines_) {
+    const auto& options = engine->options();
+    const Listed state = listed_.at(options.name);
     if (state == Listed::absent) continue;
-    list.push_back({{"name", o.name},
-                    {"address", o.host + ":" + std::to_string(e->port())},
-                    {"kind", o.kind},
-                    {"zone", o.zone},
-                    {"cell", o.cell},
+    list.push_back({{"name", options.name},
+                    {"address", options.host + ":" + std::to_string(engine->port())},
+                    {"kind", options.kind},
+                    {"zone", options.zone},
+                    {"cell", options.cell},
                     {"state", state == Listed::running    ? "running"
                               : state == Listed::draining ? "draining"
                                                           : "gone"},
-                    {"started_ms", e->startedUnix() / 1000}});
+                    {"started_ms", engine->startedUnix() / 1000}});
   }
   return nlohmann::ordered_json{{"engines", list}}.dump(2) + "\n";
 }
 
 void Fleet::writeList(const std::string& path, Micros delay) {
-  // What the list tells is fixed now; routers learn it later.
+  // The content is fixed now; routers read it after the delay.
   const auto write = [this, path, text = listText(), listed = listed_] {
-    const std::string fresh = path + ".tmp";
-    std::ofstream(fresh, std::ios::binary) << text;
-    std::rename(fresh.c_str(), path.c_str());
+    const std::string temporaryPath = path + ".tmp";
+    std::ofstream(temporaryPath, std::ios::binary) << text;
+    std::rename(temporaryPath.c_str(), path.c_str());
     for (const auto& [name, state] : listed)
       recorder_.note("list.told", {{"engine", name}, {"running", state == Listed::running}});
   };
@@ -113,9 +114,9 @@
 }
 
 std::size_t Fleet::held() const {
-  std::size_t n = 0;
-  for (const auto& e : engines_) n += e->held();
-  return n;
+  std::size_t count = 0;
+  for (const auto& engine : engines_) count += engine->held();
+  return count;
 }
 
 }  // namespace garnethook::fake_engine
--- a/src/fake_engine/fleet.h
+++ b/src/fake_engine/fleet.h
@@ -1,4 +1,4 @@
-// A fleet of stand-in engines in one process, and the list of them that routers read, late if so wished.
+// A fleet of fake engines in one process and the endpoint list file that routers read, optionally delayed.
 #pragma once
 
 #include <memory>
@@ -10,13 +10,13 @@
 
 namespace garnethook::fake_engine {
 
-// The tokeniser "made", version "SEED": madeRanks(SEED) with the pattern cl100k_base and the special token
-// <|end|>.
+// Returns the tokeniser "made" with the seed as its version: madeRanks(seed), the pattern cl100k_base and the
+// special token <|end|>.
 constexpr std::uint32_t kMadeSpecial = 100'001;
 std::shared_ptr<const OwnTokeniser> madeTokeniser(std::uint64_t seed);
 
-// Engines as a settings file describes them: [ { "name", "count", "kind", "role", ... } ]; with "count" N the
-// names are name-1 to name-N.
+// Reads the engines from a settings file: [ { "name", "count", "kind", "role", ... } ]. A "count" of N yields
+// engines name-1 to name-N.
 std::vector<EngineOptions> readFleet(const config::Node& root, std::string_view key);
 
 class Fleet {
@@ -28,9 +28,9 @@
 
   enum class Listed { running, draining, gone, absent };
   void setListed(const std::string& name, Listed state);
-  // Writes the list file (replaced whole) `delay` from now, as it is then told: what each process does now.
+  // Replaces the list file after `delay` with the state of the engines at the time of the call.
   void writeList(const std::string& path, Micros delay);
-  // States held at all engines.
+  // Number of KV states held by all engines.
   std::size_t held() const;
 
  private:
--- a/src/fake_engine/http_server.cpp
+++ b/src/fake_engine/http_server.cpp
@@ -7,15 +7,15 @@
 namespace {
 
 std::string headText(int status, const http1::Fields& fields) {
-  std::string out = "HTTP/1.1 " + std::to_string(status) + (status == 200 ? " OK" : " Status") + "\r\n";
-  for (const auto& f : fields) out += f.name + ": " + f.value + "\r\n";
-  return out;
+  std::string text = "HTTP/1.1 " + std::to_string(status) + (status == 200 ? " OK" : " Status") + "\r\n";
+  for (const auto& field : fields) text += field.name + ": " + field.value + "\r\n";
+  return text;
 }
 
 std::string chunk(std::string_view bytes) {
   char size[20];
-  const int n = std::snprintf(size, sizeof size, "%zx\r\n", bytes.size());
-  return std::string(size, static_cast<std::size_t>(n)).append(bytes).append("\r\n");
+  const int length = std::snprintf(size, sizeof size, "%zx\r\n", bytes.size());
+  return std::string(size, static_cast<std::size_t>(length)).append(bytes).append("\r\n");
 }
 
 }  // namespace
@@ -28,25 +28,25 @@
       : owner_(&owner),
         host_(socket.peerAddress().host().toString()),
         parser_(http1::MessageParser::Kind::request, {}, *this),
-        trickle_(owner.loop_),
+        trickleTimer_(owner.loop_),
         stream_(owner.loop_, std::move(socket), *this) {}
 
-  void thaw() {
-    if (held_.empty() && heldOut_.empty()) return;
-    stream_.send(std::exchange(heldOut_, {}));
-    const std::string bytes = std::exchange(held_, {});
+  void unblock() {
+    if (blockedInput_.empty() && blockedOutput_.empty()) return;
+    stream_.send(std::exchange(blockedOutput_, {}));
+    const std::string bytes = std::exchange(blockedInput_, {});
     if (!bytes.empty()) onBytes(bytes);
   }
   void end(bool abort) {
     if (owner_ == nullptr) return;
     stream_.close(abort);
-    gone();
+    detach();
   }
 
  private:
   class Reply final : public HttpReply {
    public:
-    explicit Reply(std::weak_ptr<Connection> c) : connection_(std::move(c)) {}
+    explicit Reply(std::weak_ptr<Connection> connection) : connection_(std::move(connection)) {}
     void send(int status, const http1::Fields& fields, std::string_view body) override {
       write(headText(status, fields) + "content-length: " + std::to_string(body.size()) + "\r\n\r\n" +
             std::string(body));
@@ -61,55 +61,57 @@
       done();
     }
     void cut() override {
-      const auto c = connection_.lock();
-      onGone = nullptr;
-      if (c) c->end(true);
+      const auto connection = connection_.lock();
+      onDisconnect = nullptr;
+      if (connection) connection->end(true);
     }
-    bool open() const override { return !over_ && !connection_.expired() && !connection_.lock()->ended_; }
-    void goneNow() {
-      over_ = true;
-      if (onGone) std::exchange(onGone, nullptr)();
+    bool open() const override {
+      return !finished_ && !connection_.expired() && !connection_.lock()->closed_;
+    }
+    void notifyDisconnect() {
+      finished_ = true;
+      if (onDisconnect) std::exchange(onDisconnect, nullptr)();
     }
 
    private:
     void write(const std::string& bytes) {
-      if (const auto c = connection_.lock(); c && !over_) c->write(bytes);
+      if (const auto connection = connection_.lock(); connection && !finished_) connection->write(bytes);
     }
     void done() {
-      over_ = true;
-      onGone = nullptr;
-      if (const auto c = connection_.lock()) c->next();
+      finished_ = true;
+      onDisconnect = nullptr;
+      if (const auto connection = connection_.lock()) connection->next();
     }
     std::weak_ptr<Connection> connection_;
-    bool over_ = false;
+    bool finished_ = false;
   };
 
-  bool isFrozen() const { return owner_ != nullptr && owner_->frozen && owner_->frozen(host_); }
+  bool isBlocked() const { return owner_ != nullptr && owner_->blocksHost && owner_->blocksHost(host_); }
 
   void onBytes(std::string_view bytes) override {
-    if (isFrozen()) {
-      if (held_.size() < (16u << 20)) held_.append(bytes);
+    if (isBlocked()) {
+      if (blockedInput_.size() < (16u << 20)) blockedInput_.append(bytes);
       return;
     }
-    const auto keep = shared_from_this();
+    const auto self = shared_from_this();
     if (reply_)
-      early_.append(bytes);
+      pipelined_.append(bytes);
     else if (!parser_.receive(bytes))
       end(true);
   }
   void onClosed(net::CloseCause) override {
-    const auto keep = shared_from_this();
-    gone();
+    const auto self = shared_from_this();
+    detach();
   }
-  void gone() {
-    if (std::exchange(ended_, true)) return;
+  void detach() {
+    if (std::exchange(closed_, true)) return;
     const auto reply = std::exchange(reply_, nullptr);
-    if (reply) reply->goneNow();
+    if (reply) reply->notifyDisconnect();
     if (HttpServer* owner = std::exchange(owner_, nullptr)) {
       auto& loop = owner->loop_;
       const auto at = owner->connections_.find(this);
       if (at == owner->connections_.end()) return;
-      loop.post([c = at->second] {});
+      loop.post([connection = at->second] {});
       owner->connections_.erase(at);
     }
   }
@@ -121,28 +123,29 @@
   }
   void next() {
     reply_ = nullptr;
-    if (!early_.empty() && owner_ != nullptr)
-      owner_->loop_.post([c = shared_from_this()] {
-        if (!c->reply_ && !c->ended_) c->onBytes(std::exchange(c->early_, {}));
+    if (!pipelined_.empty() && owner_ != nullptr)
+      owner_->loop_.post([connection = shared_from_this()] {
+        if (!connection->reply_ && !connection->closed_)
+          connection->onBytes(std::exchange(connection->pipelined_, {}));
       });
   }
   void write(const std::string& bytes) {
     if (owner_ == nullptr) return;
-    if (isFrozen()) {
-      heldOut_.append(bytes);
-    } else if (owner_->trickle > 0 || !slow_.empty()) {
-      slow_.append(bytes);
-      if (!trickle_.running()) drip();
+    if (isBlocked()) {
+      blockedOutput_.append(bytes);
+    } else if (owner_->trickle > 0 || !trickleBuffer_.empty()) {
+      trickleBuffer_.append(bytes);
+      if (!trickleTimer_.running()) sendTrickle();
     } else {
       stream_.send(bytes);
     }
   }
-  void drip() {
-    if (slow_.empty() || owner_ == nullptr) return;
-    const std::size_t n = owner_->trickle > 0 ? 1 : slow_.size();
-    stream_.send(std::string_view(slow_).substr(0, n));
-    slow_.erase(0, n);
-    trickle_.start(std::max<net::Micros>(owner_->trickle, 1000), [this] { drip(); });
+  void sendTrickle() {
+    if (trickleBuffer_.empty() || owner_ == nullptr) return;
+    const std::size_t length = owner_->trickle > 0 ? 1 : trickleBuffer_.size();
+    stream_.send(std::string_view(trickleBuffer_).substr(0, length));
+    trickleBuffer_.erase(0, length);
+    trickleTimer_.start(std::max<net::Micros>(owner_->trickle, 1000), [this] { sendTrickle(); });
   }
 
   HttpServer* owner_;
@@ -150,34 +153,34 @@
   http1::MessageParser parser_;
   HttpRequest request_;
   std::shared_ptr<Reply> reply_;
-  std::string early_;  // bytes behind the request that is being answered
-  std::string held_;
-  std::string heldOut_;
-  std::string slow_;
-  bool ended_ = false;
-  timing::Alarm trickle_;
+  std::string pipelined_;  // bytes received after the request that is being answered
+  std::string blockedInput_;
+  std::string blockedOutput_;
+  std::string trickleBuffer_;
+  bool closed_ = false;
+  timing::Alarm trickleTimer_;
   net::Stream stream_;
 };
 
 HttpServer::HttpServer(net::Loop& loop, const Poco::Net::SocketAddress& address, Handler handler)
     : loop_(loop), handler_(std::move(handler)) {
   listener_ = std::make_unique<net::Listener>(loop, address, [this](Poco::Net::StreamSocket socket) {
-    auto c = std::make_shared<Connection>(*this, std::move(socket));
-    connections_[c.get()] = c;
+    auto connection = std::make_shared<Connection>(*this, std::move(socket));
+    connections_[connection.get()] = connection;
   });
 }
 
-HttpServer::~HttpServer() { down(); }
+HttpServer::~HttpServer() { shutDown(); }
 
-void HttpServer::down() {
+void HttpServer::shutDown() {
   if (listener_) listener_->close();
-  const auto all = connections_;
-  for (const auto& [c, shared] : all) shared->end(true);
+  const auto connections = connections_;
+  for (const auto& [connection, shared] : connections) shared->end(true);
 }
 
-void HttpServer::thaw() {
-  const auto all = connections_;
-  for (const auto& [c, shared] : all) shared->thaw();
+void HttpServer::unblock() {
+  const auto connections = connections_;
+  for (const auto& [connection, shared] : connections) shared->unblock();
 }
 
 }  // namespace garnethook::fake_engine
--- a/src/fake_engine/http_server.h
+++ b/src/fake_engine/http_server.h
@@ -1,4 +1,4 @@
-// A plain HTTP/1.1 server for stand-ins: requests in, answers out, one at a time on each connection.
+// A minimal HTTP/1.1 server for fake engines. It handles one request at a time on each connection.
 #pragma once
 
 #include <functional>
@@ -17,22 +17,22 @@
   std::string body;
 };
 
-// The way back for one request; outlives its connection safely.
+// Sends the response to one request. May outlive its connection.
 class HttpReply {
  public:
   virtual ~HttpReply() = default;
-  // Whole answer.
+  // Sends a complete response.
   virtual void send(int status, const http1::Fields& fields, std::string_view body) = 0;
-  // Streamed answer, chunked.
+  // Begins a streamed response in chunked encoding.
   virtual void begin(int status, const http1::Fields& fields) = 0;
   virtual void piece(std::string_view bytes) = 0;
   virtual void end() = 0;
-  // Cuts the connection, with a reset.
+  // Resets the connection.
   virtual void cut() = 0;
-  // Whether the client is still there.
+  // Whether the client is connected and the response has not ended.
   virtual bool open() const = 0;
-  // Called when the client goes away before the end.
-  std::function<void()> onGone;
+  // Called when the client disconnects before the response has ended.
+  std::function<void()> onDisconnect;
 };
 
 class HttpServer {
@@ -41,12 +41,12 @@
   HttpServer(net::Loop& loop, const Poco::Net::SocketAddress& address, Handler handler);
   ~HttpServer();
   Poco::Net::SocketAddress address() const { return listener_->address(); }
-  // Ends all connections, with a reset, and listens no more.
-  void down();
-  // Bytes from hosts for which the filter says so are kept, not looked at, until thaw().
-  std::function<bool(const std::string& host)> frozen;
-  void thaw();
-  // Bytes of answers go out one at a time, `trickle` apart; 0: at once.
+  // Resets all connections and stops listening.
+  void shutDown();
+  // Traffic with the hosts that this filter matches is buffered until unblock().
+  std::function<bool(const std::string& host)> blocksHost;
+  void unblock();
+  // Interval between single bytes of responses; 0: responses are sent at once.
   net::Micros trickle = 0;
 
  private:
--- a/src/fake_engine/made_vocabulary.h
+++ b/src/fake_engine/made_vocabulary.h
@@ -1,4 +1,5 @@
-// A byte-level BPE vocabulary made on the spot: for stand-ins, drills and tests, which have no published one.
+// Generates byte-level BPE vocabularies for fake engines, fault scenarios and tests, which have no published
+// vocabulary.
 #pragma once
 
 #include <cstdint>
@@ -6,8 +7,9 @@
 
 namespace garnethook::fake_engine {
 
-// A ranks file (".tiktoken") of 256 bytes and `merges` merges (fewer where the text gives no more), trained
-// on words drawn from the seed. Two seeds give vocabularies that count the same text differently.
+// Returns a ranks file (".tiktoken") with the 256 bytes and up to `merges` merges (fewer if the text yields
+// no more), trained on words generated from the seed. Vocabularies of different seeds give different token
+// counts for the same text.
 std::string madeRanks(std::uint64_t seed, std::size_t merges = 400);
 
 }  // namespace garnethook::fake_engine
--- a/src/fake_engine/prefix_cache.cpp
+++ b/src/fake_engine/prefix_cache.cpp
@@ -6,20 +6,20 @@
 
 std::size_t PrefixCache::find(std::string_view text) {
   std::uint64_t chain = 0;
-  std::size_t at = 0;
-  for (; at + kBlock <= text.size(); at += kBlock) {
-    chain = XXH3_64bits_withSeed(text.data() + at, kBlock, chain);
+  std::size_t offset = 0;
+  for (; offset + kBlockBytes <= text.size(); offset += kBlockBytes) {
+    chain = XXH3_64bits_withSeed(text.data() + offset, kBlockBytes, chain);
     const auto found = blocks_.find(chain);
     if (found == blocks_.end()) break;
-    order_.splice(order_.begin(), order_, found->second);
+    recency_.splice(recency_.begin(), recency_, found->second);
   }
-  return at;
+  return offset;
 }
 
-void PrefixCache::keep(std::string_view text) {
+void PrefixCache::insert(std::string_view text) {
   std::uint64_t chain = 0;
-  for (std::size_t at = 0; at + kBlock <= text.size(); at += kBlock) {
-    chain = XXH3_64bits_withSeed(text.data() + at, kBlock, chain);
+  for (std::size_t offset = 0; offset + kBlockBytes <= text.size(); offset += kBlockBytes) {
+    chain = XXH3_64bits_withSeed(text.data() + offset, kBlockBytes, chain);
     touch(chain);
   }
 }
@@ -27,20 +27,20 @@
 void PrefixCache::touch(std::uint64_t hash) {
   const auto found = blocks_.find(hash);
   if (found != blocks_.end()) {
-    order_.splice(order_.begin(), order_, found->second);
+    recency_.splice(recency_.begin(), recency_, found->second);
     return;
   }
-  order_.push_front(hash);
-  blocks_[hash] = order_.begin();
-  if (blocks_.size() > most_) {
-    blocks_.erase(order_.back());
-    order_.pop_back();
+  recency_.push_front(hash);
+  blocks_[hash] = recency_.begin();
+  if (blocks_.size() > maxBlocks_) {
+    blocks_.erase(recency_.back());
+    recency_.pop_back();
   }
 }
 
 void PrefixCache::clear() {
   blocks_.clear();
-  order_.clear();
+  recency_.clear();
 }
 
 }  // namespace garnethook::fake_engine
--- a/src/fake_engine/prefix_cache.h
+++ b/src/fake_engine/prefix_cache.h
@@ -1,4 +1,4 @@
-// The prefix cache of a stand-in engine: blocks of 64 characters by chained hash, oldest out first.
+// The prefix cache of a fake engine: blocks of 64 bytes, keyed by chained hash, with LRU eviction.
 #pragma once
 
 #include <cstdint>
@@ -10,19 +10,19 @@
 
 class PrefixCache {
  public:
-  explicit PrefixCache(std::size_t blocks) : most_(blocks) {}
-  // Characters at the beginning of `text` that are kept, in whole blocks.
+  explicit PrefixCache(std::size_t blocks) : maxBlocks_(blocks) {}
+  // Returns the length in bytes of the longest cached prefix of `text`, in whole blocks.
   std::size_t find(std::string_view text);
-  void keep(std::string_view text);
+  void insert(std::string_view text);
   void clear();
-  static constexpr std::size_t kBlock = 64;
+  static constexpr std::size_t kBlockBytes = 64;
 
  private:
-  using List = std::list<std::uint64_t>;
+  using HashList = std::list<std::uint64_t>;
   void touch(std::uint64_t hash);
-  std::size_t most_;
-  List order_;
-  std::unordered_map<std::uint64_t, List::iterator> blocks_;
+  std::size_t maxBlocks_;
+  HashList recency_;
+  std::unordered_map<std::uint64_t, HashList::iterator> blocks_;
 };
 
 }  // namespace garnethook::fake_engine
--- a/src/fake_engine/recorder.h
+++ b/src/fake_engine/recorder.h
@@ -1,4 +1,4 @@
-// What went over the wire, one event after the other, for the audit. Written as JSON lines.
+// Records the events of a run in order, for the audit. They are written as JSON lines.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +13,23 @@
 class Recorder {
  public:
   using Clock = std::function<std::int64_t()>;
-  // `keeps`: false for long runs that nobody audits.
-  explicit Recorder(Clock clock, bool keeps = true) : clock_(std::move(clock)), keeps_(keeps) {}
-  // `what`: kind of the event; "t" (microseconds) and "what" are added to `fields`.
-  void note(const std::string& what, nlohmann::json fields) {
-    if (!keeps_) return;
+  // `enabled`: false for long runs without an audit.
+  explicit Recorder(Clock clock, bool enabled = true) : clock_(std::move(clock)), enabled_(enabled) {}
+  // `eventType`: type of the event. "t" (microseconds) and "what" are added to `fields`.
+  void note(const std::string& eventType, nlohmann::json fields) {
+    if (!enabled_) return;
     fields["t"] = clock_();
-    fields["what"] = what;
+    fields["what"] = eventType;
     events_.push_back(std::move(fields));
   }
   const std::vector<nlohmann::json>& events() const { return events_; }
   void write(std::ostream& out) const {
-    for (const auto& e : events_) out << e.dump() << '\n';
+    for (const auto& event : events_) out << event.dump() << '\n';
   }
 
  private:
   Clock clock_;
-  bool keeps_;
+  bool enabled_;
   std::vector<nlohmann::json> events_;
 };
 
