--- a/bench/counting_bench.cpp
+++ b/bench/counting_bench.cpp
@@ -16,7 +16,7 @@
 #include <unordered_map>
 
 #include "counting/counter.h"
-#include "fake_engine/made_vocabulary.h"
+#include "fake_engine/generated_vocabulary.h"
 #include "net/loop.h"
 
 namespace {
@@ -161,7 +161,7 @@
   file.format = tokeniser::Format::ranks;
   file.pattern = "cl100k_base";
   const std::vector<counting::Loaded> loaded{
-      {1, {"made", "1"}, tokeniser::readRanks("made", fake_engine::madeRanks(1), file)}};
+      {1, {"made", "1"}, tokeniser::readRanks("made", fake_engine::generateRanks(1), file)}};
   std::printf("short prompts of 4 KB every 2 ms, on two workers; the flood: 50 MB/s of prompts of 1 MB\n");
   double quiet = 0;
   for (const auto& [name, withFlood, fifo] :
--- a/bench/counting_path_bench.cpp
+++ b/bench/counting_path_bench.cpp
@@ -16,7 +16,7 @@
 
 #include "client/channel.h"
 #include "fake_engine/fleet.h"
-#include "fake_engine/made_vocabulary.h"
+#include "fake_engine/generated_vocabulary.h"
 #include "garnethook/v1/generate.pb.h"
 #include "server/router_server.h"
 
@@ -111,7 +111,7 @@
   ::signal(SIGPIPE, SIG_IGN);
   std::string folder = "/tmp/garnethook-bench-XXXXXX";
   if (::mkdtemp(folder.data()) == nullptr) return 2;
-  std::ofstream(folder + "/made.tiktoken") << fake_engine::madeRanks(1);
+  std::ofstream(folder + "/made.tiktoken") << fake_engine::generateRanks(1);
   const std::string list = folder + "/engines.json";
   // These count a token for every four characters and take any time to read nothing: what is measured is the
   // router.
--- a/bench/counting_soak.cpp
+++ b/bench/counting_soak.cpp
@@ -9,8 +9,8 @@
 #include <random>
 
 #include "counting/prompt_count.h"
-#include "fake_engine/made_vocabulary.h"
-#include "fake_engine/own_tokeniser.h"
+#include "fake_engine/generated_vocabulary.h"
+#include "fake_engine/reference_tokeniser.h"
 #include "tokeniser/utf8.h"
 
 namespace {
@@ -35,9 +35,9 @@
   tokeniser::FileOptions file;
   file.format = tokeniser::Format::ranks;
   file.pattern = "cl100k_base";
-  const std::string ranks = fake_engine::madeRanks(1);
+  const std::string ranks = fake_engine::generateRanks(1);
   const auto tokeniser = tokeniser::readRanks("made", ranks, file);
-  const fake_engine::OwnTokeniser own("made", "1", ranks, tokeniser::knownPattern("cl100k_base"));
+  const fake_engine::ReferenceTokeniser own("made", "1", ranks, tokeniser::knownPattern("cl100k_base"));
   constexpr std::size_t kCounts = 4u << 20;
   constexpr std::size_t kSessions = 8u << 20;
   // Beside the store: malloc's slack and scratch memory.
--- a/src/fake_engine/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -71,7 +71,7 @@
   server->shutDown();
 }
 
-void Engine::cutFrom(std::function<bool(const std::string& host)> filter) {
+void Engine::partitionFrom(std::function<bool(const std::string& host)> filter) {
   partitionFilter_ = std::move(filter);
   if (!server_) return;
   server_->blocksHost = partitionFilter_;
--- a/src/fake_engine/engine.h
+++ b/src/fake_engine/engine.h
@@ -13,7 +13,7 @@
 
 #include "fake_engine/answer.h"
 #include "fake_engine/http_server.h"
-#include "fake_engine/own_tokeniser.h"
+#include "fake_engine/reference_tokeniser.h"
 #include "fake_engine/prefix_cache.h"
 #include "fake_engine/recorder.h"
 #include "policy/routing_policy.h"
@@ -43,7 +43,7 @@
   Micros overloadWindow = 2'000'000;
   Micros kvStateLifetime = 20'000'000;            // after which an unused KV state is dropped
   bool cancelStopsPrefill = true;                 // a running prefill ends when its client disconnects
-  std::shared_ptr<const OwnTokeniser> tokeniser;  // null: one token per four characters
+  std::shared_ptr<const ReferenceTokeniser> tokeniser;  // null: one token per four characters
   bool reportsTokeniser = true;                   // in /tokenizer_info
 };
 
@@ -80,7 +80,7 @@
   void setTrickle(Micros interval);
 
   // Replaces the tokeniser.
-  void setTokeniser(std::shared_ptr<const OwnTokeniser> tokeniser) {
+  void setTokeniser(std::shared_ptr<const ReferenceTokeniser> tokeniser) {
     options_.tokeniser = std::move(tokeniser);
   }
   // Stops the engine: resets its connections and discards its jobs and KV states.
@@ -88,7 +88,7 @@
   // Restarts the engine with an empty cache. It warms up if the options configure a warm-up.
   void start();
   // Blocks traffic with the hosts that the filter matches; an empty filter ends the partition.
-  void cutFrom(std::function<bool(const std::string& host)> filter);
+  void partitionFrom(std::function<bool(const std::string& host)> filter);
 
   std::size_t held() const { return kvStates_.size(); }
   std::uint64_t answered() const { return answered_; }
--- a/src/fake_engine/fleet.cpp
+++ b/src/fake_engine/fleet.cpp
@@ -5,20 +5,20 @@
 #include <map>
 #include <nlohmann/json.hpp>
 
-#include "fake_engine/made_vocabulary.h"
+#include "fake_engine/generated_vocabulary.h"
 
 namespace garnethook::fake_engine {
 
-std::shared_ptr<const OwnTokeniser> madeTokeniser(std::uint64_t seed) {
-  auto generated = std::make_shared<OwnTokeniser>("made", std::to_string(seed), madeRanks(seed),
+std::shared_ptr<const ReferenceTokeniser> generateTokeniser(std::uint64_t seed) {
+  auto generated = std::make_shared<ReferenceTokeniser>("made", std::to_string(seed), generateRanks(seed),
                                                   tokeniser::knownPattern("cl100k_base"));
-  generated->addSpecial("<|end|>", kMadeSpecial);
+  generated->addSpecial("<|end|>", kGeneratedSpecialTokenId);
   return generated;
 }
 
 std::vector<EngineOptions> readFleet(const config::Node& root, std::string_view key) {
   std::vector<EngineOptions> result;
-  std::map<std::int64_t, std::shared_ptr<const OwnTokeniser>> generated;
+  std::map<std::int64_t, std::shared_ptr<const ReferenceTokeniser>> generated;
   for (const auto& node : root.array(key)) {
     EngineOptions options;
     const std::string name = node.text("name");
@@ -49,7 +49,7 @@
     options.reportsTokeniser = node.flag("tells_tokeniser", true);
     if (const auto seed = node.integer("made_tokeniser", 0, 0, 1'000'000); seed > 0) {
       auto& tokeniser = generated[seed];
-      if (!tokeniser) tokeniser = madeTokeniser(static_cast<std::uint64_t>(seed));
+      if (!tokeniser) tokeniser = generateTokeniser(static_cast<std::uint64_t>(seed));
       options.tokeniser = tokeniser;
     }
     node.done();
--- a/src/fake_engine/fleet.h
+++ b/src/fake_engine/fleet.h
@@ -10,10 +10,10 @@
 
 namespace garnethook::fake_engine {
 
-// Returns the tokeniser "made" with the seed as its version: madeRanks(seed), the pattern cl100k_base and the
+// Returns the tokeniser "made" with the seed as its version: generateRanks(seed), the pattern cl100k_base and the
 // special token <|end|>.
-constexpr std::uint32_t kMadeSpecial = 100'001;
-std::shared_ptr<const OwnTokeniser> madeTokeniser(std::uint64_t seed);
+constexpr std::uint32_t kGeneratedSpecialTokenId = 100'001;
+std::shared_ptr<const ReferenceTokeniser> generateTokeniser(std::uint64_t seed);
 
 // Reads the engines from a settings file: [ { "name", "count", "kind", "role", ... } ]. A "count" of N yields
 // engines name-1 to name-N.
--- a/src/fake_engine/made_vocabulary.cpp
+++ b/src/fake_engine/generated_vocabulary.cpp
@@ -1,4 +1,4 @@
-#include "fake_engine/made_vocabulary.h"
+#include "fake_engine/generated_vocabulary.h"
 
 #include <openssl/evp.h>
 
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-std::string madeRanks(std::uint64_t seed, std::size_t merges) {
+std::string generateRanks(std::uint64_t seed, std::size_t merges) {
   std::uint64_t state = seed * 2 + 1;
   const auto randomBelow = [&](std::size_t below) {
     state = state * 6364136223846793005U + 1442695040888963407U;
--- a/src/fake_engine/own_tokeniser.cpp
+++ b/src/fake_engine/reference_tokeniser.cpp
@@ -1,4 +1,4 @@
-#include "fake_engine/own_tokeniser.h"
+#include "fake_engine/reference_tokeniser.h"
 
 #include <map>
 #include <set>
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-OwnTokeniser::OwnTokeniser(std::string name, std::string version, std::string_view ranks,
+ReferenceTokeniser::ReferenceTokeniser(std::string name, std::string version, std::string_view ranks,
                            std::string_view pattern)
     : name_(std::move(name)),
       version_(std::move(version)),
@@ -38,7 +38,7 @@
   if (ranks_.size() < 256) throw std::invalid_argument("not a ranks file: fewer than 256 entries");
 }
 
-std::vector<std::uint32_t> OwnTokeniser::encode(std::string_view text, bool special) const {
+std::vector<std::uint32_t> ReferenceTokeniser::encode(std::string_view text, bool special) const {
   std::vector<std::uint32_t> ids;
   std::size_t from = 0;
   for (std::size_t at = 0; special && at < text.size();) {
@@ -59,7 +59,7 @@
   return ids;
 }
 
-void OwnTokeniser::encodeOrdinary(std::string_view text, std::vector<std::uint32_t>& ids) const {
+void ReferenceTokeniser::encodeOrdinary(std::string_view text, std::vector<std::uint32_t>& ids) const {
   tokeniser::Pattern::Match match;
   for (std::size_t at = 0; at < text.size(); at = match.end) {
     if (pattern_.next(text, at, false, match, workspace_) != tokeniser::Pattern::Look::found) break;
@@ -69,7 +69,7 @@
 
 // Repeatedly merges the adjacent pair of parts with the lowest rank, the leftmost of equal ones. Parts are
 // keyed by the position of their first byte.
-void OwnTokeniser::merge(const std::string& piece, std::vector<std::uint32_t>& ids) const {
+void ReferenceTokeniser::merge(const std::string& piece, std::vector<std::uint32_t>& ids) const {
   if (const auto whole = ranks_.find(piece); whole != ranks_.end()) return ids.push_back(whole->second);
   std::map<std::size_t, std::size_t> parts;  // begin position to end position
   for (std::size_t i = 0; i < piece.size(); ++i) parts[i] = i + 1;
--- a/src/fake_engine/own_tokeniser.h
+++ b/src/fake_engine/reference_tokeniser.h
@@ -15,11 +15,11 @@
 
 namespace garnethook::fake_engine {
 
-class OwnTokeniser {
+class ReferenceTokeniser {
  public:
   // `version`: the version that the engine reports. Throws std::invalid_argument if `ranks` is not a ranks
   // file.
-  OwnTokeniser(std::string name, std::string version, std::string_view ranks, std::string_view pattern);
+  ReferenceTokeniser(std::string name, std::string version, std::string_view ranks, std::string_view pattern);
 
   // `special`: encodes the text of special tokens as these tokens.
   std::vector<std::uint32_t> encode(std::string_view text, bool special = false) const;
--- a/src/fault_scenario/runner.cpp
+++ b/src/fault_scenario/runner.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <nlohmann/json.hpp>
 
-#include "fake_engine/made_vocabulary.h"
+#include "fake_engine/generated_vocabulary.h"
 #include "fault_scenario/clients.h"
 #include "server/router_server.h"
 
@@ -35,10 +35,10 @@
     for (const Fault& f : script_.faults)
       if (f.what == "tokeniser") {
         auto& made = made_[static_cast<std::uint64_t>(f.size)];
-        if (!made) made = fake_engine::madeTokeniser(static_cast<std::uint64_t>(f.size));
+        if (!made) made = fake_engine::generateTokeniser(static_cast<std::uint64_t>(f.size));
       }
     for (const std::uint64_t seed : script_.madeTokenisers)
-      std::ofstream(vocabularyPath(seed), std::ios::binary) << fake_engine::madeRanks(seed);
+      std::ofstream(vocabularyPath(seed), std::ios::binary) << fake_engine::generateRanks(seed);
     for (std::size_t i = 0; i < routers_.size(); ++i) startRouter(i);
   }
 
@@ -75,7 +75,7 @@
       server::TokeniserFile f{{"made", std::to_string(seed)}, vocabularyPath(seed), {}};
       f.options.format = tokeniser::Format::ranks;
       f.options.pattern = "cl100k_base";
-      f.options.specialTokens = {{"<|end|>", fake_engine::kMadeSpecial}};
+      f.options.specialTokens = {{"<|end|>", fake_engine::kGeneratedSpecialTokenId}};
       settings.counting.files.push_back(std::move(f));
     }
     const std::string name = "router-" + std::to_string(i) + "." + std::to_string(epochs_[i]++);
@@ -168,9 +168,9 @@
     for (const auto& e : fleet_.engines()) {
       const bool here = e->options().zone == zone;
       if (on)
-        e->cutFrom([inside, here](const std::string& host) { return (host == inside) != here; });
+        e->partitionFrom([inside, here](const std::string& host) { return (host == inside) != here; });
       else
-        e->cutFrom(nullptr);
+        e->partitionFrom(nullptr);
       recorder_.note(on ? "engine.cut" : "engine.back", {{"engine", e->options().name}});
     }
   }
@@ -233,7 +233,7 @@
   std::map<std::size_t, int> ports_;
   Clients clients_;
   timing::Alarm watch_;
-  std::map<std::uint64_t, std::shared_ptr<const fake_engine::OwnTokeniser>> made_;
+  std::map<std::uint64_t, std::shared_ptr<const fake_engine::ReferenceTokeniser>> made_;
   Micros until_ = 0;
   Micros doneSince_ = 0;
   bool timedOut_ = false;
--- a/tests/counting_test.cpp
+++ b/tests/counting_test.cpp
@@ -6,8 +6,8 @@
 #include <random>
 
 #include "counting/counter.h"
-#include "fake_engine/made_vocabulary.h"
-#include "fake_engine/own_tokeniser.h"
+#include "fake_engine/generated_vocabulary.h"
+#include "fake_engine/reference_tokeniser.h"
 #include "net/loop.h"
 #include "tokeniser/utf8.h"
 
@@ -20,7 +20,7 @@
 const string& ranks(std::uint64_t seed) {
   static std::map<std::uint64_t, string> made;
   auto& text = made[seed];
-  if (text.empty()) text = fake_engine::madeRanks(seed);
+  if (text.empty()) text = fake_engine::generateRanks(seed);
   return text;
 }
 
@@ -66,7 +66,7 @@
 // with what is remembered equal the stand-in's own way.
 TEST(PromptCount, RememberedBeginningsNeverChangeACount) {
   const auto t = loaded();
-  const fake_engine::OwnTokeniser own("made", "1", ranks(1), tokeniser::knownPattern("cl100k_base"));
+  const fake_engine::ReferenceTokeniser own("made", "1", ranks(1), tokeniser::knownPattern("cl100k_base"));
   CountStore store({.countBytes = 256u << 10, .sessionBytes = 1u << 20});
   Texts texts(7);
   std::vector<string> pool;
--- a/tests/path/counts_test.cpp
+++ b/tests/path/counts_test.cpp
@@ -1,7 +1,7 @@
 // Exact counts on the whole path: gRPC text in, the module's event out, engines of several versions, floods.
 #include <random>
 
-#include "fake_engine/made_vocabulary.h"
+#include "fake_engine/generated_vocabulary.h"
 #include "world.h"
 
 namespace garnethook::test {
@@ -17,10 +17,10 @@
          std::to_string(first) + R"( } ] })";
 }
 
-const fake_engine::OwnTokeniser& own(int seed) {
-  static std::map<int, std::shared_ptr<const fake_engine::OwnTokeniser>> made;
+const fake_engine::ReferenceTokeniser& own(int seed) {
+  static std::map<int, std::shared_ptr<const fake_engine::ReferenceTokeniser>> made;
   auto& t = made[seed];
-  if (!t) t = fake_engine::madeTokeniser(static_cast<std::uint64_t>(seed));
+  if (!t) t = fake_engine::generateTokeniser(static_cast<std::uint64_t>(seed));
   return *t;
 }
 
@@ -30,7 +30,7 @@
   Files() {
     std::string pattern = (std::filesystem::temp_directory_path() / "garnethook-counts-XXXXXX").string();
     folder = ::mkdtemp(pattern.data());
-    for (const int seed : {1, 2}) write(seed, fake_engine::madeRanks(static_cast<std::uint64_t>(seed)));
+    for (const int seed : {1, 2}) write(seed, fake_engine::generateRanks(static_cast<std::uint64_t>(seed)));
   }
   ~Files() { std::filesystem::remove_all(folder); }
   std::string path(int seed) const { return folder + "/made-" + std::to_string(seed) + ".tiktoken"; }
@@ -180,7 +180,7 @@
   ASSERT_EQ(told.arrived.back().counts.size(), 1U);
   for (const char* name : {"read-1", "read-2", "write-1", "write-2"}) {
     auto* e = w.fleet.find(name);
-    e->setTokeniser(fake_engine::madeTokeniser(2));
+    e->setTokeniser(fake_engine::generateTokeniser(2));
     e->stop();
     w.pass(5'000);
     e->start();
@@ -206,7 +206,7 @@
   World w(fleetOf(1, 1), files.settings() + R"(, "attempts": 100)");
   Told told(w);
   ASSERT_TRUE(known(w));
-  const auto two = fake_engine::madeTokeniser(2);
+  const auto two = fake_engine::generateTokeniser(2);
   for (const char* name : {"read-1", "read-2"}) w.fleet.find(name)->faults.silent = true;
   Reply reply;
   w.ask(reply, "hello prou " + std::string(2000, 'a'), 60'000'000);
@@ -257,7 +257,7 @@
   World w(
       R"({ "engines": [ { "name": "mixed", "kind": "mixed", "role": "both", "cell": "r", "token_ms": 1 } ] })",
       files.settings({1}));
-  auto wrong = std::make_shared<fake_engine::OwnTokeniser>("made", "1", fake_engine::madeRanks(2),
+  auto wrong = std::make_shared<fake_engine::ReferenceTokeniser>("made", "1", fake_engine::generateRanks(2),
                                                            tokeniser::knownPattern("cl100k_base"));
   w.fleet.find("mixed")->setTokeniser(wrong);
   ASSERT_TRUE(known(w, 1));
@@ -341,7 +341,7 @@
   w.ask(reply, "hello again");
   ASSERT_TRUE(w.until([&] { return reply.status.has_value(); }));
   EXPECT_EQ(told.arrived.back().promptTokens, static_cast<double>(own(1).encode("hello again").size()));
-  files.write(1, fake_engine::madeRanks(1));
+  files.write(1, fake_engine::generateRanks(1));
   reload();
   ASSERT_TRUE(w.until([&] { return book.basis(membership::endpointId("read-1")).number > number; }));
 }
--- a/tests/tokeniser_test.cpp
+++ b/tests/tokeniser_test.cpp
@@ -7,8 +7,8 @@
 
 #include <chrono>
 
-#include "fake_engine/made_vocabulary.h"
-#include "fake_engine/own_tokeniser.h"
+#include "fake_engine/generated_vocabulary.h"
+#include "fake_engine/reference_tokeniser.h"
 #include "tokeniser/byte_level.h"
 #include "tokeniser/utf8.h"
 
@@ -19,7 +19,7 @@
 using std::string_view;
 
 const string& ranks() {
-  static const string text = fake_engine::madeRanks(1);
+  static const string text = fake_engine::generateRanks(1);
   return text;
 }
 
@@ -199,7 +199,7 @@
 
 TEST(Pieces, RandomTextsAgreeWithTheStandInsOwnWay) {
   const auto t = made();
-  const fake_engine::OwnTokeniser own("made", "1", ranks(), knownPattern("cl100k_base"));
+  const fake_engine::ReferenceTokeniser own("made", "1", ranks(), knownPattern("cl100k_base"));
   Workspace workspace;
   for (std::uint64_t seed = 0; seed < 2000; ++seed) {
     const string text = drawText(seed, 1 + seed % 60);
@@ -383,7 +383,7 @@
     } catch (const FileError& e) { return e.what(); }
     return "none";
   };
-  const string good = fake_engine::madeRanks(1, 20);
+  const string good = fake_engine::generateRanks(1, 20);
   EXPECT_EQ(what(good), "none");
   EXPECT_EQ(what(good + "QUI"), "file: line 277: no token in base 64 and its rank");
   EXPECT_EQ(what(good + "QUI 5"), "file: line 277: no token in base 64 and its rank");
