--- a/src/fake_engine/engine.cpp
+++ b/src/fake_engine/engine.cpp
@@ -260,7 +260,7 @@
   const Micros now = loop_.now();
   while (!recentWork_.empty() && recentWork_.front().first < now - options_.overloadWindow)
     recentWork_.pop_front();
-  // Seconds of work for one slot.
+  // Measured in seconds of work of one slot.
   const double seconds = job.isPrefill || job.kvSourceEngine.empty()
                              ? job.promptTokens / options_.prefillTokensPerSecond
                              : 38 * static_cast<double>(options_.tokenInterval) / 1e6;
--- a/src/fake_engine/engine.h
+++ b/src/fake_engine/engine.h
@@ -13,9 +13,9 @@
 
 #include "fake_engine/answer.h"
 #include "fake_engine/http_server.h"
-#include "fake_engine/reference_tokeniser.h"
 #include "fake_engine/prefix_cache.h"
 #include "fake_engine/recorder.h"
+#include "fake_engine/reference_tokeniser.h"
 #include "policy/routing_policy.h"
 
 namespace garnethook::fake_engine {
@@ -41,10 +41,10 @@
   Micros warmUpDuration = 0;                 // 0: no warm-up
   double overloadMultiple = 2.5;
   Micros overloadWindow = 2'000'000;
-  Micros kvStateLifetime = 20'000'000;            // after which an unused KV state is dropped
-  bool cancelStopsPrefill = true;                 // a running prefill ends when its client disconnects
+  Micros kvStateLifetime = 20'000'000;                  // after which an unused KV state is dropped
+  bool cancelStopsPrefill = true;                       // a running prefill ends when its client disconnects
   std::shared_ptr<const ReferenceTokeniser> tokeniser;  // null: one token per four characters
-  bool reportsTokeniser = true;                   // in /tokenizer_info
+  bool reportsTokeniser = true;                         // in /tokenizer_info
 };
 
 struct Faults {
--- a/src/fake_engine/fleet.cpp
+++ b/src/fake_engine/fleet.cpp
@@ -11,7 +11,7 @@
 
 std::shared_ptr<const ReferenceTokeniser> generateTokeniser(std::uint64_t seed) {
   auto generated = std::make_shared<ReferenceTokeniser>("made", std::to_string(seed), generateRanks(seed),
-                                                  tokeniser::knownPattern("cl100k_base"));
+                                                        tokeniser::knownPattern("cl100k_base"));
   generated->addSpecial("<|end|>", kGeneratedSpecialTokenId);
   return generated;
 }
@@ -20,43 +20,44 @@
   std::vector<EngineOptions> result;
   std::map<std::int64_t, std::shared_ptr<const ReferenceTokeniser>> generated;
   for (const auto& node : root.array(key)) {
-    EngineOptions options;
+    EngineOptions engineOptions;
     const std::string name = node.text("name");
     const auto count = node.integer("count", 0, 0, 1000);
-    options.role = static_cast<Role>(node.choice("role", {"reader", "writer", "both"}, 2));
-    options.kind = node.text("kind");
-    options.zone = node.text("zone", "");
-    options.cell = node.text("cell", "");
-    options.host = node.text("host", "127.0.0.1");
-    if (!options.host.starts_with("127.")) node.failAt("host", "a loopback address is wanted");
+    engineOptions.role = static_cast<Role>(node.choice("role", {"reader", "writer", "both"}, 2));
+    engineOptions.kind = node.text("kind");
+    engineOptions.zone = node.text("zone", "");
+    engineOptions.cell = node.text("cell", "");
+    engineOptions.host = node.text("host", "127.0.0.1");
+    if (!engineOptions.host.starts_with("127.")) node.failAt("host", "a loopback address is wanted");
     const auto port = node.integer("port", 0, 0, 65'535);
-    options.prefillTokensPerSecond = node.number("read_tokens_per_s", options.prefillTokensPerSecond, 1, 1e9);
-    options.prefillBaseTime = node.micros("read_base_ms", 2, 0, 1e6);
-    options.slots = static_cast<unsigned>(node.integer("slots", options.slots, 1, 1'000'000));
-    options.queue = static_cast<unsigned>(node.integer("queue", options.queue, 0, 1'000'000));
-    options.memoryTokens = node.number("memory_tokens", options.memoryTokens, 1, 1e12);
-    options.cacheTokens = node.number("cache_tokens", options.cacheTokens, 0, 1e9);
-    options.tokenInterval = node.micros("token_ms", 5, 0.001, 1e6);
-    options.transferTokensPerSecond =
-        node.number("link_tokens_per_s", options.transferTokensPerSecond, 1, 1e12);
-    options.crossCellFactor = node.number("far_factor", options.crossCellFactor, 1, 1000);
-    options.warmUpMinCapacity = node.number("cold_from", options.warmUpMinCapacity, 0.01, 1);
-    options.warmUpDuration = node.micros("warm_within_ms", 0, 0, 1e6);
-    options.overloadMultiple = node.number("fall_multiple", options.overloadMultiple, 0.1, 1e6);
-    options.overloadWindow = node.micros("fall_after_ms", 2000, 1, 1e6);
-    options.kvStateLifetime = node.micros("state_life_ms", 20'000, 1, 1e7);
-    options.cancelStopsPrefill = node.flag("cancel_stops", true);
-    options.reportsTokeniser = node.flag("tells_tokeniser", true);
+    engineOptions.prefillTokensPerSecond =
+        node.number("read_tokens_per_s", engineOptions.prefillTokensPerSecond, 1, 1e9);
+    engineOptions.prefillBaseTime = node.micros("read_base_ms", 2, 0, 1e6);
+    engineOptions.slots = static_cast<unsigned>(node.integer("slots", engineOptions.slots, 1, 1'000'000));
+    engineOptions.queue = static_cast<unsigned>(node.integer("queue", engineOptions.queue, 0, 1'000'000));
+    engineOptions.memoryTokens = node.number("memory_tokens", engineOptions.memoryTokens, 1, 1e12);
+    engineOptions.cacheTokens = node.number("cache_tokens", engineOptions.cacheTokens, 0, 1e9);
+    engineOptions.tokenInterval = node.micros("token_ms", 5, 0.001, 1e6);
+    engineOptions.transferTokensPerSecond =
+        node.number("link_tokens_per_s", engineOptions.transferTokensPerSecond, 1, 1e12);
+    engineOptions.crossCellFactor = node.number("far_factor", engineOptions.crossCellFactor, 1, 1000);
+    engineOptions.warmUpMinCapacity = node.number("cold_from", engineOptions.warmUpMinCapacity, 0.01, 1);
+    engineOptions.warmUpDuration = node.micros("warm_within_ms", 0, 0, 1e6);
+    engineOptions.overloadMultiple = node.number("fall_multiple", engineOptions.overloadMultiple, 0.1, 1e6);
+    engineOptions.overloadWindow = node.micros("fall_after_ms", 2000, 1, 1e6);
+    engineOptions.kvStateLifetime = node.micros("state_life_ms", 20'000, 1, 1e7);
+    engineOptions.cancelStopsPrefill = node.flag("cancel_stops", true);
+    engineOptions.reportsTokeniser = node.flag("tells_tokeniser", true);
     if (const auto seed = node.integer("made_tokeniser", 0, 0, 1'000'000); seed > 0) {
       auto& tokeniser = generated[seed];
       if (!tokeniser) tokeniser = generateTokeniser(static_cast<std::uint64_t>(seed));
-      options.tokeniser = tokeniser;
+      engineOptions.tokeniser = tokeniser;
     }
     node.done();
     for (std::int64_t i = 1; i <= std::max<std::int64_t>(1, count); ++i) {
-      options.name = count > 0 ? name + "-" + std::to_string(i) : name;
-      options.port = static_cast<std::uint16_t>(port == 0 ? 0 : port + i - 1);
-      result.push_back(options);
+      engineOptions.name = count > 0 ? name + "-" + std::to_string(i) : name;
+      engineOptions.port = static_cast<std::uint16_t>(port == 0 ? 0 : port + i - 1);
+      result.push_back(engineOptions);
     }
   }
   return result;
@@ -64,10 +65,10 @@
 
 Fleet::Fleet(net::Loop& loop, const std::vector<EngineOptions>& engines, Recorder& recorder)
     : loop_(loop), recorder_(recorder) {
-  for (const auto& options : engines) {
-    engines_.push_back(std::make_unique<Engine>(loop, options, recorder,
+  for (const auto& engineOptions : engines) {
+    engines_.push_back(std::make_unique<Engine>(loop, engineOptions, recorder,
                                                 [this](const std::string& name) { return find(name); }));
-    listed_[options.name] = Listed::running;
+    listed_[engineOptions.name] = Listed::running;
   }
 }
 
@@ -82,14 +83,14 @@
 std::string Fleet::listText() const {
   nlohmann::ordered_json list = nlohmann::ordered_json::array();
   for (const auto& engine : engines_) {
-    const auto& options = engine->options();
-    const Listed state = listed_.at(options.name);
+    const auto& engineOptions = engine->options();
+    const Listed state = listed_.at(engineOptions.name);
     if (state == Listed::absent) continue;
-    list.push_back({{"name", options.name},
-                    {"address", options.host + ":" + std::to_string(engine->port())},
-                    {"kind", options.kind},
-                    {"zone", options.zone},
-                    {"cell", options.cell},
+    list.push_back({{"name", engineOptions.name},
+                    {"address", engineOptions.host + ":" + std::to_string(engine->port())},
+                    {"kind", engineOptions.kind},
+                    {"zone", engineOptions.zone},
+                    {"cell", engineOptions.cell},
                     {"state", state == Listed::running    ? "running"
                               : state == Listed::draining ? "draining"
                                                           : "gone"},
@@ -114,9 +115,9 @@
 }
 
 std::size_t Fleet::held() const {
-  std::size_t count = 0;
-  for (const auto& engine : engines_) count += engine->held();
-  return count;
+  std::size_t heldStates = 0;
+  for (const auto& engine : engines_) heldStates += engine->held();
+  return heldStates;
 }
 
 }  // namespace garnethook::fake_engine
--- a/src/fake_engine/fleet.h
+++ b/src/fake_engine/fleet.h
@@ -10,8 +10,8 @@
 
 namespace garnethook::fake_engine {
 
-// Returns the tokeniser "made" with the seed as its version: generateRanks(seed), the pattern cl100k_base and the
-// special token <|end|>.
+// Returns the tokeniser "made" with the seed as its version: generateRanks(seed), the pattern cl100k_base and
+// the special token <|end|>.
 constexpr std::uint32_t kGeneratedSpecialTokenId = 100'001;
 std::shared_ptr<const ReferenceTokeniser> generateTokeniser(std::uint64_t seed);
 
--- a/src/fake_engine/reference_tokeniser.cpp
+++ b/src/fake_engine/reference_tokeniser.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 ReferenceTokeniser::ReferenceTokeniser(std::string name, std::string version, std::string_view ranks,
-                           std::string_view pattern)
+                                       std::string_view pattern)
     : name_(std::move(name)),
       version_(std::move(version)),
       pattern_(pattern, tokeniser::Dialect::fancyRegex) {
@@ -43,10 +43,10 @@
   std::size_t from = 0;
   for (std::size_t at = 0; special && at < text.size();) {
     const std::pair<const std::string, std::uint32_t>* longest = nullptr;
-    for (const auto& token : specialTokens_)
-      if (text.substr(at).starts_with(token.first) &&
-          (longest == nullptr || token.first.size() > longest->first.size()))
-        longest = &token;
+    for (const auto& entry : specialTokens_)
+      if (text.substr(at).starts_with(entry.first) &&
+          (longest == nullptr || entry.first.size() > longest->first.size()))
+        longest = &entry;
     if (longest == nullptr) {
       ++at;
       continue;
