--- a/tests/support/frontend_world.h
+++ b/tests/support/frontend_world.h
@@ -1,6 +1,6 @@
-// The HTTP front and the router core on a real loop, with clients on raw sockets and engines that do what the
-// test says. The loop stands still whenever the test's thread is at work, so what a peer does between two
-// turns is ready at once when the next turn begins.
+// The HTTP frontend and the router core on a real loop, with clients on raw sockets and engines scripted by
+// the test. The loop is suspended while the test's thread runs, so everything that a peer does between two
+// turns of the loop is ready when the next turn begins.
 #pragma once
 
 #include <Poco/Net/NetException.h>
@@ -21,7 +21,7 @@
 
 namespace garnethook::test {
 
-// Engines without sockets. Each attempt is recorded; `script` says what comes of it.
+// Engines without sockets. Records each attempt; `script` determines its outcome.
 class StubEngines final : public routing::EngineClient {
  public:
   struct Attempt {
@@ -34,8 +34,8 @@
 
   explicit StubEngines(net::Loop& loop) : loop_(loop) {}
 
-  void begin(const routing::AttemptSpec& order) override {
-    const Attempt attempt{order.attempt, order.phase, order.timeout, std::string(order.traceId)};
+  void begin(const routing::AttemptSpec& spec) override {
+    const Attempt attempt{spec.attempt, spec.phase, spec.timeout, std::string(spec.traceId)};
     begun.push_back(attempt);
     loop_.post([this, attempt] { script ? script(attempt) : succeed(attempt); });
   }
@@ -56,8 +56,8 @@
   void end(const Attempt& attempt, Outcome outcome) {
     events->onAttemptEnded(attempt.id, {.outcome = outcome});
   }
-  // The first write is held back until the test ends it, with `firstEvent` behind that one; all else
-  // succeeds.
+  // Leaves the first decode attempt open until the test ends it, after one event if `firstEvent` is set. All
+  // other attempts succeed.
   void holdFirstWrite(bool firstEvent) {
     script = [this, firstEvent](const Attempt& attempt) {
       if (attempt.phase == routing::Phase::prefill || held) return succeed(attempt);
@@ -66,8 +66,8 @@
     };
   }
   std::size_t count(routing::Phase phase) const {
-    return static_cast<std::size_t>(
-        std::count_if(begun.begin(), begun.end(), [&](const auto& a) { return a.phase == phase; }));
+    return static_cast<std::size_t>(std::count_if(
+        begun.begin(), begun.end(), [&](const auto& attempt) { return attempt.phase == phase; }));
   }
 
   routing::EngineClientEvents* events = nullptr;
@@ -80,10 +80,10 @@
   net::Loop& loop_;
 };
 
-// A client on a blocking socket of its own, whose every step is the test's.
+// A client on its own blocking socket; the test controls every step.
 class BlockingClient {
  public:
-  explicit BlockingClient(const Poco::Net::SocketAddress& to) : socket_(to) {
+  explicit BlockingClient(const Poco::Net::SocketAddress& address) : socket_(address) {
     socket_.setNoDelay(true);
     socket_.setReceiveTimeout(Poco::Timespan(0, 1000));
   }
@@ -94,41 +94,42 @@
     socket_.setLinger(true, 0);
     socket_.close();
   }
-  // Takes what has come so far.
+  // Receives the bytes that have arrived so far.
   void receive() {
-    std::array<char, 65536> piece{};
+    std::array<char, 65536> buffer{};
     try {
-      while (const int n = socket_.receiveBytes(piece.data(), static_cast<int>(piece.size())))
-        got.append(piece.data(), static_cast<std::size_t>(n));
+      while (const int received = socket_.receiveBytes(buffer.data(), static_cast<int>(buffer.size())))
+        got.append(buffer.data(), static_cast<std::size_t>(received));
       ended = true;
     } catch (const Poco::TimeoutException&) {
     } catch (const Poco::Net::ConnectionResetException&) { wasReset = true; }
   }
-  // Asks for a small buffer, so that what is not read yet waits at the router.
+  // Requests a small receive buffer, so that unread bytes stay buffered at the router.
   void narrow() { socket_.setReceiveBufferSize(8 * 1024); }
-  // Takes at most so many bytes of what has come.
-  void receiveSome(int most) {
-    std::string piece(static_cast<std::size_t>(most), '\0');
+  // Receives at most `maxBytes` of the bytes that have arrived.
+  void receiveSome(int maxBytes) {
+    std::string buffer(static_cast<std::size_t>(maxBytes), '\0');
     try {
-      const int n = socket_.receiveBytes(piece.data(), most);
-      got.append(piece.data(), static_cast<std::size_t>(std::max(0, n)));
+      const int received = socket_.receiveBytes(buffer.data(), maxBytes);
+      got.append(buffer.data(), static_cast<std::size_t>(std::max(0, received)));
     } catch (const Poco::TimeoutException&) {
     } catch (const Poco::Net::ConnectionResetException&) { wasReset = true; }
   }
-  // Whether the router's side has ended with a reset; nothing more is read.
+  // Returns whether the router has reset the connection, without receiving anything.
   bool resetSeen() {
     int error = 0;
     socket_.impl()->getOption(SOL_SOCKET, SO_ERROR, error);
     return wasReset || error == ECONNRESET || error == EPIPE;
   }
   std::size_t count(std::string_view part) const {
-    std::size_t n = 0;
-    for (auto at = got.find(part); at != std::string::npos; at = got.find(part, at + part.size())) ++n;
-    return n;
+    std::size_t occurrences = 0;
+    for (auto at = got.find(part); at != std::string::npos; at = got.find(part, at + part.size()))
+      ++occurrences;
+    return occurrences;
   }
   bool has(std::string_view part) const { return count(part) > 0; }
 
-  // Streams that came to their last chunk.
+  // Number of streams received up to their final chunk.
   std::size_t streams() const { return count("\r\n" + std::string(kLast)); }
 
   std::string got;
@@ -139,28 +140,28 @@
   Poco::Net::StreamSocket socket_;
 };
 
-// A request for class `kind`, as a client writes it.
-inline std::string clientRequest(const std::string& id, const std::string& kind = "chat",
-                                 const std::string& more = "", int expiresMs = 3000) {
+// The text of a client's request for class `className`.
+inline std::string clientRequest(const std::string& id, const std::string& className = "chat",
+                                 const std::string& extraHeaders = "", int expiresMs = 3000) {
   const std::string body = R"({"model":"m"})";
-  return "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + id + "\r\nX-Qos: " + kind +
+  return "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + id + "\r\nX-Qos: " + className +
          "\r\nX-Expires-In-Ms: " + std::to_string(expiresMs) + "\r\nX-Props: prompt_len=100,max_out=10\r\n" +
-         more + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+         extraHeaders + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
 class FrontendWorld : public LoopRunner {
  public:
-  // `silence`: the longest time between two events of a stream.
+  // `maxEventGap`: the longest time between two events of a stream.
   explicit FrontendWorld(const platform::HttpFrontend::Options& options = {},
-                         Micros silence = routing::StreamGuard::Options().stallTimeout)
+                         Micros maxEventGap = routing::StreamGuard::Options().stallTimeout)
       : engines(loop), config(testConfig()) {
-    routing::Options core;
-    core.settings = config.deployment.settings;
-    core.instance = "n0";
-    core.streamGuard.deadlineMargin = 0;
-    core.streamGuard.stallTimeout = silence;
-    core.streamGuard.enforcesDeadline = false;
-    router = std::make_unique<routing::Router>(core, loop, engines, observer_);
+    routing::Options routerOptions;
+    routerOptions.settings = config.deployment.settings;
+    routerOptions.instance = "n0";
+    routerOptions.streamGuard.deadlineMargin = 0;
+    routerOptions.streamGuard.stallTimeout = maxEventGap;
+    routerOptions.streamGuard.enforcesDeadline = false;
+    router = std::make_unique<routing::Router>(routerOptions, loop, engines, observer_);
     engines.events = router.get();
     platform::EndpointList list;
     list.apply(platform::parseEndpointList(
@@ -182,25 +183,26 @@
         [](const char*) { return std::nullopt; });
   }
   std::unique_ptr<BlockingClient> client() { return std::make_unique<BlockingClient>(front->address()); }
-  // A client whose connection has been accepted; with `answered` it has had an answer and rests.
-  std::unique_ptr<BlockingClient> acceptedClient(bool answered) {
+  // A client whose connection has been accepted. With `afterResponse` it has received one response and is
+  // idle.
+  std::unique_ptr<BlockingClient> acceptedClient(bool afterResponse) {
     const auto before = front->counters().accepted;
-    auto c = client();
+    auto newClient = client();
     EXPECT_TRUE(until([&] { return front->counters().accepted > before; }, 1'000'000));
-    if (!answered) return c;
-    c->send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-    EXPECT_TRUE(until([&] { return (c->receive(), c->has("ready\n")); }, 1'000'000));
-    c->got.clear();
-    return c;
+    if (!afterResponse) return newClient;
+    newClient->send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+    EXPECT_TRUE(until([&] { return (newClient->receive(), newClient->has("ready\n")); }, 1'000'000));
+    newClient->got.clear();
+    return newClient;
   }
-  // Runs the loop until the client has `n` whole answers by the engines.
-  bool served(BlockingClient& c, std::size_t n, Micros limit = 2'000'000) {
-    return until([&] { return (c.receive(), c.streams() >= n); }, limit);
+  // Runs the loop until the client has received `expected` complete streams.
+  bool served(BlockingClient& peer, std::size_t expected, Micros limit = 2'000'000) {
+    return until([&] { return (peer.receive(), peer.streams() >= expected); }, limit);
   }
-  bool ended(BlockingClient& c, Micros limit = 2'000'000) {
-    return until([&] { return (c.receive(), c.ended || c.wasReset); }, limit);
+  bool ended(BlockingClient& peer, Micros limit = 2'000'000) {
+    return until([&] { return (peer.receive(), peer.ended || peer.wasReset); }, limit);
   }
-  // Nothing is open or held, and the front accounts for nothing.
+  // Returns whether no request or KV reservation remains and the frontend has no buffered bytes.
   bool clean() {
     const bool isIdle = until(
         [&] {
@@ -212,7 +214,7 @@
                  front->bufferedBytes() == 0;
         },
         2'000'000);
-    // Confirmed releases are repeated while an attempt that was given up may go on at its engine.
+    // Confirmed releases are repeated while an abandoned attempt may still run at its engine.
     return isIdle && until([&] { return router->kvReservations().pendingReleaseCount() == 0; },
                            routing::KvReservationTracker::kMaxAbandonedWork);
   }
@@ -223,8 +225,8 @@
   std::unique_ptr<platform::HttpFrontend> front;
 
  private:
-  struct Silent final : routing::Observer {};
-  Silent observer_;
+  struct NullObserver final : routing::Observer {};
+  NullObserver observer_;
 };
 
 }  // namespace garnethook::test
--- a/tests/support/loop_runner.h
+++ b/tests/support/loop_runner.h
@@ -1,5 +1,5 @@
-// A loop with a thread of its own that stands still whenever the test's thread is at work, since POCO's
-// reactor runs once.
+// A loop on its own thread that is suspended while the test's thread runs. The loop is suspended rather than
+// stopped because POCO's reactor can run only once.
 #pragma once
 
 #include <condition_variable>
@@ -14,13 +14,13 @@
 class LoopRunner {
  public:
   ~LoopRunner() { stopLoop(); }
-  // Lets the loop run until the condition holds; false: not within `limit`.
+  // Runs the loop until the condition holds. Returns false if it does not hold within `limit`.
   bool until(const std::function<bool()>& condition, net::Micros limit = 10'000'000) {
-    const net::Micros end = loop.now() + limit;
-    bool held = false;
+    const net::Micros deadline = loop.now() + limit;
+    bool conditionMet = false;
     std::function<void()> check = [&] {
-      held = condition();
-      if (!held && loop.now() < end) {
+      conditionMet = condition();
+      if (!conditionMet && loop.now() < deadline) {
         loop.after(1000, check);
         return;
       }
@@ -35,20 +35,20 @@
     turn_.notify_all();
     if (!thread_.joinable()) thread_ = std::thread([this] { loop.run(); });
     turn_.wait(lock, [&] { return testsTurn_; });
-    return held;
+    return conditionMet;
   }
-  void pass(net::Micros time) {
-    until([] { return false; }, time);
+  void pass(net::Micros duration) {
+    until([] { return false; }, duration);
   }
 
-  // Lets the loop take a turn or two: what is due or ready by now is dispatched.
+  // Runs the loop for one or two turns, which dispatches all events that are due or ready now.
   void turn() {
     for (int i = 0; i < 2; ++i) until([] { return true; });
   }
-  // Time goes on while the loop stands still, so that timers come due that it has not seen.
-  void stall(net::Micros time) {
-    const net::Micros end = loop.now() + time;
-    while (loop.now() < end) std::this_thread::yield();
+  // Lets time pass while the loop is suspended, so that timers expire before the loop processes them.
+  void stall(net::Micros duration) {
+    const net::Micros deadline = loop.now() + duration;
+    while (loop.now() < deadline) std::this_thread::yield();
   }
 
   net::Loop loop;
--- a/tests/support/platform_config_text.h
+++ b/tests/support/platform_config_text.h
@@ -1,4 +1,4 @@
-// A configuration file of a router on the platform, with all of its objects, for tests that need a real one.
+// A complete configuration file of a router on the platform, for tests that need a realistic one.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
   return [](const char*) -> std::optional<std::string> { return std::nullopt; };
 }
 
-/// The configuration that a text gives.
+/// Parses a configuration text.
 inline platform::PlatformConfig readTestConfig(
     std::string_view text = kPlatformConfigText,
     const platform::Environment& environment = emptyEnvironment()) {
--- a/tests/support/platform_peers.h
+++ b/tests/support/platform_peers.h
@@ -1,5 +1,5 @@
-// Peers of a router of the platform, on the test's own loop: engines and clients that say exactly what the
-// test tells them to, and the texts of the list and of the configuration that bring them together.
+// Peers of a platform router, on the test's own loop: scripted engines and clients, and builders for the
+// discovery list and the configuration that refer to them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,13 +18,13 @@
 
 namespace garnethook::test {
 
-// An engine that answers each request with bytes of the test's choice.
+// An engine that answers each request with bytes chosen by the test.
 class ScriptedEngine {
  public:
   struct Request {
     http1::Head head;
     std::string body;
-    std::size_t connection = 0;  // which of all there were
+    std::size_t connection = 0;  // index among all accepted connections
     net::Stream* stream = nullptr;
   };
   using Script = std::function<void(Request&)>;
@@ -37,8 +37,8 @@
   void stopListening() { listener_.close(); }
   std::size_t gone() const { return gone_; }
   std::size_t count(std::string_view method) const {
-    return static_cast<std::size_t>(
-        std::count_if(seen.begin(), seen.end(), [&](const auto& r) { return r.head.method == method; }));
+    return static_cast<std::size_t>(std::count_if(
+        seen.begin(), seen.end(), [&](const auto& request) { return request.head.method == method; }));
   }
 
   Script script;
@@ -46,23 +46,23 @@
 
  private:
   struct Connection final : net::StreamEvents, http1::MessageEvents {
-    Connection(ScriptedEngine& e, Poco::Net::StreamSocket socket, std::size_t n)
-        : engine(e),
-          number(n),
+    Connection(ScriptedEngine& owner, Poco::Net::StreamSocket socket, std::size_t index)
+        : engine(owner),
+          number(index),
           parser(http1::MessageParser::Kind::request, {}, *this),
-          stream(e.loop_, std::move(socket), *this) {}
+          stream(owner.loop_, std::move(socket), *this) {}
     void onBytes(std::string_view bytes) override { EXPECT_TRUE(parser.receive(bytes)); }
     void onClosed(net::CloseCause) override { ++engine.gone_; }
-    void onHead(const http1::Head& h) override { now = {h, {}, number, &stream}; }
-    void onBody(std::string_view bytes) override { now.body += bytes; }
+    void onHead(const http1::Head& head) override { current = {head, {}, number, &stream}; }
+    void onBody(std::string_view bytes) override { current.body += bytes; }
     void onEnd() override {
-      engine.seen.push_back(now);
-      if (engine.script) engine.script(now);
+      engine.seen.push_back(current);
+      if (engine.script) engine.script(current);
     }
     ScriptedEngine& engine;
     std::size_t number;
     http1::MessageParser parser;
-    Request now;
+    Request current;
     net::Stream stream;
   };
   net::Loop& loop_;
@@ -71,28 +71,30 @@
   net::Listener listener_;
 };
 
-// A client's connection, raw.
+// A client connection that exposes the received bytes.
 class RawClient final : public net::StreamEvents {
  public:
-  RawClient(net::Loop& loop, const Poco::Net::SocketAddress& to) : stream(loop, to, "", 1'000'000, *this) {}
+  RawClient(net::Loop& loop, const Poco::Net::SocketAddress& address)
+      : stream(loop, address, "", 1'000'000, *this) {}
   void onBytes(std::string_view bytes) override { got += bytes; }
   void onClosed(net::CloseCause) override { closed = true; }
-  void ask(const std::string& id, const std::string& kind = "chat", const std::string& more = "",
+  void ask(const std::string& id, const std::string& className = "chat", const std::string& extraHeaders = "",
            const std::string& body = R"({"model":"m"})") {
-    stream.send("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + id + "\r\nX-Qos: " + kind +
-                "\r\nX-Expires-In-Ms: " + std::to_string(expiresInMs) +
-                "\r\nX-Props: prompt_len=100,max_out=10\r\n" + more +
+    stream.send("POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + id +
+                "\r\nX-Qos: " + className + "\r\nX-Expires-In-Ms: " + std::to_string(expiresInMs) +
+                "\r\nX-Props: prompt_len=100,max_out=10\r\n" + extraHeaders +
                 "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   }
   bool has(std::string_view part) const { return got.find(part) != std::string::npos; }
   std::size_t count(std::string_view part) const {
-    std::size_t n = 0;
-    for (auto at = got.find(part); at != std::string::npos; at = got.find(part, at + part.size())) ++n;
-    return n;
+    std::size_t occurrences = 0;
+    for (auto at = got.find(part); at != std::string::npos; at = got.find(part, at + part.size()))
+      ++occurrences;
+    return occurrences;
   }
   std::string got;
   bool closed = false;
-  int expiresInMs = 3000;  // told with each request
+  int expiresInMs = 3000;  // sent with each request
   net::Stream stream;
 };
 
@@ -111,31 +113,31 @@
 inline const std::string kLast = "0\r\n\r\n";
 inline const std::string kWhole = std::string(kHead) + chunk(kEvent) + chunk(kDone) + kLast;
 
-// Answers releases and the like with 204; false: the request is work.
-inline bool answerCalls(ScriptedEngine::Request& r) {
-  if (r.head.method == "POST") return false;
-  r.stream->send("HTTP/1.1 204 No Content\r\n\r\n");
+// Answers control requests such as releases with 204. Returns false for prefill and decode requests.
+inline bool answerCalls(ScriptedEngine::Request& request) {
+  if (request.head.method == "POST") return false;
+  request.stream->send("HTTP/1.1 204 No Content\r\n\r\n");
   return true;
 }
 
-// An engine's entry in a list of discovery.
+// An engine's entry in a discovery list.
 inline std::string memberText(const std::string& id, const ScriptedEngine& engine, const std::string& flavor,
                               const std::string& phase = "ready") {
   return R"({"id":")" + id + R"(","host_port":")" + engine.address() + R"(","locality":"a","flavor":")" +
          flavor + R"(","cell":1,"phase":")" + phase + R"(","size":1.0,"up_since_ms":0})";
 }
 
-// A list of discovery, whole or of changes.
+// A discovery list: a complete one or a delta.
 inline std::string listText(int revision, bool complete, const std::string& members) {
   return R"({"revision":)" + std::to_string(revision) + R"(,"complete":)" + (complete ? "true" : "false") +
          R"(,"members":[)" + members + "]}";
 }
 
-// The configuration of a router on loopback. `more`: further keys of its outermost object, each with a comma
-// behind it.
+// The configuration of a router on loopback. `extraKeys`: additional keys of the top-level object, each
+// followed by a comma.
 inline std::string platformConfigText(const std::string& discoveryAddress, int sockets = 256,
-                                      const std::string& more = "") {
-  return "{" + more + R"("name":"n0","listen":"127.0.0.1:0","discovery":")" + discoveryAddress +
+                                      const std::string& extraKeys = "") {
+  return "{" + extraKeys + R"("name":"n0","listen":"127.0.0.1:0","discovery":")" + discoveryAddress +
          R"(","seed":"1",
       "limits":{"cores":1,"memory_mb":64,"sockets":)" +
          std::to_string(sockets) + R"(},
