--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -100,7 +100,7 @@
 TEST(Crossing, RequestsReadBehindARunningStreamAreAnsweredThoughTheRouterDrains) {
   for (const bool closed : {false, true}) {
     FrontendWorld w;
-    w.engines.holdFirstWrite(true);
+    w.engines.holdFirstDecode(true);
     auto c = w.acceptedClient(false);
     c->send(clientRequest("first") + clientRequest("second") + clientRequest("third"));
     ASSERT_TRUE(w.until([&] { return w.engines.held.has_value(); }));
@@ -281,7 +281,7 @@
 TEST(Crossing, TheTimeThatARequestWaitsBehindAnotherIsTakenOffItsDeadline) {
   constexpr Micros kWait = 300'000;
   FrontendWorld w;
-  w.engines.holdFirstWrite(true);
+  w.engines.holdFirstDecode(true);
   auto c = w.acceptedClient(false);
   c->send(clientRequest("first") + clientRequest("second", "chat", "", 1000) +
           clientRequest("third", "chat", "", 200));
@@ -301,7 +301,7 @@
 
 // The one connection that the front may have is taken, by a request that the first write holds.
 void fill(FrontendWorld& w, std::unique_ptr<BlockingClient>& by) {
-  w.engines.holdFirstWrite(true);
+  w.engines.holdFirstDecode(true);
   by = w.acceptedClient(false);
   by->send(clientRequest("first"));
   ASSERT_TRUE(w.until([&] { return w.engines.held.has_value(); }));
@@ -356,7 +356,7 @@
   Options options;
   options.maxPipelinedBytes = 16 * 1024;
   FrontendWorld w(options);
-  w.engines.holdFirstWrite(false);
+  w.engines.holdFirstDecode(false);
   auto c = w.acceptedClient(false);
   c->send(clientRequest("first"));
   ASSERT_TRUE(w.until([&] { return w.engines.held.has_value(); }));
--- a/tests/path/endings_test.cpp
+++ b/tests/path/endings_test.cpp
@@ -22,13 +22,13 @@
   constexpr int kExpiresInMs = 200;
   for (const bool eventFirst : {true, false}) {
     FrontendWorld w;
-    w.engines.holdFirstWrite(false);
+    w.engines.holdFirstDecode(false);
     auto c = w.acceptedClient(false);
     c->send(clientRequest("d", "chat", "", kExpiresInMs));
     ASSERT_TRUE(w.until([&] { return w.engines.held.has_value(); }));
     const auto attempt = *w.engines.held;
     const auto answer = [&w, attempt] {
-      w.engines.events->onTokens(attempt.id, kEvent, 1, {});
+      w.engines.events->onTokens(attempt.id, kTokenEvent, 1, {});
       w.engines.end(attempt, Outcome::completed);
     };
     w.stall((kExpiresInMs + 100) * kMillisecond);  // the deadline is due, and not seen
@@ -41,7 +41,7 @@
     c->receive();
     EXPECT_EQ(c->count("HTTP/1.1"), 1u) << c->got;
     EXPECT_EQ(c->streams(), eventFirst ? 1u : 0u) << c->got;
-    EXPECT_EQ(c->has(kEvent), eventFirst) << c->got;
+    EXPECT_EQ(c->has(kTokenEvent), eventFirst) << c->got;
     EXPECT_TRUE(w.clean());
   }
 }
@@ -52,24 +52,24 @@
   constexpr net::Micros kSilence = 200 * kMillisecond;
   for (const bool eventFirst : {true, false}) {
     FrontendWorld w({}, kSilence);
-    w.engines.holdFirstWrite(true);
+    w.engines.holdFirstDecode(true);
     auto c = w.acceptedClient(false);
     c->send(clientRequest("g"));
-    ASSERT_TRUE(w.until([&] { return (c->receive(), c->has(kEvent)); }));
+    ASSERT_TRUE(w.until([&] { return (c->receive(), c->has(kTokenEvent)); }));
     const auto attempt = *w.engines.held;
-    const auto event = [&w, attempt] { w.engines.events->onTokens(attempt.id, kEvent, 1, {}); };
+    const auto event = [&w, attempt] { w.engines.events->onTokens(attempt.id, kTokenEvent, 1, {}); };
     w.stall(kSilence + 50 * kMillisecond);
     if (eventFirst)
       event();
     else
       w.loop.after(0, event);
     if (eventFirst) {
-      ASSERT_TRUE(w.until([&] { return (c->receive(), c->count(kEvent) == 2); })) << c->got;
+      ASSERT_TRUE(w.until([&] { return (c->receive(), c->count(kTokenEvent) == 2); })) << c->got;
       w.engines.end(attempt, Outcome::completed);
       EXPECT_TRUE(w.served(*c, 1)) << c->got;
     } else {
       ASSERT_TRUE(w.ended(*c)) << c->got;
-      EXPECT_EQ(c->count(kEvent), 1u);
+      EXPECT_EQ(c->count(kTokenEvent), 1u);
       EXPECT_EQ(c->streams(), 0u);  // no last chunk: the client knows that it is cut
       EXPECT_EQ(w.engines.cancelled, 1u);
     }
@@ -83,16 +83,16 @@
   platform::HttpFrontend::Options options;
   options.lingerTimeout = 150 * kMillisecond;
   FrontendWorld w(options);
-  w.engines.holdFirstWrite(true);
+  w.engines.holdFirstDecode(true);
   auto c = w.acceptedClient(false);
-  c->narrow();
+  c->shrinkReceiveBuffer();
   c->send(clientRequest("s", "chat", "Connection: close\r\n"));
   ASSERT_TRUE(w.until([&] { return w.engines.held.has_value(); }));
   const auto attempt = *w.engines.held;
   w.engines.events->onTokens(attempt.id, "data: " + std::string(kBytes, 'x') + "\n\n", 1, {});
   w.engines.end(attempt, Outcome::completed);
   for (int i = 0; i < 400 && c->streams() == 0 && !c->wasReset; ++i) {
-    c->receiveSome(16 * 1024);
+    c->receiveAtMost(16 * 1024);
     w.pass(10 * kMillisecond);
   }
   EXPECT_EQ(c->streams(), 1u) << c->got.size();
@@ -122,11 +122,11 @@
 
 TEST_F(PathEnding, AClientThatClosesInTheMiddleOfItsStreamEndsTheEnginesWork) {
   w.writer.script = [](Request& r) {
-    if (!answerCalls(r)) r.stream->send(std::string(kHead) + chunk(kEvent));
+    if (!answerControlRequest(r)) r.stream->send(std::string(kStreamHead) + chunk(kTokenEvent));
   };
   auto c = w.client();
   c->ask("m1");
-  ASSERT_TRUE(w.until([&] { return c->has(kEvent); }, 2 * kSecond));
+  ASSERT_TRUE(w.until([&] { return c->has(kTokenEvent); }, 2 * kSecond));
   c->stream.close();
   EXPECT_TRUE(w.until([&] { return w.writer.gone() == 1; }, kSecond));
   EXPECT_EQ(w.writer.count("POST"), 1u);
@@ -142,15 +142,15 @@
     w.loop.after(100 * kMillisecond, [&, stream] { drip(stream); });
   };
   w.writer.script = [&](Request& r) {
-    if (answerCalls(r)) return;
-    r.stream->send(std::string(kHead) + chunk(kEvent) + chunk("data: never "));
+    if (answerControlRequest(r)) return;
+    r.stream->send(std::string(kStreamHead) + chunk(kTokenEvent) + chunk("data: never "));
     drip(r.stream);
   };
   auto c = w.client();
   c->ask("n1");
-  ASSERT_TRUE(w.until([&] { return c->has(kEvent); }, 2 * kSecond));
+  ASSERT_TRUE(w.until([&] { return c->has(kTokenEvent); }, 2 * kSecond));
   EXPECT_TRUE(w.until([&] { return c->closed; }, kTold));
-  EXPECT_FALSE(c->has(kLast));
+  EXPECT_FALSE(c->has(kFinalChunk));
   EXPECT_TRUE(w.clean());
 }
 
@@ -164,7 +164,7 @@
 
 // The process may end with everything open: nothing is called on what has gone.
 TEST_F(PathEnding, ANodeThatGoesWithAllOpenCallsNothingThatHasGone) {
-  w.reader.script = w.writer.script = [](Request& r) { answerCalls(r); };
+  w.reader.script = w.writer.script = [](Request& r) { answerControlRequest(r); };
   auto waiting = w.client();
   waiting->ask("p1");
   ASSERT_TRUE(w.until([&] { return w.reader.count("POST") == 1; }, 2 * kSecond));
--- a/tests/path/platform_path_test.cpp
+++ b/tests/path/platform_path_test.cpp
@@ -18,10 +18,10 @@
 TEST_F(PlatformPath, AReadThenAStreamUnchanged) {
   auto c = w.client();
   c->ask("a1");
-  ASSERT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000)) << c->got;
+  ASSERT_TRUE(w.until([&] { return c->has(kFinalChunk); }, 2'000'000)) << c->got;
   EXPECT_TRUE(c->has("HTTP/1.1 200"));
-  EXPECT_TRUE(c->has(kEvent));
-  EXPECT_TRUE(c->has(kDone));
+  EXPECT_TRUE(c->has(kTokenEvent));
+  EXPECT_TRUE(c->has(kDoneEvent));
   ASSERT_EQ(w.reader.count("POST"), 1u);
   ASSERT_EQ(w.writer.count("POST"), 1u);
   EXPECT_EQ(w.writer.seen[0].body, R"({"model":"m"})");
@@ -30,7 +30,7 @@
   EXPECT_TRUE(w.clean());
   c->got.clear();  // the connection serves another one
   c->ask("a2");
-  EXPECT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000));
+  EXPECT_TRUE(w.until([&] { return c->has(kFinalChunk); }, 2'000'000));
 }
 
 TEST_F(PlatformPath, ReadinessIsTold) {
@@ -42,17 +42,18 @@
 TEST_F(PlatformPath, ASpoiltOpeningIsTriedAgainWhereThatDoesNoHarm) {
   for (const std::string& spoilt :
        {std::string("\x01\x02noise\r\n\r\n"), std::string("HTTP/9.9 what\r\n\r\n"),
-        "HTTP/1.1 200 OK\r\nX: " + std::string(40'000, 'h'), std::string(kHead) + "zz\r\n",
-        std::string(kHead) + "c0000000\r\nxxxx"}) {
+        "HTTP/1.1 200 OK\r\nX: " + std::string(40'000, 'h'), std::string(kStreamHead) + "zz\r\n",
+        std::string(kStreamHead) + "c0000000\r\nxxxx"}) {
     const auto before = w.writer.count("POST");
     bool first = true;
     w.writer.script = [&](Request& r) {
-      if (!PlatformWorld::answerCalls(r)) r.stream->send(std::exchange(first, false) ? spoilt : kWhole);
+      if (!PlatformWorld::answerControlRequest(r))
+        r.stream->send(std::exchange(first, false) ? spoilt : kCompleteStream);
     };
     auto c = w.client();
     c->ask("s" + std::to_string(before));
-    ASSERT_TRUE(w.until([&] { return c->has(kLast); }, 3'000'000)) << spoilt.substr(0, 20) << c->got;
-    EXPECT_EQ(c->count(kEvent), 1u);
+    ASSERT_TRUE(w.until([&] { return c->has(kFinalChunk); }, 3'000'000)) << spoilt.substr(0, 20) << c->got;
+    EXPECT_EQ(c->count(kTokenEvent), 1u);
     EXPECT_GE(w.writer.count("POST"), before + 2);
     EXPECT_TRUE(w.clean());
   }
@@ -60,7 +61,7 @@
 
 TEST_F(PlatformPath, AnUnsafeRequestThatMayHaveRunIsNeitherRepeatedNorRefused) {
   w.writer.script = [&](Request& r) {
-    if (!PlatformWorld::answerCalls(r)) r.stream->send("noise\r\n\r\n");
+    if (!PlatformWorld::answerControlRequest(r)) r.stream->send("noise\r\n\r\n");
   };
   auto c = w.client();
   c->ask("u1", "order");
@@ -72,13 +73,14 @@
 
 TEST_F(PlatformPath, AStreamSpoiltLaterEndsTheClientsConnectionWithoutTheLastChunk) {
   w.writer.script = [&](Request& r) {
-    if (!PlatformWorld::answerCalls(r)) r.stream->send(std::string(kHead) + chunk(kEvent) + "nosize\r\n");
+    if (!PlatformWorld::answerControlRequest(r))
+      r.stream->send(std::string(kStreamHead) + chunk(kTokenEvent) + "nosize\r\n");
   };
   auto c = w.client();
   c->ask("b1");
   ASSERT_TRUE(w.until([&] { return c->closed; }, 2'000'000));
-  EXPECT_EQ(c->count(kEvent), 1u);
-  EXPECT_FALSE(c->has(kLast));
+  EXPECT_EQ(c->count(kTokenEvent), 1u);
+  EXPECT_FALSE(c->has(kFinalChunk));
   EXPECT_EQ(w.writer.count("POST"), 1u);
   EXPECT_TRUE(w.clean());
 }
@@ -86,15 +88,15 @@
 TEST_F(PlatformPath, AnAnswerThatNobodyAskedForIsNotTakenForTheNext) {
   for (const bool late : {false, true}) {
     w.writer.script = [&](Request& r) {
-      if (PlatformWorld::answerCalls(r)) return;
-      const std::string foreign = std::string(kHead) + chunk("data: foreign\n\n") + kLast;
-      r.stream->send("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + kWhole + (late ? "" : foreign));
+      if (PlatformWorld::answerControlRequest(r)) return;
+      const std::string foreign = std::string(kStreamHead) + chunk("data: foreign\n\n") + kFinalChunk;
+      r.stream->send("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + kCompleteStream + (late ? "" : foreign));
       if (late) w.loop.after(5000, [&w = w, s = r.stream, foreign] { s->send(foreign); });
     };
     for (int i = 0; i < 3; ++i) {
       auto c = w.client();
       c->ask((late ? "l" : "e") + std::to_string(i));
-      ASSERT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000)) << c->got;
+      ASSERT_TRUE(w.until([&] { return c->has(kFinalChunk); }, 2'000'000)) << c->got;
       EXPECT_FALSE(c->has("foreign"));
       w.pass(10'000);
     }
@@ -103,7 +105,7 @@
 }
 
 TEST_F(PlatformPath, AClientThatGoesAwayLeavesNothingBehind) {
-  w.writer.script = [](Request& r) { PlatformWorld::answerCalls(r); };  // no answer to writes
+  w.writer.script = [](Request& r) { PlatformWorld::answerControlRequest(r); };  // no answer to writes
   auto c = w.client();
   c->ask("g1");
   ASSERT_TRUE(w.until([&] { return w.writer.count("POST") == 1; }, 2'000'000));
@@ -134,7 +136,7 @@
 TEST_F(PlatformPath, ARequestWhoseClientClosedRightBehindItBeginsNothing) {
   auto c = w.client();  // leaves a connection to the reader, on which an attempt would be out at once
   c->ask("first");
-  ASSERT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000));
+  ASSERT_TRUE(w.until([&] { return c->has(kFinalChunk); }, 2'000'000));
   for (int i = 0; i < 5; ++i) {
     Poco::Net::StreamSocket client(w.node->address());
     const auto text = requestText("gone" + std::to_string(i));
@@ -149,7 +151,7 @@
 
 // Reading was paused behind an open request, and the close of a client that had sent much went unseen.
 TEST_F(PlatformPath, MuchSentBehindAnOpenRequestDoesNotHideTheClose) {
-  w.writer.script = [](Request& r) { PlatformWorld::answerCalls(r); };  // no answer to writes
+  w.writer.script = [](Request& r) { PlatformWorld::answerControlRequest(r); };  // no answer to writes
   auto c = w.client();
   c->ask("much");
   for (int i = 0; i < 20; ++i) c->stream.send(requestText("behind" + std::to_string(i), "", 20'000));
@@ -165,8 +167,8 @@
   auto c = w.client();
   std::vector<net::Stream*> held;
   w.writer.script = [&](Request& r) {
-    if (PlatformWorld::answerCalls(r)) return;
-    held.size() < 2 ? held.push_back(r.stream) : r.stream->send(kWhole);
+    if (PlatformWorld::answerControlRequest(r)) return;
+    held.size() < 2 ? held.push_back(r.stream) : r.stream->send(kCompleteStream);
   };
   c->ask("flood");
   for (int i = 0; i < 200; ++i) c->stream.send(requestText("more" + std::to_string(i), "", 20'000));
@@ -175,11 +177,11 @@
   ASSERT_TRUE(w.until([&] { return held.size() == 2 && c->stream.pending() == 0; }, 2'000'000))
       << held.size() << " " << c->stream.pending() << " " << other->got << w.node->statusSummary();
   w.pass(50'000);
-  for (auto* s : held) s->send(kWhole);
-  EXPECT_TRUE(w.until([&] { return other->has(kLast) && c->closed; }, 5'000'000)) << other->got;
-  EXPECT_EQ(c->count(kLast) + 1, w.writer.count("POST")) << c->got;
-  EXPECT_GT(c->count(kLast), 40u);  // a mebibyte of 20 kB each
-  EXPECT_LT(c->count(kLast), 60u);
+  for (auto* s : held) s->send(kCompleteStream);
+  EXPECT_TRUE(w.until([&] { return other->has(kFinalChunk) && c->closed; }, 5'000'000)) << other->got;
+  EXPECT_EQ(c->count(kFinalChunk) + 1, w.writer.count("POST")) << c->got;
+  EXPECT_GT(c->count(kFinalChunk), 40u);  // a mebibyte of 20 kB each
+  EXPECT_LT(c->count(kFinalChunk), 60u);
   EXPECT_TRUE(w.clean());
 }
 
@@ -189,7 +191,7 @@
   client.sendBytes(text.data(), static_cast<int>(text.size()));
   w.pass(300'000);
   const auto got = readToEnd(client);
-  EXPECT_TRUE(got.ends_with(kLast)) << got;
+  EXPECT_TRUE(got.ends_with(kFinalChunk)) << got;
   EXPECT_EQ(w.reader.count("POST"), 1u);
 }
 
@@ -205,7 +207,7 @@
   client.sendBytes(late.data(), static_cast<int>(late.size()));
   w.pass(50'000);
   const auto got = readToEnd(client);
-  EXPECT_TRUE(got.ends_with(kLast)) << got;
+  EXPECT_TRUE(got.ends_with(kFinalChunk)) << got;
   EXPECT_EQ(w.reader.count("POST"), 1u);
   client.close();
   EXPECT_TRUE(w.until([&] { return w.node->frontend().connections() == 0; }, 500'000));
@@ -213,9 +215,9 @@
 
 TEST_F(PlatformPath, AReleaseGoesElsewhereWhereTheReaderIsSilent) {
   w.reader.script = [](Request& r) {
-    if (r.head.method == "POST") r.stream->send(kRead);  // and no word to a release
+    if (r.head.method == "POST") r.stream->send(kPrefillResponse);  // and no word to a release
   };
-  w.writer.script = [](Request& r) { PlatformWorld::answerCalls(r); };
+  w.writer.script = [](Request& r) { PlatformWorld::answerControlRequest(r); };
   auto c = w.client();
   c->ask("h1");
   ASSERT_TRUE(w.until([&] { return w.writer.count("POST") == 1; }, 2'000'000));
@@ -248,7 +250,7 @@
 TEST_F(PlatformPath, TheIdOfAnOpenRequestIsTurnedAwayAndTheFirstGoesOn) {
   Request* held = nullptr;
   w.writer.script = [&](Request& r) {
-    if (!PlatformWorld::answerCalls(r)) held = &r;
+    if (!PlatformWorld::answerControlRequest(r)) held = &r;
   };
   auto c = w.client();
   c->ask("d1");
@@ -256,8 +258,8 @@
   auto other = w.client();
   other->ask("d1");
   EXPECT_TRUE(w.until([&] { return other->has("HTTP/1.1 409"); }, 1'000'000));
-  held->stream->send(kWhole);
-  EXPECT_TRUE(w.until([&] { return c->has(kLast); }, 1'000'000));
+  held->stream->send(kCompleteStream);
+  EXPECT_TRUE(w.until([&] { return c->has(kFinalChunk); }, 1'000'000));
   EXPECT_EQ(w.writer.count("POST"), 1u);
 }
 
@@ -278,7 +280,7 @@
   w.pass(100'000);
   auto c = w.client();
   c->ask("f1");
-  EXPECT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000)) << c->got;
+  EXPECT_TRUE(w.until([&] { return c->has(kFinalChunk); }, 2'000'000)) << c->got;
   EXPECT_LE(w.node->frontend().connections(), 128u);
 }
 
@@ -294,7 +296,7 @@
       1'500'000));
   auto c = w.client();
   c->ask("f2");
-  EXPECT_TRUE(w.until([&] { return c->has(kLast); }, 1'000'000)) << c->got;
+  EXPECT_TRUE(w.until([&] { return c->has(kFinalChunk); }, 1'000'000)) << c->got;
 }
 
 TEST_F(PlatformPath, ATrickledRequestIsServed) {
@@ -310,7 +312,7 @@
     if (at < text.size()) w.loop.after(1000, next);
   };
   next();
-  EXPECT_TRUE(w.until([&] { return c->has(kLast); }, 3'000'000)) << c->got;
+  EXPECT_TRUE(w.until([&] { return c->has(kFinalChunk); }, 3'000'000)) << c->got;
 }
 
 TEST_F(PlatformPath, PipelinedRequestsAreAnsweredInOrder) {
@@ -318,7 +320,7 @@
   c->ask("p1");
   c->ask("p2");
   c->ask("p3");
-  EXPECT_TRUE(w.until([&] { return c->count(kLast) == 3; }, 3'000'000)) << c->got;
+  EXPECT_TRUE(w.until([&] { return c->count(kFinalChunk) == 3; }, 3'000'000)) << c->got;
   EXPECT_EQ(w.writer.count("POST"), 3u);
 }
 
@@ -328,25 +330,25 @@
   std::vector<std::size_t> used;
   const auto resetting = [&](std::string_view answer) {
     return [&used, answer](Request& r) {
-      if (PlatformWorld::answerCalls(r)) return;
+      if (PlatformWorld::answerControlRequest(r)) return;
       const bool again = std::count(used.begin(), used.end(), reinterpret_cast<std::size_t>(r.stream)) > 0;
       used.push_back(reinterpret_cast<std::size_t>(r.stream));
       again ? r.stream->close(true) : r.stream->send(answer);
     };
   };
-  w.reader.script = resetting(kRead);
-  w.writer.script = resetting(kWhole);
+  w.reader.script = resetting(kPrefillResponse);
+  w.writer.script = resetting(kCompleteStream);
   for (int i = 0; i < 4; ++i) {
     auto c = w.client();
     c->ask("k" + std::to_string(i));
-    ASSERT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000)) << c->got;
+    ASSERT_TRUE(w.until([&] { return c->has(kFinalChunk); }, 2'000'000)) << c->got;
     w.pass(30'000);  // until the connections may be used again
   }
   for (int i = 0; i < 8; ++i) {
     auto c = w.client();
     c->ask("m" + std::to_string(i), "order");
-    ASSERT_TRUE(w.until([&] { return c->has(kLast) || c->has("HTTP/1.1 5"); }, 2'000'000));
-    EXPECT_TRUE(c->has(kLast)) << i << c->got;
+    ASSERT_TRUE(w.until([&] { return c->has(kFinalChunk) || c->has("HTTP/1.1 5"); }, 2'000'000));
+    EXPECT_TRUE(c->has(kFinalChunk)) << i << c->got;
   }
   EXPECT_TRUE(w.clean());
 }
@@ -406,8 +408,8 @@
     w.loop.after(1'000, [&goOn, stream] { goOn(stream); });
   };
   w.writer.script = [&](Request& r) {
-    if (PlatformWorld::answerCalls(r)) return;
-    r.stream->send(kHead);
+    if (PlatformWorld::answerControlRequest(r)) return;
+    r.stream->send(kStreamHead);
     goOn(r.stream);
   };
   auto c = w.client();
@@ -415,7 +417,7 @@
   EXPECT_TRUE(w.until([&] { return c->closed; }, 5'000'000));
   EXPECT_LE(c->got.size(), kMost + 4096);
   EXPECT_GT(c->got.size(), kMost / 2);
-  EXPECT_FALSE(c->has("\r\n" + std::string(kLast)));
+  EXPECT_FALSE(c->has("\r\n" + std::string(kFinalChunk)));
   EXPECT_TRUE(w.clean());
 }
 
@@ -454,8 +456,8 @@
   constexpr Micros kWithin = 300'000;
   std::vector<net::Stream*> streams;
   w.writer.script = [&](Request& r) {
-    if (PlatformWorld::answerCalls(r)) return;
-    r.stream->send(kHead);
+    if (PlatformWorld::answerControlRequest(r)) return;
+    r.stream->send(kStreamHead);
     streams.push_back(r.stream);
   };
   auto slow = w.client();
@@ -490,7 +492,7 @@
   std::cout << "delay of an event, ms: p50 " << delays[delays.size() / 2] / 1000 << ", p99 "
             << delays[delays.size() * 99 / 100] / 1000 << ", most " << delays.back() / 1000 << "\n";
   EXPECT_LE(delays.back(), kWithin);
-  for (auto* s : streams) s->send(chunk(kDone) + kLast);
+  for (auto* s : streams) s->send(chunk(kDoneEvent) + kFinalChunk);
   slow->stream.pauseReading(false);
   EXPECT_TRUE(w.clean());
 }
@@ -505,14 +507,16 @@
 INSTANTIATE_TEST_SUITE_P(
     Everywhere, AnswerThatBreaksOff,
     testing::Combine(
-        testing::Values(BrokenAnswer{"nothing", "", false}, BrokenAnswer{"half a line", "HTTP/1.1 20", false},
-                        BrokenAnswer{"half a head", std::string(kHead).substr(0, 40), false},
-                        BrokenAnswer{"a head", std::string(kHead), false},
-                        BrokenAnswer{"half an event", std::string(kHead) + "21\r\ndata: {", false},
-                        BrokenAnswer{"an event", std::string(kHead) + chunk(kEvent), true},
-                        BrokenAnswer{"all events", std::string(kHead) + chunk(kEvent) + chunk(kDone), true},
-                        BrokenAnswer{"half a last chunk",
-                                     std::string(kHead) + chunk(kEvent) + chunk(kDone) + "0\r\n", true}),
+        testing::Values(
+            BrokenAnswer{"nothing", "", false}, BrokenAnswer{"half a line", "HTTP/1.1 20", false},
+            BrokenAnswer{"half a head", std::string(kStreamHead).substr(0, 40), false},
+            BrokenAnswer{"a head", std::string(kStreamHead), false},
+            BrokenAnswer{"half an event", std::string(kStreamHead) + "21\r\ndata: {", false},
+            BrokenAnswer{"an event", std::string(kStreamHead) + chunk(kTokenEvent), true},
+            BrokenAnswer{"all events", std::string(kStreamHead) + chunk(kTokenEvent) + chunk(kDoneEvent),
+                         true},
+            BrokenAnswer{"half a last chunk",
+                         std::string(kStreamHead) + chunk(kTokenEvent) + chunk(kDoneEvent) + "0\r\n", true}),
         testing::Values("chat", "order"), testing::Bool()),
     [](const auto& about) {
       std::string name = std::string(std::get<0>(about.param).name) + " " + std::get<1>(about.param) +
@@ -526,8 +530,8 @@
   PlatformWorld w;
   bool first = true;
   w.writer.script = [&, reset = reset, answer = answer](Request& r) {
-    if (PlatformWorld::answerCalls(r)) return;
-    if (!std::exchange(first, false)) return r.stream->send(kWhole);
+    if (PlatformWorld::answerControlRequest(r)) return;
+    if (!std::exchange(first, false)) return r.stream->send(kCompleteStream);
     r.stream->send(answer.bytes);
     // In turns of their own, so that a reset does not take the bytes before it.
     w.loop.after(20'000, [s = r.stream, reset] { s->close(reset); });
@@ -535,10 +539,11 @@
   auto c = w.client();
   c->ask("b", kind);
   const bool again = !answer.begun && kind == "chat";  // no effect, and nothing passed on yet
-  ASSERT_TRUE(w.until(
-      [&] { return c->closed || c->has("\r\n" + std::string(kLast)) || c->has("HTTP/1.1 5"); }, 3'000'000));
+  ASSERT_TRUE(
+      w.until([&] { return c->closed || c->has("\r\n" + std::string(kFinalChunk)) || c->has("HTTP/1.1 5"); },
+              3'000'000));
   EXPECT_EQ(w.writer.count("POST"), again ? 2u : 1u);
-  EXPECT_EQ(c->count("\r\n" + std::string(kLast)), again ? 1u : 0u) << c->got;
+  EXPECT_EQ(c->count("\r\n" + std::string(kFinalChunk)), again ? 1u : 0u) << c->got;
   EXPECT_EQ(c->count("HTTP/1.1 "), 1u) << c->got;
   EXPECT_TRUE(!answer.begun || c->closed);
   EXPECT_EQ(c->has("HTTP/1.1 502"), !again && !answer.begun) << c->got;
@@ -562,7 +567,7 @@
   EXPECT_FALSE(w.watches[0].second->open());
   auto c = w.client();
   c->ask("r1");
-  EXPECT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000));
+  EXPECT_TRUE(w.until([&] { return c->has(kFinalChunk); }, 2'000'000));
   w.watches.clear();
   others.clear();
 }
@@ -570,33 +575,33 @@
 TEST_F(PlatformPath, DrainingTakesRequestsForAWhileAndFinishesAll) {
   Request* held = nullptr;
   w.writer.script = [&](Request& r) {
-    if (PlatformWorld::answerCalls(r)) return;
+    if (PlatformWorld::answerControlRequest(r)) return;
     if (held == nullptr) {
       held = &r;
-      r.stream->send(std::string(kHead) + chunk(kEvent));
+      r.stream->send(std::string(kStreamHead) + chunk(kTokenEvent));
     } else {
-      r.stream->send(kWhole);
+      r.stream->send(kCompleteStream);
     }
   };
   auto running = w.client();
   running->ask("x1");
-  ASSERT_TRUE(w.until([&] { return running->has(kEvent); }, 2'000'000));
+  ASSERT_TRUE(w.until([&] { return running->has(kTokenEvent); }, 2'000'000));
   auto idle = w.client();
   idle->ask("x2");
-  ASSERT_TRUE(w.until([&] { return idle->has(kLast); }, 2'000'000));
+  ASSERT_TRUE(w.until([&] { return idle->has(kFinalChunk); }, 2'000'000));
   const auto address = w.node->address();
   bool done = false;
   w.node->shutDown([&] { done = true; });
   EXPECT_TRUE(w.until([&] { return idle->closed; }, 500'000));
   auto late = w.client();  // the platform's front does not know yet
   late->ask("x3");
-  EXPECT_TRUE(w.until([&] { return late->has(kLast) && late->closed; }, 500'000)) << late->got;
+  EXPECT_TRUE(w.until([&] { return late->has(kFinalChunk) && late->closed; }, 500'000)) << late->got;
   EXPECT_TRUE(late->has("Connection: close"));
   w.pass(700'000);
   EXPECT_FALSE(done);
-  held->stream->send(chunk(kDone) + kLast);
+  held->stream->send(chunk(kDoneEvent) + kFinalChunk);
   EXPECT_TRUE(w.until([&] { return done; }, 1'000'000));
-  EXPECT_TRUE(running->has(kLast));
+  EXPECT_TRUE(running->has(kFinalChunk));
   RawClient after(w.loop, address);
   EXPECT_TRUE(w.until([&] { return after.closed; }, 1'000'000));
 }
--- a/tests/path/platform_world.h
+++ b/tests/path/platform_world.h
@@ -17,16 +17,18 @@
 class PlatformWorld : public LoopRunner {
  public:
   PlatformWorld() : reader(loop), writer(loop), otherWriter(loop) {
-    reader.script = [](ScriptedEngine::Request& r) { answerCalls(r) || (r.stream->send(kRead), true); };
+    reader.script = [](ScriptedEngine::Request& r) {
+      answerControlRequest(r) || (r.stream->send(kPrefillResponse), true);
+    };
     writer.script = otherWriter.script = [](ScriptedEngine::Request& r) {
-      answerCalls(r) || (r.stream->send(kWhole), true);
+      answerControlRequest(r) || (r.stream->send(kCompleteStream), true);
     };
     discovery = makeDiscovery(watches);
     start();
   }
   ~PlatformWorld() { stopLoop(); }
 
-  static bool answerCalls(ScriptedEngine::Request& r) { return test::answerCalls(r); }
+  static bool answerControlRequest(ScriptedEngine::Request& r) { return test::answerControlRequest(r); }
   std::unique_ptr<fake_engine::HttpServer> makeDiscovery(
       std::vector<std::pair<std::string, std::shared_ptr<fake_engine::HttpReply>>>& to) {
     return std::make_unique<fake_engine::HttpServer>(
--- a/tests/process/fleet_size_test.cpp
+++ b/tests/process/fleet_size_test.cpp
@@ -51,7 +51,7 @@
       world.pass(kRequestInterval);
     }
     ResourceUse use;
-    const auto served = [](const auto& c) { return c->has(kLast); };
+    const auto served = [](const auto& c) { return c->has(kFinalChunk); };
     world.until([&] { return std::all_of(clients.begin(), clients.end(), served); }, 2 * kSecond);
     use.served = static_cast<std::size_t>(std::count_if(clients.begin(), clients.end(), served));
     use.descriptors = world.program->descriptors();
--- a/tests/process/kv_release_test.cpp
+++ b/tests/process/kv_release_test.cpp
@@ -28,7 +28,7 @@
   void serve(ScriptedEngine& engine, Request& request) {
     if (isSilent && isSilent(engine, request)) return;
     if (request.head.method == "DELETE") releases.push_back({request.head.target, world.loop.now()});
-    if (answerCalls(request)) return;
+    if (answerControlRequest(request)) return;
     if (&engine == &world.reader)
       prefill(request);
     else
@@ -66,8 +66,8 @@
         world.loop.after(50 * kMillisecond, [stream = request.stream, answer] { stream->send(answer); });
       };
     };
-    const auto usualPrefill = std::exchange(prefill, later(kRead));
-    const auto usualDecode = std::exchange(decode, later(kWhole));
+    const auto usualPrefill = std::exchange(prefill, later(kPrefillResponse));
+    const auto usualDecode = std::exchange(decode, later(kCompleteStream));
     for (int round = 0; round < 3; ++round) {
       std::vector<std::unique_ptr<RawClient>> clients;
       for (int i = 0; i < 6; ++i) {
@@ -91,8 +91,8 @@
     net::Micros at = 0;
   };
   std::vector<ReceivedRelease> releases;
-  std::function<void(Request&)> prefill = [](Request& request) { request.stream->send(kRead); };
-  std::function<void(Request&)> decode = [](Request& request) { request.stream->send(kWhole); };
+  std::function<void(Request&)> prefill = [](Request& request) { request.stream->send(kPrefillResponse); };
+  std::function<void(Request&)> decode = [](Request& request) { request.stream->send(kCompleteStream); };
   std::function<bool(ScriptedEngine&, Request&)> isSilent;
   ProcessWorld world;
 };
@@ -131,7 +131,7 @@
   world.discovery.list = listText(1, true, world.members);
   net::Micros endedAt = 0;
   prefill = [&](Request& request) {
-    request.stream->send(kRead);
+    request.stream->send(kPrefillResponse);
     if (isFailedOver || http1::find(request.head.fields, "x-trace-id") != "failover") return;
     isFailedOver = true;
     endedAt = world.loop.now();
--- a/tests/process/process_test.cpp
+++ b/tests/process/process_test.cpp
@@ -30,9 +30,9 @@
   // Has the writer begin the next stream with one event and hold the rest back.
   void stallStreams() {
     world.writer.script = [this](Request& request) {
-      if (answerCalls(request)) return;
+      if (answerControlRequest(request)) return;
       stalledStream = request.stream;
-      request.stream->send(std::string(kHead) + chunk(kEvent));
+      request.stream->send(std::string(kStreamHead) + chunk(kTokenEvent));
     };
   }
   // A client whose stream has begun and is held back by the writer.
@@ -40,18 +40,18 @@
     stallStreams();
     auto streaming = world.client();
     streaming->ask(id);
-    EXPECT_TRUE(world.until([&] { return streaming->has(kEvent); }, 3 * kSecond)) << streaming->got;
+    EXPECT_TRUE(world.until([&] { return streaming->has(kTokenEvent); }, 3 * kSecond)) << streaming->got;
     return streaming;
   }
   // Has the writer end the held stream; its client has to get the whole of it.
   void expectWholeStream(RawClient& streaming) {
     ASSERT_NE(stalledStream, nullptr);
-    stalledStream->send(chunk(kEvent) + chunk(kDone) + kLast);
-    EXPECT_TRUE(world.until([&] { return streaming.has(kLast); }, 2 * kSecond)) << streaming.got;
+    stalledStream->send(chunk(kTokenEvent) + chunk(kDoneEvent) + kFinalChunk);
+    EXPECT_TRUE(world.until([&] { return streaming.has(kFinalChunk); }, 2 * kSecond)) << streaming.got;
     EXPECT_EQ(streaming.count("HTTP/1.1 "), 1u);
-    EXPECT_EQ(streaming.count(kEvent), 2u);
-    EXPECT_EQ(streaming.count(kDone), 1u);
-    EXPECT_TRUE(streaming.got.ends_with(kLast)) << streaming.got;
+    EXPECT_EQ(streaming.count(kTokenEvent), 2u);
+    EXPECT_EQ(streaming.count(kDoneEvent), 1u);
+    EXPECT_TRUE(streaming.got.ends_with(kFinalChunk)) << streaming.got;
   }
   // Waits until the program takes no connection any more.
   bool waitUntilRefused() {
@@ -88,7 +88,7 @@
 TEST_F(ProgramTest, AnswersARequestAtAHungEngineAfterTermination) {
   constexpr int kExpiresInMs = 1500;
   constexpr net::Micros kSlack = 500 * kMillisecond;
-  world.writer.script = [](Request& request) { answerCalls(request); };
+  world.writer.script = [](Request& request) { answerControlRequest(request); };
   ASSERT_NO_FATAL_FAILURE(world.start());
   const auto idempotent = world.client();
   const auto nonIdempotent = world.client();
@@ -130,7 +130,7 @@
     isSent = true;
     client->ask(id);
   }
-  bool served() const { return client->got.size() > bytesBefore && client->got.ends_with(kLast); }
+  bool served() const { return client->got.size() > bytesBefore && client->got.ends_with(kFinalChunk); }
   // A refusal, whole: its text ends in a line feed alone.
   bool refused() const { return refusedWith("503"); }
   bool tooMany() const { return refusedWith("429"); }
@@ -305,7 +305,7 @@
       world.until([&] { return silent->stream.connected() && late->stream.connected(); }, 1 * kSecond));
   world.program->signal(SIGTERM);
   world.loop.after(kSentAfter, [&] { late->ask("late"); });
-  EXPECT_TRUE(world.until([&] { return late->has(kLast); }, 2 * kSecond)) << late->got;
+  EXPECT_TRUE(world.until([&] { return late->has(kFinalChunk); }, 2 * kSecond)) << late->got;
   EXPECT_TRUE(world.until([&] { return silent->closed && late->closed; }, 2 * kSecond));
   EXPECT_EQ(silent->got, "");
   world.expectGracefulExit();
@@ -486,7 +486,7 @@
     int tries = 0;
     const bool served = world.until(
         [&] {
-          if (requester && requester->has(kLast)) return true;
+          if (requester && requester->has(kFinalChunk)) return true;
           if (requester && !requester->closed && !requester->has("HTTP/1.1 429") &&
               !requester->has("HTTP/1.1 5"))
             return false;
@@ -645,12 +645,12 @@
     if (request.head.method == "POST") return;
     if (world.loop.now() - from < kReleaseDelay) return;  // an engine that says nothing to releases yet
     ++confirmed;
-    answerCalls(request);
+    answerControlRequest(request);
   };
   world.writer.script = world.otherWriter.script = answerLateCalls;
   world.reader.script = [&](Request& request) {
     if (request.head.method == "POST")
-      request.stream->send(kRead);
+      request.stream->send(kPrefillResponse);
     else
       answerLateCalls(request);
   };
--- a/tests/process/process_world.h
+++ b/tests/process/process_world.h
@@ -65,10 +65,10 @@
         configFile(folder.file("config.json")),
         standardErrorFile(folder.file("errors")) {
     reader.script = [](ScriptedEngine::Request& request) {
-      answerCalls(request) || (request.stream->send(kRead), true);
+      answerControlRequest(request) || (request.stream->send(kPrefillResponse), true);
     };
     writer.script = otherWriter.script = [](ScriptedEngine::Request& request) {
-      answerCalls(request) || (request.stream->send(kWhole), true);
+      answerControlRequest(request) || (request.stream->send(kCompleteStream), true);
     };
     members = memberText("r", reader, "m1") + "," + memberText("w", writer, "m2");
     discovery.list = listText(1, true, members);
@@ -146,7 +146,7 @@
   bool isServed(const std::string& id, net::Micros limit = 10 * kSecond) {
     const auto requester = client();
     requester->ask(id);
-    return until([&] { return requester->has(kLast); }, limit);
+    return until([&] { return requester->has(kFinalChunk); }, limit);
   }
   /// Waits until the program has ended by itself; its status has to be 0.
   void expectGracefulExit(net::Micros limit = 8 * kSecond) {
--- a/tests/process/system_fault_test.cpp
+++ b/tests/process/system_fault_test.cpp
@@ -25,8 +25,9 @@
 TEST_F(SystemFaultTest, MeetsDeadlinesAcrossAPauseWithAWallClockStep) {
   constexpr net::Micros kStepAfter = 3 * kSecond;
   world.loadFaults({"CLOCK_STEPS=3000:-3600000"});
-  world.writer.script =
-      world.otherWriter.script = [](Request& request) { answerCalls(request); };  // no answer to work
+  world.writer.script = world.otherWriter.script = [](Request& request) {
+    answerControlRequest(request);
+  };  // no answer to work
   const net::Micros started = world.loop.now();
   ASSERT_NO_FATAL_FAILURE(world.start());
   world.discovery.silent = true;  // nothing but its own timers wakes the program
@@ -68,7 +69,7 @@
     world.listenAtOwnAddress();
     ASSERT_NO_FATAL_FAILURE(world.start());
     std::vector<std::unique_ptr<RawClient>> clients;
-    const auto served = [](const auto& c) { return c->has(kLast); };
+    const auto served = [](const auto& c) { return c->has(kFinalChunk); };
     for (int i = 0; i < kRequests; ++i) {
       clients.push_back(world.client());
       clients.back()->ask("u" + std::to_string(i));
@@ -160,8 +161,9 @@
 TEST_F(SystemFaultTest, ArmsItsHeartbeatThoughTheFirstAttemptsFail) {
   world.loadFaults({"FAULTS=timerfd_settime:EINTR:100,epoll_wait:EINTR:30", "FAULT_UNTIL_MS=300",
                     "CLOCK_STEPS=2500:-3600000"});
-  world.writer.script =
-      world.otherWriter.script = [](Request& request) { answerCalls(request); };  // no answer to work
+  world.writer.script = world.otherWriter.script = [](Request& request) {
+    answerControlRequest(request);
+  };  // no answer to work
   const net::Micros started = world.loop.now();
   ASSERT_NO_FATAL_FAILURE(world.start());
   world.discovery.silent = true;
@@ -253,8 +255,8 @@
   ScriptedEngine fresh(world.loop);
   fresh.script = world.reader.script =
       [this](Request& request) {  // each read takes a while, so that others come beside it
-        if (answerCalls(request)) return;
-        world.loop.after(100 * kMillisecond, [stream = request.stream] { stream->send(kRead); });
+        if (answerControlRequest(request)) return;
+        world.loop.after(100 * kMillisecond, [stream = request.stream] { stream->send(kPrefillResponse); });
       };
   const auto unixMs = std::chrono::duration_cast<std::chrono::milliseconds>(
                           std::chrono::system_clock::now().time_since_epoch())
@@ -269,7 +271,7 @@
     clients.back()->ask("f" + std::to_string(i));
     world.pass(25 * kMillisecond);
   }
-  const auto served = [](const auto& c) { return c->has(kLast); };
+  const auto served = [](const auto& c) { return c->has(kFinalChunk); };
   EXPECT_TRUE(world.until([&] { return std::all_of(clients.begin(), clients.end(), served); }, 3 * kSecond));
   EXPECT_LE(fresh.count("POST"), static_cast<std::size_t>(kMostAtTheFreshOne));
 }
--- a/tests/support/frontend_world.h
+++ b/tests/support/frontend_world.h
@@ -50,7 +50,7 @@
 
   void succeed(const Attempt& attempt) {
     if (attempt.phase == routing::Phase::prefill) return end(attempt, Outcome::prefillDone);
-    events->onTokens(attempt.id, kEvent, 1, {});
+    events->onTokens(attempt.id, kTokenEvent, 1, {});
     end(attempt, Outcome::completed);
   }
   void end(const Attempt& attempt, Outcome outcome) {
@@ -58,11 +58,11 @@
   }
   // Leaves the first decode attempt open until the test ends it, after one event if `firstEvent` is set. All
   // other attempts succeed.
-  void holdFirstWrite(bool firstEvent) {
+  void holdFirstDecode(bool firstEvent) {
     script = [this, firstEvent](const Attempt& attempt) {
       if (attempt.phase == routing::Phase::prefill || held) return succeed(attempt);
       held = attempt;
-      if (firstEvent) events->onTokens(attempt.id, kEvent, 1, {});
+      if (firstEvent) events->onTokens(attempt.id, kTokenEvent, 1, {});
     };
   }
   std::size_t count(routing::Phase phase) const {
@@ -105,9 +105,9 @@
     } catch (const Poco::Net::ConnectionResetException&) { wasReset = true; }
   }
   // Requests a small receive buffer, so that unread bytes stay buffered at the router.
-  void narrow() { socket_.setReceiveBufferSize(8 * 1024); }
+  void shrinkReceiveBuffer() { socket_.setReceiveBufferSize(8 * 1024); }
   // Receives at most `maxBytes` of the bytes that have arrived.
-  void receiveSome(int maxBytes) {
+  void receiveAtMost(int maxBytes) {
     std::string buffer(static_cast<std::size_t>(maxBytes), '\0');
     try {
       const int received = socket_.receiveBytes(buffer.data(), maxBytes);
@@ -130,7 +130,7 @@
   bool has(std::string_view part) const { return count(part) > 0; }
 
   // Number of streams received up to their final chunk.
-  std::size_t streams() const { return count("\r\n" + std::string(kLast)); }
+  std::size_t streams() const { return count("\r\n" + std::string(kFinalChunk)); }
 
   std::string got;
   bool ended = false;
--- a/tests/support/platform_peers.h
+++ b/tests/support/platform_peers.h
@@ -98,23 +98,24 @@
   net::Stream stream;
 };
 
-inline constexpr std::string_view kRead =
+inline constexpr std::string_view kPrefillResponse =
     "HTTP/1.1 202 Accepted\r\nContent-Type: application/json\r\nContent-Length: "
     "22\r\n\r\n{\"cached_tokens\":4096}";
-inline constexpr std::string_view kHead =
+inline constexpr std::string_view kStreamHead =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 inline std::string chunk(std::string_view text) {
   char size[16];
   std::snprintf(size, sizeof size, "%zx\r\n", text.size());
   return size + std::string(text) + "\r\n";
 }
-inline const std::string kEvent = "data: {\"choices\":[{\"index\":0}]}\n\n";
-inline const std::string kDone = "data: [DONE]\n\n";
-inline const std::string kLast = "0\r\n\r\n";
-inline const std::string kWhole = std::string(kHead) + chunk(kEvent) + chunk(kDone) + kLast;
+inline const std::string kTokenEvent = "data: {\"choices\":[{\"index\":0}]}\n\n";
+inline const std::string kDoneEvent = "data: [DONE]\n\n";
+inline const std::string kFinalChunk = "0\r\n\r\n";
+inline const std::string kCompleteStream =
+    std::string(kStreamHead) + chunk(kTokenEvent) + chunk(kDoneEvent) + kFinalChunk;
 
 // Answers control requests such as releases with 204. Returns false for prefill and decode requests.
-inline bool answerCalls(ScriptedEngine::Request& request) {
+inline bool answerControlRequest(ScriptedEngine::Request& request) {
   if (request.head.method == "POST") return false;
   request.stream->send("HTTP/1.1 204 No Content\r\n\r\n");
   return true;
