--- a/tests/support/frontend_world.h
+++ b/tests/support/frontend_world.h
@@ -67,7 +67,7 @@
   }
   std::size_t count(routing::Phase phase) const {
     return static_cast<std::size_t>(std::count_if(
-        begun.begin(), begun.end(), [&](const auto& attempt) { return attempt.phase == phase; }));
+        begun.begin(), begun.end(), [&](const auto& recorded) { return recorded.phase == phase; }));
   }
 
   routing::EngineClientEvents* events = nullptr;
@@ -83,7 +83,7 @@
 // A client on its own blocking socket; the test controls every step.
 class BlockingClient {
  public:
-  explicit BlockingClient(const Poco::Net::SocketAddress& address) : socket_(address) {
+  explicit BlockingClient(const Poco::Net::SocketAddress& routerAddress) : socket_(routerAddress) {
     socket_.setNoDelay(true);
     socket_.setReceiveTimeout(Poco::Timespan(0, 1000));
   }
--- a/tests/support/platform_peers.h
+++ b/tests/support/platform_peers.h
@@ -38,7 +38,7 @@
   std::size_t gone() const { return gone_; }
   std::size_t count(std::string_view method) const {
     return static_cast<std::size_t>(std::count_if(
-        seen.begin(), seen.end(), [&](const auto& request) { return request.head.method == method; }));
+        seen.begin(), seen.end(), [&](const auto& received) { return received.head.method == method; }));
   }
 
   Script script;
@@ -53,7 +53,7 @@
           stream(owner.loop_, std::move(socket), *this) {}
     void onBytes(std::string_view bytes) override { EXPECT_TRUE(parser.receive(bytes)); }
     void onClosed(net::CloseCause) override { ++engine.gone_; }
-    void onHead(const http1::Head& head) override { current = {head, {}, number, &stream}; }
+    void onHead(const http1::Head& requestHead) override { current = {requestHead, {}, number, &stream}; }
     void onBody(std::string_view bytes) override { current.body += bytes; }
     void onEnd() override {
       engine.seen.push_back(current);
@@ -74,8 +74,8 @@
 // A client connection that exposes the received bytes.
 class RawClient final : public net::StreamEvents {
  public:
-  RawClient(net::Loop& loop, const Poco::Net::SocketAddress& address)
-      : stream(loop, address, "", 1'000'000, *this) {}
+  RawClient(net::Loop& loop, const Poco::Net::SocketAddress& routerAddress)
+      : stream(loop, routerAddress, "", 1'000'000, *this) {}
   void onBytes(std::string_view bytes) override { got += bytes; }
   void onClosed(net::CloseCause) override { closed = true; }
   void ask(const std::string& id, const std::string& className = "chat", const std::string& extraHeaders = "",
@@ -115,9 +115,9 @@
     std::string(kStreamHead) + chunk(kTokenEvent) + chunk(kDoneEvent) + kFinalChunk;
 
 // Answers control requests such as releases with 204. Returns false for prefill and decode requests.
-inline bool answerControlRequest(ScriptedEngine::Request& request) {
-  if (request.head.method == "POST") return false;
-  request.stream->send("HTTP/1.1 204 No Content\r\n\r\n");
+inline bool answerControlRequest(ScriptedEngine::Request& received) {
+  if (received.head.method == "POST") return false;
+  received.stream->send("HTTP/1.1 204 No Content\r\n\r\n");
   return true;
 }
 
