--- a/bench/counting_path_bench.cpp
+++ b/bench/counting_path_bench.cpp
@@ -1,6 +1,6 @@
-// First tokens of short prompts on the whole path (client, router and stand-in engines in processes of their
-// own, sockets on loopback): alone, under a flood of prompts of 1 MB, and under the same flood with a router
-// that estimates.
+// Measures the time to first token of short prompts end to end (client, router and fake engines in separate
+// processes, connected over loopback): without other load and during a flood of 1 MB prompts, each with a
+// router that counts tokens and with one that estimates them.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -47,62 +47,64 @@
 }
 
 struct Call final : client::CallEvents {
-  Call(net::Loop& l, std::vector<double>* f) : loop(l), firsts(f), sentAt(l.now()) {}
+  Call(net::Loop& callLoop, std::vector<double>* latencies)
+      : loop(callLoop), firstTokenMs(latencies), sentAt(callLoop.now()) {}
   void onMessage(std::string_view) override {
-    if (firsts != nullptr && !std::exchange(first, true))
-      firsts->push_back(static_cast<double>(loop.now() - sentAt) / 1000);
+    if (firstTokenMs != nullptr && !std::exchange(receivedFirst, true))
+      firstTokenMs->push_back(static_cast<double>(loop.now() - sentAt) / 1000);
   }
-  void onStatus(const grpc::Status& s, const http2::Headers&, bool) override {
-    ok = s.code == grpc::Code::ok;
+  void onStatus(const grpc::Status& status, const http2::Headers&, bool) override {
+    ok = status.code == grpc::Code::ok;
   }
   net::Loop& loop;
-  std::vector<double>* firsts;
+  std::vector<double>* firstTokenMs;
   Micros sentAt;
-  bool first = false;
+  bool receivedFirst = false;
   bool ok = false;
 };
 
-std::string words(std::mt19937_64& random, std::size_t bytes) {
-  std::string out;
-  while (out.size() < bytes) {
-    out += ' ';
-    for (std::size_t n = 2 + random() % 9; n > 0; --n) out += static_cast<char>('a' + random() % 26);
+std::string randomWords(std::mt19937_64& random, std::size_t bytes) {
+  std::string text;
+  while (text.size() < bytes) {
+    text += ' ';
+    for (std::size_t letters = 2 + random() % 9; letters > 0; --letters)
+      text += static_cast<char>('a' + random() % 26);
   }
-  return out;
+  return text;
 }
 
 std::vector<double> run(std::uint16_t port, bool flood, std::size_t& served) {
   net::Loop loop;
   const Poco::Net::SocketAddress to("127.0.0.1", port);
-  client::Channel shorts(loop, to, {});
-  client::Channel longs(loop, to, {});
+  client::Channel shortChannel(loop, to, {});
+  client::Channel longChannel(loop, to, {});
   std::mt19937_64 random(3);
-  const std::string filling = words(random, 1'000'000);
-  std::vector<double> firsts;
+  const std::string longText = randomWords(random, 1'000'000);
+  std::vector<double> firstTokenMs;
   std::vector<std::unique_ptr<Call>> calls;
   const auto send = [&](client::Channel& channel, std::string prompt, std::vector<double>* times) {
-    v1::GenerateRequest r;
-    r.set_prompt(std::move(prompt));
-    r.set_max_output_tokens(2);
+    v1::GenerateRequest request;
+    request.set_prompt(std::move(prompt));
+    request.set_max_output_tokens(2);
     calls.push_back(std::make_unique<Call>(loop, times));
-    channel.call("/garnethook.v1.Generation/Generate", r.SerializeAsString(), 5'000'000, *calls.back());
+    channel.call("/garnethook.v1.Generation/Generate", request.SerializeAsString(), 5'000'000, *calls.back());
   };
-  int left = 800;
+  int remaining = 800;
   std::function<void()> next = [&] {
-    if (left-- == 0) {
+    if (remaining-- == 0) {
       loop.after(1'000'000, [&] { loop.stop(); });
       return;
     }
-    if (flood && left % 20 == 0) send(longs, std::to_string(left) + filling, nullptr);
-    send(shorts, words(random, 4000), &firsts);
+    if (flood && remaining % 20 == 0) send(longChannel, std::to_string(remaining) + longText, nullptr);
+    send(shortChannel, randomWords(random, 4000), &firstTokenMs);
     loop.after(5000, next);
   };
   loop.after(300'000, next);
   loop.run();
   served = static_cast<std::size_t>(
-      std::count_if(calls.begin(), calls.end(), [](const auto& c) { return c->ok; }));
-  std::sort(firsts.begin(), firsts.end());
-  return firsts;
+      std::count_if(calls.begin(), calls.end(), [](const auto& call) { return call->ok; }));
+  std::sort(firstTokenMs.begin(), firstTokenMs.end());
+  return firstTokenMs;
 }
 
 }  // namespace
@@ -113,8 +115,8 @@
   if (::mkdtemp(folder.data()) == nullptr) return 2;
   std::ofstream(folder + "/made.tiktoken") << fake_engine::generateRanks(1);
   const std::string list = folder + "/engines.json";
-  // These count a token for every four characters and take any time to read nothing: what is measured is the
-  // router.
+  // These engines assume one token per four characters and prefill in almost no time, so that the router
+  // dominates the measurement.
   const Child engines([&] {
     net::Loop loop;
     fake_engine::Recorder recorder([&] { return loop.now(); }, false);
@@ -154,15 +156,16 @@
     std::uint16_t port = 0;
     std::ifstream(portFile) >> port;
     std::size_t served = 0;
-    const auto t = run(port, flood, served);
-    if (t.empty()) return 1;
-    const auto at = [&](double q) {
-      return t[static_cast<std::size_t>(q * static_cast<double>(t.size() - 1))];
+    const auto latencies = run(port, flood, served);
+    if (latencies.empty()) return 1;
+    const auto latencyAt = [&](double quantile) {
+      return latencies[static_cast<std::size_t>(quantile * static_cast<double>(latencies.size() - 1))];
     };
-    if (!flood) quiet = at(0.99);
+    if (!flood) quiet = latencyAt(0.99);
     std::printf(
-        "%-18s %zu first tokens of 800, served in all %zu; p50 %.2f ms, p99 %.2f ms (x%.1f of quiet)\n", name,
-        t.size(), served, at(0.5), at(0.99), at(0.99) / quiet);
+        "%-18s %zu first tokens of 800, %zu requests served in total; p50 %.2f ms, p99 %.2f ms (x%.1f of "
+        "quiet)\n",
+        name, latencies.size(), served, latencyAt(0.5), latencyAt(0.99), latencyAt(0.99) / quiet);
     std::fflush(stdout);
   }
   std::filesystem::remove_all(folder);
--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -1,6 +1,6 @@
-// The whole path, in one run: the same closed-loop clients straight at stand-in engines, and through a
-// router. Three processes on loopback: stand-ins, router, clients. Prints streams and tokens a second,
-// first-token latencies, CPU and memory; asserts nothing. Engines are stand-ins with times near zero.
+// Measures the end-to-end path: the same closed-loop clients call fake engines directly and through a router.
+// Fake engines, router and clients run in three processes on loopback. Prints streams and tokens per second,
+// first-token latencies, CPU and memory; asserts nothing. The fake engines simulate durations near zero.
 #include <sys/resource.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -69,80 +69,84 @@
 };
 
 struct Figures {
-  std::vector<Micros> firsts;
+  std::vector<Micros> firstTokenTimes;
   std::uint64_t served = 0;
   std::uint64_t failed = 0;
   std::uint64_t tokens = 0;
   double seconds = 0;
-  double q(double p) {
-    if (firsts.empty()) return 0;
-    std::sort(firsts.begin(), firsts.end());
-    return static_cast<double>(firsts[static_cast<std::size_t>(p * static_cast<double>(firsts.size() - 1))]) /
+  double latencyMsAt(double quantile) {
+    if (firstTokenTimes.empty()) return 0;
+    std::sort(firstTokenTimes.begin(), firstTokenTimes.end());
+    return static_cast<double>(firstTokenTimes[static_cast<std::size_t>(
+               quantile * static_cast<double>(firstTokenTimes.size() - 1))]) /
            1000;
   }
 };
 
-std::string prompt(std::uint64_t n) { return std::string(2000, 'p') + " question " + std::to_string(n); }
+std::string prompt(std::uint64_t index) {
+  return std::string(2000, 'p') + " question " + std::to_string(index);
+}
 
-class ThroughRouter {
+class RouterClients {
  public:
-  ThroughRouter(net::Loop& loop, std::uint16_t port, std::uint64_t total, std::size_t atOnce, bool waitForEnd)
+  RouterClients(net::Loop& loop, std::uint16_t port, std::uint64_t total, std::size_t concurrency,
+                bool waitForEnd)
       : loop_(loop), total_(total), waitForEnd_(waitForEnd) {
-    for (std::size_t i = 0; i < std::max<std::size_t>(1, atOnce / 1000 + 3); ++i)
+    for (std::size_t i = 0; i < std::max<std::size_t>(1, concurrency / 1000 + 3); ++i)
       channels_.push_back(std::make_unique<client::Channel>(loop, Poco::Net::SocketAddress("127.0.0.1", port),
                                                             client::Channel::Options{}));
-    for (std::size_t i = 0; i < atOnce; ++i) calls_.push_back(std::make_unique<Call>(*this, i));
+    for (std::size_t i = 0; i < concurrency; ++i) calls_.push_back(std::make_unique<Call>(*this, i));
   }
   void start() {
     begin_ = loop_.now();
-    for (auto& c : calls_) c->next();
+    for (auto& call : calls_) call->next();
   }
-  // Opens them over time, as clients come: `perTurn` every 10 ms.
-  void startSlowly(std::size_t perTurn, std::size_t from = 0) {
-    for (std::size_t i = from; i < std::min(calls_.size(), from + perTurn); ++i) calls_[i]->next();
-    if (from + perTurn < calls_.size())
-      loop_.after(10'000, [=, this] { startSlowly(perTurn, from + perTurn); });
+  // Opens `perInterval` streams every 10 ms, to spread the arrivals.
+  void startGradually(std::size_t perInterval, std::size_t from = 0) {
+    for (std::size_t i = from; i < std::min(calls_.size(), from + perInterval); ++i) calls_[i]->next();
+    if (from + perInterval < calls_.size())
+      loop_.after(10'000, [=, this] { startGradually(perInterval, from + perInterval); });
   }
   Figures figures;
   std::size_t first = 0;
 
  private:
   struct Call final : client::CallEvents {
-    Call(ThroughRouter& o, std::size_t i) : owner(o), index(i) {}
+    Call(RouterClients& callOwner, std::size_t callIndex) : owner(callOwner), index(callIndex) {}
     void next() {
       if (owner.started_ >= owner.total_) return;
-      v1::GenerateRequest r;
-      r.set_prompt(prompt(owner.started_++));
-      r.set_max_output_tokens(32);
+      v1::GenerateRequest request;
+      request.set_prompt(prompt(owner.started_++));
+      request.set_max_output_tokens(32);
       sent = owner.loop_.now();
       waiting = true;
       owner.channels_[index % owner.channels_.size()]->call("/garnethook.v1.Generation/Generate",
-                                                            r.SerializeAsString(), 120'000'000, *this);
+                                                            request.SerializeAsString(), 120'000'000, *this);
     }
-    void onMessage(std::string_view m) override {
-      v1::GenerateEvent e;
-      e.ParseFromArray(m.data(), static_cast<int>(m.size()));
-      owner.figures.tokens += e.tokens().count();
+    void onMessage(std::string_view message) override {
+      v1::GenerateEvent event;
+      event.ParseFromArray(message.data(), static_cast<int>(message.size()));
+      owner.figures.tokens += event.tokens().count();
       if (!std::exchange(waiting, false)) return;
-      owner.figures.firsts.push_back(owner.loop_.now() - sent);
+      owner.figures.firstTokenTimes.push_back(owner.loop_.now() - sent);
       if (++owner.first == owner.total_ && !owner.waitForEnd_) owner.loop_.stop();
     }
-    void onStatus(const grpc::Status& s, const http2::Headers&, bool) override {
-      if (!owner.waitForEnd_) {  // refused while many come at once: again, as a client would
+    void onStatus(const grpc::Status& status, const http2::Headers&, bool) override {
+      if (!owner.waitForEnd_) {  // rejected during the burst of arrivals; retries as a client would
         --owner.started_;
         owner.loop_.after(300'000, [this] { next(); });
         return;
       }
-      ++(s.code == grpc::Code::ok ? owner.figures.served : owner.figures.failed);
-      if (s.code != grpc::Code::ok && owner.figures.failed < 3)
-        std::fprintf(stderr, "%s\n", s.message.c_str());
+      ++(status.code == grpc::Code::ok ? owner.figures.served : owner.figures.failed);
+      if (status.code != grpc::Code::ok && owner.figures.failed < 3)
+        std::fprintf(stderr, "%s\n", status.message.c_str());
       if (owner.figures.served + owner.figures.failed == owner.total_) {
         owner.figures.seconds = static_cast<double>(owner.loop_.now() - owner.begin_) / 1e6;
         return owner.loop_.stop();
       }
       next();
     }
-    ThroughRouter& owner;
+    RouterClients& owner;
     std::size_t index;
     Micros sent = 0;
     bool waiting = false;
@@ -156,18 +160,23 @@
   std::vector<std::unique_ptr<Call>> calls_;
 };
 
-// The same requests straight at the engines: read at one, written at another, in turn.
-class Straight final : public routing::EngineClientEvents {
+// Sends the same requests directly to the engines: prefill at one and decode at another, in rotation.
+class DirectClients final : public routing::EngineClientEvents {
  public:
-  Straight(net::Loop& loop, const membership::EndpointMap& engines, std::uint64_t total, std::size_t atOnce)
-      : loop_(loop), total_(total), atOnce_(atOnce), engines_(loop, {.connections = 50'000, .idle = 2'000}) {
+  DirectClients(net::Loop& loop, const membership::EndpointMap& engines, std::uint64_t total,
+                std::size_t concurrency)
+      : loop_(loop),
+        total_(total),
+        concurrency_(concurrency),
+        engines_(loop, {.connections = 50'000, .idle = 2'000}) {
     engines_.setEvents(*this);
     engines_.update(engines);
-    for (const auto& [name, e] : engines) (e.kind == "prefill" ? readers_ : writers_).push_back(e.id);
+    for (const auto& [name, endpoint] : engines)
+      (endpoint.kind == "prefill" ? prefillEngines_ : decodeEngines_).push_back(endpoint.id);
   }
   void start() {
     begin_ = loop_.now();
-    for (std::size_t i = 0; i < atOnce_; ++i) next();
+    for (std::size_t i = 0; i < concurrency_; ++i) next();
   }
   Figures figures;
 
@@ -181,33 +190,37 @@
   void next() {
     if (started_ >= total_) return;
     const RequestId id{++started_};
-    State& s = states_[id.value];
-    s.request.prompt = std::make_shared<const std::string>(prompt(started_));
-    s.request.maxOutput = 32;
-    s.sent = loop_.now();
-    engines_.begin(
-        {{id, 0}, readers_[started_ % readers_.size()], routing::Phase::prefill, &s.request, "straight", {}});
+    State& state = states_[id.value];
+    state.request.prompt = std::make_shared<const std::string>(prompt(started_));
+    state.request.maxOutput = 32;
+    state.sent = loop_.now();
+    engines_.begin({{id, 0},
+                    prefillEngines_[started_ % prefillEngines_.size()],
+                    routing::Phase::prefill,
+                    &state.request,
+                    "straight",
+                    {}});
   }
-  void onTokens(routing::AttemptId a, std::string_view, std::uint32_t count,
+  void onTokens(routing::AttemptId attempt, std::string_view, std::uint32_t count,
                 std::span<const std::uint32_t>) override {
-    State& s = states_[a.request.value];
+    State& state = states_[attempt.request.value];
     figures.tokens += count;
-    if (std::exchange(s.first, false)) figures.firsts.push_back(loop_.now() - s.sent);
+    if (std::exchange(state.first, false)) figures.firstTokenTimes.push_back(loop_.now() - state.sent);
   }
-  void onAttemptEnded(routing::AttemptId a, const routing::AttemptResult& r) override {
-    State& s = states_[a.request.value];
-    if (r.outcome == Outcome::prefillDone) {
-      s.kvTransferParams = r.kvTransferParams;
-      engines_.begin({{a.request, 1},
-                      writers_[a.request.value % writers_.size()],
+  void onAttemptEnded(routing::AttemptId attempt, const routing::AttemptResult& result) override {
+    State& state = states_[attempt.request.value];
+    if (result.outcome == Outcome::prefillDone) {
+      state.kvTransferParams = result.kvTransferParams;
+      engines_.begin({{attempt.request, 1},
+                      decodeEngines_[attempt.request.value % decodeEngines_.size()],
                       routing::Phase::decode,
-                      &s.request,
+                      &state.request,
                       "straight",
-                      s.kvTransferParams});
+                      state.kvTransferParams});
       return;
     }
-    ++(r.outcome == Outcome::completed ? figures.served : figures.failed);
-    states_.erase(a.request.value);
+    ++(result.outcome == Outcome::completed ? figures.served : figures.failed);
+    states_.erase(attempt.request.value);
     if (figures.served + figures.failed == total_) {
       figures.seconds = static_cast<double>(loop_.now() - begin_) / 1e6;
       return loop_.stop();
@@ -218,9 +231,9 @@
   void onReleaseEnded(EndpointId, RequestId, bool) override {}
   net::Loop& loop_;
   std::uint64_t total_;
-  std::size_t atOnce_;
+  std::size_t concurrency_;
   engine::HttpEngineClient engines_;
-  std::vector<EndpointId> readers_, writers_;
+  std::vector<EndpointId> prefillEngines_, decodeEngines_;
   std::map<std::uint64_t, State> states_;
   std::uint64_t started_ = 0;
   Micros begin_ = 0;
@@ -254,7 +267,7 @@
           loop, fake_engine::readFleet(config::Node(config::JsonFile::parse("fleet", kFleet)), "engines"),
           recorder);
       if (stalled)
-        for (const auto& e : fleet.engines()) e->faults.stallAfter = 1;
+        for (const auto& engine : fleet.engines()) engine->faults.stallAfter = 1;
       fleet.writeList(list, 0);
       loop.run();
     });
@@ -274,45 +287,50 @@
     std::uint16_t port = 0;
     std::ifstream(portFile) >> port;
     if (!stalled) {
-      for (const std::size_t atOnce : {1, 64, 512}) {
-        const std::uint64_t n = atOnce == 1 ? total / 20 : total;
-        net::Loop one;
+      for (const std::size_t concurrency : {1, 64, 512}) {
+        const std::uint64_t streams = concurrency == 1 ? total / 20 : total;
+        net::Loop directLoop;
         std::vector<membership::EndpointListError> errors;
-        Straight straight(one, membership::readEndpointList(config::JsonFile::load(list), {}, errors), n,
-                          atOnce);
-        straight.start();
-        one.run();
-        net::Loop two;
-        ThroughRouter through(two, port, n, atOnce, true);
+        DirectClients direct(directLoop,
+                             membership::readEndpointList(config::JsonFile::load(list), {}, errors), streams,
+                             concurrency);
+        direct.start();
+        directLoop.run();
+        net::Loop routerLoop;
+        RouterClients throughRouter(routerLoop, port, streams, concurrency, true);
         const double cpu = router.cpuSeconds();
-        through.start();
-        two.run();
-        Figures& s = straight.figures;
-        Figures& t = through.figures;
+        throughRouter.start();
+        routerLoop.run();
+        Figures& directFigures = direct.figures;
+        Figures& routerFigures = throughRouter.figures;
         std::printf(
-            "%3zu at once, %llu streams: straight %.0f streams/s %.0f tokens/s, router %.0f streams/s %.0f "
+            "%3zu concurrent, %llu streams: direct %.0f streams/s %.0f tokens/s, router %.0f streams/s %.0f "
             "tokens/s, ratio %.2f; "
-            "first token p50 %.2f -> %.2f ms, p99 %.2f -> %.2f ms; router CPU %.0f us a stream; failed %llu "
+            "first token p50 %.2f -> %.2f ms, p99 %.2f -> %.2f ms; router CPU %.0f us per stream; failed "
+            "%llu "
             "and %llu\n",
-            atOnce, static_cast<unsigned long long>(n), s.served / s.seconds, s.tokens / s.seconds,
-            t.served / t.seconds, t.tokens / t.seconds, t.served / t.seconds / (s.served / s.seconds),
-            s.q(0.5), t.q(0.5), s.q(0.99), t.q(0.99),
-            (router.cpuSeconds() - cpu) * 1e6 / static_cast<double>(n),
-            static_cast<unsigned long long>(s.failed), static_cast<unsigned long long>(t.failed));
+            concurrency, static_cast<unsigned long long>(streams),
+            directFigures.served / directFigures.seconds, directFigures.tokens / directFigures.seconds,
+            routerFigures.served / routerFigures.seconds, routerFigures.tokens / routerFigures.seconds,
+            routerFigures.served / routerFigures.seconds / (directFigures.served / directFigures.seconds),
+            directFigures.latencyMsAt(0.5), routerFigures.latencyMsAt(0.5), directFigures.latencyMsAt(0.99),
+            routerFigures.latencyMsAt(0.99), (router.cpuSeconds() - cpu) * 1e6 / static_cast<double>(streams),
+            static_cast<unsigned long long>(directFigures.failed),
+            static_cast<unsigned long long>(routerFigures.failed));
       }
     } else {
       net::Loop loop;
       const double before = router.megabytes();
-      ThroughRouter through(loop, port, idle, idle, false);
-      through.startSlowly(6);
+      RouterClients throughRouter(loop, port, idle, idle, false);
+      throughRouter.startGradually(6);
       loop.after(60'000'000, [&] { loop.stop(); });
       loop.run();
       std::printf(
-          "%zu idle streams open (first token came, then quiet): router memory %.1f -> %.1f MB, %.1f KB a "
+          "%zu idle streams open (stalled after the first token): router memory %.1f -> %.1f MB, %.1f KB per "
           "stream\n",
-          through.first, before, router.megabytes(),
+          throughRouter.first, before, router.megabytes(),
           (router.megabytes() - before) * 1024 /
-              static_cast<double>(std::max<std::size_t>(1, through.first)));
+              static_cast<double>(std::max<std::size_t>(1, throughRouter.first)));
     }
     std::fflush(stdout);
   }
