--- a/src/fake_engine/fleet.cpp
+++ b/src/fake_engine/fleet.cpp
@@ -28,7 +28,7 @@
     engineOptions.zone = node.text("zone", "");
     engineOptions.cell = node.text("cell", "");
     engineOptions.host = node.text("host", "127.0.0.1");
-    if (!engineOptions.host.starts_with("127.")) node.failAt("host", "a loopback address is wanted");
+    if (!engineOptions.host.starts_with("127.")) node.failAt("host", "must be a loopback address (127.*)");
     const auto port = node.integer("port", 0, 0, 65'535);
     engineOptions.prefillTokensPerSecond =
         node.number("read_tokens_per_s", engineOptions.prefillTokensPerSecond, 1, 1e9);
