--- a/tests/process/child_process.h
+++ b/tests/process/child_process.h
@@ -1,5 +1,5 @@
-// A program under test as a child process: started with an environment and limits of the test's choice, its
-// standard error kept in a file, ended and reaped by its id whatever befalls the test.
+// Runs the program under test as a child process with the environment and limits that the test chooses. Its
+// standard error goes to a file, and the process is killed and reaped by its id even if the test fails.
 #pragma once
 
 #include <fcntl.h>
@@ -24,13 +24,13 @@
 
 /// How a child process is started.
 struct ChildOptions {
-  std::vector<std::string> arguments;    ///< The program's path first.
-  std::vector<std::string> environment;  ///< `NAME=value`, in addition to what the test itself has.
-  std::string standardErrorFile;         ///< Takes the standard error.
-  rlim_t descriptors = 0;                ///< Limit of open descriptors; 0: the test's own.
+  std::vector<std::string> arguments;    ///< Starts with the program's path.
+  std::vector<std::string> environment;  ///< `NAME=value`, in addition to the test's own environment.
+  std::string standardErrorFile;         ///< Receives the standard error.
+  rlim_t descriptors = 0;                ///< Limit of open descriptors; 0 inherits the test's limit.
 };
 
-/// One child process. Its destructor kills it, if it still runs, and reaps it.
+/// Owns a child process. The destructor kills the process if it still runs, and reaps it.
 class ChildProcess {
  public:
   explicit ChildProcess(const ChildOptions& options) {
@@ -40,7 +40,7 @@
     const std::vector<char*> environmentPointers = pointers(environment);
     pid_ = ::fork();
     if (pid_ < 0) throw std::runtime_error("fork failed");
-    if (pid_ == 0) become(options, argumentPointers, environmentPointers);
+    if (pid_ == 0) execChild(options, argumentPointers, environmentPointers);
   }
   ~ChildProcess() {
     if (ended()) return;
@@ -50,73 +50,74 @@
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
-  /// Sends a signal, unless the process was reaped: its id may be another's then.
+  /// Sends a signal unless the process was reaped, since its id may have been reused by then.
   void signal(int number) {
     if (!reaped_) ::kill(pid_, number);
   }
-  /// Whether the process has ended; reaps it without waiting.
+  /// Returns whether the process has ended, and reaps it if so; does not block.
   bool ended() {
     if (!reaped_) reaped_ = ::waitpid(pid_, &status_, WNOHANG) == pid_;
     return reaped_;
   }
-  /// Whether a stop signal has taken effect.
+  /// Returns whether the process is stopped by a signal such as SIGSTOP.
   bool stopped() const {
     std::ifstream file("/proc/" + std::to_string(pid_) + "/stat");
     const std::string text{std::istreambuf_iterator<char>(file), {}};
     return text.find(") T ") != std::string::npos;
   }
-  /// The status with which it ended by itself; none while it runs, or where a signal ended it.
+  /// Returns the exit status; none while the process runs or if a signal terminated it.
   std::optional<int> exitStatus() const {
     if (!reaped_ || !WIFEXITED(status_)) return std::nullopt;
     return WEXITSTATUS(status_);
   }
 
-  /// The number behind `key` in what the system tells of it (proc(5), status); 0 where there is none.
+  /// Returns the number that follows `key` in /proc/PID/status (proc(5)); 0 if the key is absent.
   double status(const std::string& key) const {
     std::ifstream file("/proc/" + std::to_string(pid_) + "/status");
     for (std::string line; std::getline(file, line);)
       if (line.starts_with(key)) return std::atof(line.c_str() + key.size());
     return 0;
   }
-  /// Processor time that it has used, in seconds (proc(5), fields 14 and 15 of stat).
+  /// Returns the CPU time used by the process in seconds (proc(5), fields 14 and 15 of stat).
   double processorSeconds() const {
     std::ifstream file("/proc/" + std::to_string(pid_) + "/stat");
     const std::string text{std::istreambuf_iterator<char>(file), {}};
     std::istringstream fields(text.substr(text.rfind(')') + 1));
-    std::string skipped;
-    for (int i = 3; i < 14; ++i) fields >> skipped;
+    std::string skippedField;
+    for (int i = 3; i < 14; ++i) fields >> skippedField;
     double user = 0;
     double system = 0;
     fields >> user >> system;
     return (user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
   }
 
-  /// How many descriptors it has open.
+  /// Returns the number of open descriptors.
   std::size_t descriptors() const {
-    const std::filesystem::directory_iterator all("/proc/" + std::to_string(pid_) + "/fd");
-    return static_cast<std::size_t>(std::distance(begin(all), end(all)));
+    const std::filesystem::directory_iterator entries("/proc/" + std::to_string(pid_) + "/fd");
+    return static_cast<std::size_t>(std::distance(begin(entries), end(entries)));
   }
 
  private:
   static std::vector<char*> pointers(const std::vector<std::string>& texts) {
-    std::vector<char*> out;
-    for (const std::string& text : texts) out.push_back(const_cast<char*>(text.c_str()));
-    out.push_back(nullptr);
-    return out;
+    std::vector<char*> result;
+    for (const std::string& text : texts) result.push_back(const_cast<char*>(text.c_str()));
+    result.push_back(nullptr);
+    return result;
   }
-  // Runs in the child, where only calls are allowed that are safe in signal handlers.
-  [[noreturn]] static void become(const ChildOptions& options, const std::vector<char*>& arguments,
-                                  const std::vector<char*>& environment) {
-    constexpr int kNotStarted = 127;
-    constexpr mode_t kOwnersFile = 0600;
+  // Runs in the child after fork(), where only async-signal-safe calls are allowed.
+  [[noreturn]] static void execChild(const ChildOptions& options, const std::vector<char*>& arguments,
+                                     const std::vector<char*>& environment) {
+    constexpr int kStartFailedStatus = 127;
+    constexpr mode_t kOwnerReadWrite = 0600;
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    const int file = ::open(options.standardErrorFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, kOwnersFile);
-    if (file < 0 || ::dup2(file, STDERR_FILENO) < 0) ::_exit(kNotStarted);
+    const int file =
+        ::open(options.standardErrorFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, kOwnerReadWrite);
+    if (file < 0 || ::dup2(file, STDERR_FILENO) < 0) ::_exit(kStartFailedStatus);
     ::close_range(STDERR_FILENO + 1, ~0u, 0);
     const rlimit limit{options.descriptors, options.descriptors};
-    if (options.descriptors > 0 && ::setrlimit(RLIMIT_NOFILE, &limit) != 0) ::_exit(kNotStarted);
+    if (options.descriptors > 0 && ::setrlimit(RLIMIT_NOFILE, &limit) != 0) ::_exit(kStartFailedStatus);
     ::execve(arguments.front(), arguments.data(), environment.data());
-    ::_exit(kNotStarted);
+    ::_exit(kStartFailedStatus);
   }
 
   pid_t pid_ = -1;
--- a/tests/process/process_test.cpp
+++ b/tests/process/process_test.cpp
@@ -1,25 +1,25 @@
-// The program itself and its signals: `garnethook run` as a child process, raw clients, scripted engines and
-// discovery on loopback. Each test forces the crossing that it names.
+// Tests `garnethook run` and its signal handling as a child process, with raw clients, scripted engines and
+// discovery on loopback. Each test forces the race that it names.
 #include <Poco/Net/StreamSocket.h>
 
 #include <array>
 #include <deque>
 #include <iostream>
 
-#include "process_world.h"
+#include "process_harness.h"
 
 namespace garnethook::test {
 namespace {
 
 using Request = ScriptedEngine::Request;
 
-// From the word that an engine drains until nothing new may go to it.
+// Time after an engine is reported as draining within which it may still receive new requests.
 constexpr net::Micros kDrainGrace = 300 * kMillisecond;
-// Where no time is asked of the program, it hangs after this.
+// Limit for steps without a required time; a program that exceeds it counts as hung.
 constexpr net::Micros kHangTimeout = 10 * kSecond;
-// A change counts as told so long after discovery had it and could be reached.
+// Limit for the delivery of a change, from when discovery has it and is reachable.
 constexpr net::Micros kChangeDeliveryTimeout = 6 * kSecond;
-// From its start until the program has to serve. The operators' own bound is 10 s.
+// Limit from the start of the program until it serves requests. The operators' limit is 10 s.
 #ifdef __SANITIZE_ADDRESS__
 constexpr net::Micros kStartTimeout = 5 * kSecond;
 #else
@@ -27,98 +27,102 @@
 #endif
 
 struct ProgramTest : testing::Test {
-  // Has the writer begin the next stream with one event and hold the rest back.
+  // Makes the decode engine send one event of the next stream and hold back the rest.
   void stallStreams() {
-    world.writer.script = [this](Request& request) {
+    harness.decodeEngine.script = [this](Request& request) {
       if (answerCalls(request)) return;
       stalledStream = request.stream;
       request.stream->send(std::string(kHead) + chunk(kEvent));
     };
   }
-  // A client whose stream has begun and is held back by the writer.
+  // Returns a client whose stream has started and is held back by the decode engine.
   std::unique_ptr<RawClient> openStream(const std::string& id) {
     stallStreams();
-    auto streaming = world.client();
-    streaming->ask(id);
-    EXPECT_TRUE(world.until([&] { return streaming->has(kEvent); }, 3 * kSecond)) << streaming->got;
-    return streaming;
+    auto streamingClient = harness.client();
+    streamingClient->ask(id);
+    EXPECT_TRUE(harness.until([&] { return streamingClient->has(kEvent); }, 3 * kSecond))
+        << streamingClient->got;
+    return streamingClient;
   }
-  // Has the writer end the held stream; its client has to get the whole of it.
-  void expectWholeStream(RawClient& streaming) {
+  // Completes the stalled stream and expects the client to receive all of it.
+  void expectWholeStream(RawClient& streamingClient) {
     ASSERT_NE(stalledStream, nullptr);
     stalledStream->send(chunk(kEvent) + chunk(kDone) + kLast);
-    EXPECT_TRUE(world.until([&] { return streaming.has(kLast); }, 2 * kSecond)) << streaming.got;
-    EXPECT_EQ(streaming.count("HTTP/1.1 "), 1u);
-    EXPECT_EQ(streaming.count(kEvent), 2u);
-    EXPECT_EQ(streaming.count(kDone), 1u);
-    EXPECT_TRUE(streaming.got.ends_with(kLast)) << streaming.got;
+    EXPECT_TRUE(harness.until([&] { return streamingClient.has(kLast); }, 2 * kSecond))
+        << streamingClient.got;
+    EXPECT_EQ(streamingClient.count("HTTP/1.1 "), 1u);
+    EXPECT_EQ(streamingClient.count(kEvent), 2u);
+    EXPECT_EQ(streamingClient.count(kDone), 1u);
+    EXPECT_TRUE(streamingClient.got.ends_with(kLast)) << streamingClient.got;
   }
-  // Waits until the program takes no connection any more.
+  // Waits until the program accepts no more connections.
   bool waitUntilRefused() {
-    const std::string address = world.address();
-    std::unique_ptr<RawClient> knocking;
-    return world.until(
+    const std::string address = harness.address();
+    std::unique_ptr<RawClient> probe;
+    return harness.until(
         [&] {
-          if (knocking && knocking->closed && knocking->got.empty()) return true;
-          if (knocking && !knocking->closed) return false;
-          knocking = world.clientOf(address);
-          knocking->stream.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+          if (probe && probe->closed && probe->got.empty()) return true;
+          if (probe && !probe->closed) return false;
+          probe = harness.connectTo(address);
+          probe->stream.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
           return false;
         },
         2 * kSecond);
   }
 
-  ProcessWorld world;
+  ProcessHarness harness;
   net::Stream* stalledStream = nullptr;
 };
 
 // ---- SIGTERM ----
 
 TEST_F(ProgramTest, FinishesAnOpenStreamAfterTermination) {
-  ASSERT_NO_FATAL_FAILURE(world.start());
-  const auto streaming = openStream("s1");
-  world.program->signal(SIGTERM);
+  ASSERT_NO_FATAL_FAILURE(harness.start());
+  const auto streamingClient = openStream("s1");
+  harness.program->signal(SIGTERM);
   ASSERT_TRUE(waitUntilRefused());
-  EXPECT_FALSE(world.program->ended());
-  expectWholeStream(*streaming);
-  EXPECT_TRUE(world.until([&] { return streaming->closed; }, 1 * kSecond));
-  world.expectGracefulExit();
+  EXPECT_FALSE(harness.program->ended());
+  expectWholeStream(*streamingClient);
+  EXPECT_TRUE(harness.until([&] { return streamingClient->closed; }, 1 * kSecond));
+  harness.expectGracefulExit();
 }
 
 TEST_F(ProgramTest, AnswersARequestAtAHungEngineAfterTermination) {
   constexpr int kExpiresInMs = 1500;
   constexpr net::Micros kSlack = 500 * kMillisecond;
-  world.writer.script = [](Request& request) { answerCalls(request); };
-  ASSERT_NO_FATAL_FAILURE(world.start());
-  const auto idempotent = world.client();
-  const auto nonIdempotent = world.client();
+  harness.decodeEngine.script = [](Request& request) { answerCalls(request); };
+  ASSERT_NO_FATAL_FAILURE(harness.start());
+  const auto idempotent = harness.client();
+  const auto nonIdempotent = harness.client();
   idempotent->expiresInMs = nonIdempotent->expiresInMs = kExpiresInMs;
-  const net::Micros due = world.loop.now() + kExpiresInMs * kMillisecond + kSlack;
+  const net::Micros deadline = harness.loop.now() + kExpiresInMs * kMillisecond + kSlack;
   idempotent->ask("h1", "chat");
   nonIdempotent->ask("h2", "order");
-  ASSERT_TRUE(world.until([&] { return world.writer.count("POST") >= 2; }, 1 * kSecond));
-  world.program->signal(SIGTERM);
-  const auto answered = [](const RawClient& c) { return c.has("HTTP/1.1 ") && c.has("\r\n\r\n"); };
-  EXPECT_TRUE(
-      world.until([&] { return answered(*idempotent) && answered(*nonIdempotent); }, due - world.loop.now()))
+  ASSERT_TRUE(harness.until([&] { return harness.decodeEngine.count("POST") >= 2; }, 1 * kSecond));
+  harness.program->signal(SIGTERM);
+  const auto answered = [](const RawClient& rawClient) {
+    return rawClient.has("HTTP/1.1 ") && rawClient.has("\r\n\r\n");
+  };
+  EXPECT_TRUE(harness.until([&] { return answered(*idempotent) && answered(*nonIdempotent); },
+                            deadline - harness.loop.now()))
       << idempotent->got << nonIdempotent->got;
-  for (const RawClient* c : {idempotent.get(), nonIdempotent.get()}) {
-    EXPECT_EQ(c->count("HTTP/1.1 "), 1u);
-    EXPECT_TRUE(c->has("HTTP/1.1 5") || c->has("HTTP/1.1 429")) << c->got;
+  for (const RawClient* rawClient : {idempotent.get(), nonIdempotent.get()}) {
+    EXPECT_EQ(rawClient->count("HTTP/1.1 "), 1u);
+    EXPECT_TRUE(rawClient->has("HTTP/1.1 5") || rawClient->has("HTTP/1.1 429")) << rawClient->got;
   }
   EXPECT_TRUE(nonIdempotent->has("HTTP/1.1 50")) << nonIdempotent->got;
-  EXPECT_TRUE(world.until([&] { return idempotent->closed && nonIdempotent->closed; }, 1 * kSecond));
-  world.expectGracefulExit();
+  EXPECT_TRUE(harness.until([&] { return idempotent->closed && nonIdempotent->closed; }, 1 * kSecond));
+  harness.expectGracefulExit();
 }
 
-// Adds what comes to its connection's end; throws where that is a reset, or takes too long.
+// Appends received bytes to `got` until the end of the connection; throws on a reset or a timeout.
 void readToEnd(Poco::Net::StreamSocket& socket, std::string& got) {
-  std::array<char, 4096> piece{};
-  while (const int count = socket.receiveBytes(piece.data(), static_cast<int>(piece.size())))
-    got.append(piece.data(), static_cast<std::size_t>(count));
+  std::array<char, 4096> buffer{};
+  while (const int count = socket.receiveBytes(buffer.data(), static_cast<int>(buffer.size())))
+    got.append(buffer.data(), static_cast<std::size_t>(count));
 }
 
-// One that asks at a time of its own around the signal.
+// A client whose request is sent at a chosen time around the signal.
 struct TimedRequest {
   std::string id;
   std::unique_ptr<RawClient> client;
@@ -131,37 +135,39 @@
     client->ask(id);
   }
   bool served() const { return client->got.size() > bytesBefore && client->got.ends_with(kLast); }
-  // A refusal, whole: its text ends in a line feed alone.
-  bool refused() const { return refusedWith("503"); }
-  bool tooMany() const { return refusedWith("429"); }
-  bool refusedWith(const std::string& status) const {
+  // Whether a complete rejection was received; its body ends in a bare line feed.
+  bool rejectedAsUnavailable() const { return rejectedWith("503"); }
+  bool rejectedForLoad() const { return rejectedWith("429"); }
+  bool rejectedWith(const std::string& status) const {
     const std::string& got = client->got;
     const bool whole = got.ends_with("\n") && !got.ends_with("\r\n");
     return whole && got.find("HTTP/1.1 " + status, bytesBefore) != std::string::npos;
   }
-  bool answered() const { return served() || refused() || tooMany(); }
+  bool answered() const { return served() || rejectedAsUnavailable() || rejectedForLoad(); }
   bool settled() const { return !isSent || client->closed || answered(); }
 };
 
-struct RestingConnections : ProgramTest {
-  // Connections that each have had an answer; one after the other, so that none is refused as one too many.
+struct IdleConnections : ProgramTest {
+  // Opens connections that have each received one response. They are opened one after another, so that none
+  // is rejected for too many requests.
   void open(std::size_t count) {
     timedRequests.resize(count);
     for (std::size_t i = 0; i < count; ++i) {
       TimedRequest& timedRequest = timedRequests[i];
-      timedRequest.client = world.client();
+      timedRequest.client = harness.client();
       timedRequest.client->ask("first" + std::to_string(i));
-      ASSERT_TRUE(world.until([&] { return timedRequest.served(); }, 3 * kSecond))
+      ASSERT_TRUE(harness.until([&] { return timedRequest.served(); }, 3 * kSecond))
           << timedRequest.client->got;
       timedRequest.id = "again" + std::to_string(i);
       timedRequest.bytesBefore = timedRequest.client->got.size();
     }
   }
-  // Each request gets its whole answer, or its connection ends with nothing said and nothing sent on.
+  // Expects that each request gets a complete response, or that its connection ends without a response and
+  // without the request reaching an engine.
   void expectAnsweredOrIgnored() {
     const auto settled = [](const TimedRequest& timedRequest) { return timedRequest.settled(); };
-    EXPECT_TRUE(world.until([&] { return std::all_of(timedRequests.begin(), timedRequests.end(), settled); },
-                            4 * kSecond));
+    EXPECT_TRUE(harness.until(
+        [&] { return std::all_of(timedRequests.begin(), timedRequests.end(), settled); }, 4 * kSecond));
     for (const TimedRequest& timedRequest : timedRequests) {
       const std::size_t answers = timedRequest.client->count("HTTP/1.1 ") - 1;
       if (timedRequest.isSent && timedRequest.answered()) {
@@ -170,10 +176,10 @@
         continue;
       }
       EXPECT_EQ(timedRequest.client->got.size(), timedRequest.bytesBefore) << timedRequest.client->got;
-      EXPECT_FALSE(world.seenAtEngines(timedRequest.id)) << timedRequest.id;
+      EXPECT_FALSE(harness.reachedAnEngine(timedRequest.id)) << timedRequest.id;
       if (timedRequest.isSent) ++unread;
     }
-    std::cout << "answered " << answered << ", ended unread " << unread << ", had not asked "
+    std::cout << "answered " << answered << ", closed unread " << unread << ", not sent "
               << timedRequests.size() - answered - unread << "\n";
   }
 
@@ -182,51 +188,54 @@
   std::size_t unread = 0;
 };
 
-TEST_F(RestingConnections, AnswersOrIgnoresEachRequestSentAroundTermination) {
+TEST_F(IdleConnections, AnswersOrIgnoresEachRequestSentAroundTermination) {
   constexpr std::size_t kConnections = 24;
-  constexpr net::Micros kStep = 2 * kMillisecond;  // from one request to the next
-  constexpr net::Micros kSignalAt = 4 * kStep;
-  ASSERT_NO_FATAL_FAILURE(world.start());
+  constexpr net::Micros kRequestInterval = 2 * kMillisecond;
+  constexpr net::Micros kSignalAt = 4 * kRequestInterval;
+  ASSERT_NO_FATAL_FAILURE(harness.start());
   ASSERT_NO_FATAL_FAILURE(open(kConnections));
-  world.loop.after(kSignalAt, [&] { world.program->signal(SIGTERM); });
+  harness.loop.after(kSignalAt, [&] { harness.program->signal(SIGTERM); });
   for (std::size_t i = 0; i < kConnections; ++i)
-    world.loop.after(static_cast<net::Micros>(i) * kStep,
-                     [&timedRequest = timedRequests[i]] { timedRequest.ask(); });
-  const net::Micros lastSentAt = world.loop.now() + static_cast<net::Micros>(kConnections) * kStep;
-  ASSERT_TRUE(
-      world.until([&] { return world.loop.now() > lastSentAt && world.linesWith(R"("draining")") == 1; }));
+    harness.loop.after(static_cast<net::Micros>(i) * kRequestInterval,
+                       [&timedRequest = timedRequests[i]] { timedRequest.ask(); });
+  const net::Micros lastSentAt =
+      harness.loop.now() + static_cast<net::Micros>(kConnections) * kRequestInterval;
+  ASSERT_TRUE(harness.until(
+      [&] { return harness.loop.now() > lastSentAt && harness.linesWith(R"("draining")") == 1; }));
   expectAnsweredOrIgnored();
-  world.expectGracefulExit();
+  harness.expectGracefulExit();
 }
 
-// The process stands still while both the requests and the signal come, so that it meets them in one turn.
-TEST_F(RestingConnections, AnswersOrIgnoresEachRequestSentInTheInstantOfTermination) {
+// The process is stopped while the requests and the signal arrive, so that it handles them in one iteration
+// of its event loop.
+TEST_F(IdleConnections, AnswersOrIgnoresEachRequestSentAtTheMomentOfTermination) {
   constexpr std::size_t kConnections = 24;
-  ASSERT_NO_FATAL_FAILURE(world.start());
+  ASSERT_NO_FATAL_FAILURE(harness.start());
   ASSERT_NO_FATAL_FAILURE(open(kConnections));
-  world.program->signal(SIGSTOP);
-  ASSERT_TRUE(world.until([&] { return world.program->stopped(); }, 1 * kSecond));
+  harness.program->signal(SIGSTOP);
+  ASSERT_TRUE(harness.until([&] { return harness.program->stopped(); }, 1 * kSecond));
   for (std::size_t i = 0; i < kConnections; i += 3) timedRequests[i].ask();
-  world.program->signal(SIGTERM);
+  harness.program->signal(SIGTERM);
   for (std::size_t i = 1; i < kConnections; i += 3) timedRequests[i].ask();
-  world.program->signal(SIGCONT);
-  ASSERT_TRUE(world.until([&] { return world.linesWith(R"("draining")") == 1; }, 2 * kSecond));
+  harness.program->signal(SIGCONT);
+  ASSERT_TRUE(harness.until([&] { return harness.linesWith(R"("draining")") == 1; }, 2 * kSecond));
   expectAnsweredOrIgnored();
-  world.expectGracefulExit();
+  harness.expectGracefulExit();
 }
 
-// Its client writes on although the end of the connection has come: it reads that end, not a reset.
-TEST_F(RestingConnections, IgnoresARequestSentAfterTheEndOfItsConnection) {
+// The client sends a request after the server has closed its side: it must read the end of the stream, not a
+// reset.
+TEST_F(IdleConnections, IgnoresARequestSentAfterTheEndOfItsConnection) {
   const std::string late =
       "POST /v1/chat/completions HTTP/1.1\r\nX-Trace-Id: late\r\nX-Qos: chat\r\nX-Expires-In-Ms: "
       "3000\r\nContent-Length: 2\r\n\r\n{}";
-  ASSERT_NO_FATAL_FAILURE(world.start());
-  Poco::Net::StreamSocket client{Poco::Net::SocketAddress(world.address())};
+  ASSERT_NO_FATAL_FAILURE(harness.start());
+  Poco::Net::StreamSocket client{Poco::Net::SocketAddress(harness.address())};
   const std::string first = "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n";
   client.sendBytes(first.data(), static_cast<int>(first.size()));
-  ASSERT_TRUE(world.until([&] { return client.available() > 0; }, 1 * kSecond));
-  world.program->signal(SIGTERM);
-  ASSERT_TRUE(world.until([&] { return world.linesWith(R"("draining")") == 1; }, 2 * kSecond));
+  ASSERT_TRUE(harness.until([&] { return client.available() > 0; }, 1 * kSecond));
+  harness.program->signal(SIGTERM);
+  ASSERT_TRUE(harness.until([&] { return harness.linesWith(R"("draining")") == 1; }, 2 * kSecond));
   std::string got;
   client.setReceiveTimeout(Poco::Timespan(2, 0));
   ASSERT_NO_THROW(readToEnd(client, got)) << got;
@@ -235,54 +244,55 @@
   EXPECT_NO_THROW(readToEnd(client, got));
   EXPECT_TRUE(got.ends_with("ready\n")) << got;
   client.close();
-  world.expectGracefulExit();
-  EXPECT_FALSE(world.seenAtEngines("late"));
+  harness.expectGracefulExit();
+  EXPECT_FALSE(harness.reachedAnEngine("late"));
 }
 
-TEST_F(ProgramTest, ServesNewConnectionsForAWhileAfterTermination) {
-  constexpr std::size_t kNewcomers = 7;
-  constexpr net::Micros kApart = 50 * kMillisecond;  // the last 0.3 s after the signal
-  ASSERT_NO_FATAL_FAILURE(world.start());
-  const std::string address = world.address();
-  std::vector<TimedRequest> newcomers(kNewcomers);
-  world.program->signal(SIGTERM);
-  for (std::size_t i = 0; i < kNewcomers; ++i) {
-    TimedRequest& timedRequest = newcomers[i];
+TEST_F(ProgramTest, ServesNewConnectionsForAShortTimeAfterTermination) {
+  constexpr std::size_t kNewClients = 7;
+  constexpr net::Micros kConnectInterval =
+      50 * kMillisecond;  // the last client connects 0.3 s after the signal
+  ASSERT_NO_FATAL_FAILURE(harness.start());
+  const std::string address = harness.address();
+  std::vector<TimedRequest> newClients(kNewClients);
+  harness.program->signal(SIGTERM);
+  for (std::size_t i = 0; i < kNewClients; ++i) {
+    TimedRequest& timedRequest = newClients[i];
     timedRequest.id = "new" + std::to_string(i);
-    world.loop.after(static_cast<net::Micros>(i) * kApart, [&timedRequest, &address, this] {
-      timedRequest.client = world.clientOf(address);
+    harness.loop.after(static_cast<net::Micros>(i) * kConnectInterval, [&timedRequest, &address, this] {
+      timedRequest.client = harness.connectTo(address);
       timedRequest.ask();
     });
   }
-  EXPECT_TRUE(world.until(
+  EXPECT_TRUE(harness.until(
       [&] {
-        return std::all_of(newcomers.begin(), newcomers.end(),
-                           [](auto& a) { return a.client && a.isSent && a.settled(); });
+        return std::all_of(newClients.begin(), newClients.end(),
+                           [](auto& timed) { return timed.client && timed.isSent && timed.settled(); });
       },
       4 * kSecond));
-  for (const TimedRequest& timedRequest : newcomers) {
+  for (const TimedRequest& timedRequest : newClients) {
     ASSERT_TRUE(timedRequest.client);
-    EXPECT_TRUE(timedRequest.served() || timedRequest.refused())
+    EXPECT_TRUE(timedRequest.served() || timedRequest.rejectedAsUnavailable())
         << timedRequest.id << ": " << timedRequest.client->got;
     EXPECT_EQ(timedRequest.client->count("HTTP/1.1 "), 1u);
   }
-  world.expectGracefulExit();
+  harness.expectGracefulExit();
 }
 
 struct SignalOrder : ProgramTest, testing::WithParamInterface<std::vector<int>> {};
 
 TEST_P(SignalOrder, ExitsOnceAndFinishesTheOpenStream) {
-  ASSERT_NO_FATAL_FAILURE(world.start());
-  ScriptedDiscovery second(world.loop);
-  second.list = listText(2, false, memberText("w2", world.otherWriter, "m2"));
-  const auto streaming = openStream("s1");
-  world.writeConfig(platformConfigText(second.address()));
-  for (const int signal : GetParam()) world.program->signal(signal);
+  ASSERT_NO_FATAL_FAILURE(harness.start());
+  ScriptedDiscovery secondDiscovery(harness.loop);
+  secondDiscovery.list = listText(2, false, memberText("w2", harness.otherDecodeEngine, "m2"));
+  const auto streamingClient = openStream("s1");
+  harness.writeConfig(platformConfigText(secondDiscovery.address()));
+  for (const int signal : GetParam()) harness.program->signal(signal);
   ASSERT_TRUE(waitUntilRefused());
-  EXPECT_FALSE(world.program->ended());
-  world.program->signal(GetParam().back());  // once more, long after the first ones
-  expectWholeStream(*streaming);
-  world.expectGracefulExit();
+  EXPECT_FALSE(harness.program->ended());
+  harness.program->signal(GetParam().back());  // once more, long after the first signals
+  expectWholeStream(*streamingClient);
+  harness.expectGracefulExit();
 }
 
 INSTANTIATE_TEST_SUITE_P(Orders, SignalOrder,
@@ -291,249 +301,254 @@
                                          std::vector{SIGHUP, SIGTERM, SIGHUP, SIGTERM}));
 
 TEST_F(ProgramTest, ExitsWhenTerminatedRightAfterItIsReady) {
-  ASSERT_NO_FATAL_FAILURE(world.start());
-  world.program->signal(SIGTERM);
-  world.expectGracefulExit();
+  ASSERT_NO_FATAL_FAILURE(harness.start());
+  harness.program->signal(SIGTERM);
+  harness.expectGracefulExit();
 }
 
 TEST_F(ProgramTest, ServesConnectionsWithoutARequestAfterTermination) {
   constexpr net::Micros kSentAfter = 100 * kMillisecond;
-  ASSERT_NO_FATAL_FAILURE(world.start());
-  const auto silent = world.client();
-  const auto late = world.client();
+  ASSERT_NO_FATAL_FAILURE(harness.start());
+  const auto silent = harness.client();
+  const auto late = harness.client();
   ASSERT_TRUE(
-      world.until([&] { return silent->stream.connected() && late->stream.connected(); }, 1 * kSecond));
-  world.program->signal(SIGTERM);
-  world.loop.after(kSentAfter, [&] { late->ask("late"); });
-  EXPECT_TRUE(world.until([&] { return late->has(kLast); }, 2 * kSecond)) << late->got;
-  EXPECT_TRUE(world.until([&] { return silent->closed && late->closed; }, 2 * kSecond));
+      harness.until([&] { return silent->stream.connected() && late->stream.connected(); }, 1 * kSecond));
+  harness.program->signal(SIGTERM);
+  harness.loop.after(kSentAfter, [&] { late->ask("late"); });
+  EXPECT_TRUE(harness.until([&] { return late->has(kLast); }, 2 * kSecond)) << late->got;
+  EXPECT_TRUE(harness.until([&] { return silent->closed && late->closed; }, 2 * kSecond));
   EXPECT_EQ(silent->got, "");
-  world.expectGracefulExit();
+  harness.expectGracefulExit();
 }
 
 TEST_F(ProgramTest, IsNotReadyAfterTermination) {
-  ASSERT_NO_FATAL_FAILURE(world.start());
-  const std::string address = world.address();
-  const auto streaming = openStream("s1");
-  world.program->signal(SIGTERM);
-  ASSERT_TRUE(world.until([&] { return world.linesWith(R"("draining")") == 1; }, kHangTimeout));
-  const auto requester = world.clientOf(address);
+  ASSERT_NO_FATAL_FAILURE(harness.start());
+  const std::string address = harness.address();
+  const auto streamingClient = openStream("s1");
+  harness.program->signal(SIGTERM);
+  ASSERT_TRUE(harness.until([&] { return harness.linesWith(R"("draining")") == 1; }, kHangTimeout));
+  const auto requester = harness.connectTo(address);
   requester->stream.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-  EXPECT_TRUE(world.until([&] { return requester->has("HTTP/1.1 503"); }, 500 * kMillisecond))
+  EXPECT_TRUE(harness.until([&] { return requester->has("HTTP/1.1 503"); }, 500 * kMillisecond))
       << requester->got;
-  expectWholeStream(*streaming);
-  world.expectGracefulExit();
+  expectWholeStream(*streamingClient);
+  harness.expectGracefulExit();
 }
 
-// ---- bad input ----
+// ---- invalid requests ----
 
-TEST_F(ProgramTest, LogsBadRequestsOnceForEachCause) {
-  constexpr int kOfEach = 20;
+TEST_F(ProgramTest, LogsInvalidRequestsOncePerCause) {
+  constexpr int kRequestsPerCause = 20;
   const std::string head = "POST /v1/chat/completions HTTP/1.1\r\nX-Trace-Id: x\r\nX-Expires-In-Ms: 1000\r\n";
-  const std::array<std::string, 4> bad{
+  const std::array<std::string, 4> invalidRequests{
       "\x01\x02\r\n\r\n", head + "X-Qos: none\r\nContent-Length: 2\r\n\r\n{}",
       head + "X-Qos: chat\r\nContent-Length: 3\r\n\r\n{,}", "GET / HTTP/1.1\r\n\r\n"};
-  ASSERT_NO_FATAL_FAILURE(world.start());
-  for (int i = 0; i < kOfEach; ++i) {
-    for (const std::string& text : bad) {
-      const auto client = world.client();
+  ASSERT_NO_FATAL_FAILURE(harness.start());
+  for (int i = 0; i < kRequestsPerCause; ++i) {
+    for (const std::string& text : invalidRequests) {
+      const auto client = harness.client();
       client->stream.send(text);
-      ASSERT_TRUE(world.until([&] { return client->closed; }, kHangTimeout));
+      ASSERT_TRUE(harness.until([&] { return client->closed; }, kHangTimeout));
       EXPECT_TRUE(client->has("HTTP/1.1 4")) << client->got;
     }
   }
-  ASSERT_TRUE(
-      world.until([&] { return world.linesWith(R"("event":"rejected")") >= bad.size(); }, kHangTimeout));
+  ASSERT_TRUE(harness.until(
+      [&] { return harness.linesWith(R"("event":"rejected")") >= invalidRequests.size(); }, kHangTimeout));
   for (const char* cause : {"malformed", "X-Qos: no such class", "no JSON object", "no such resource"}) {
-    EXPECT_GE(world.linesWith(R"("event":"rejected")", cause), 1u) << world.standardError();
-    EXPECT_LE(world.linesWith(R"("event":"rejected")", cause), 1 + world.linesWith(R"("event":"status")"))
-        << world.standardError();
+    EXPECT_GE(harness.linesWith(R"("event":"rejected")", cause), 1u) << harness.standardError();
+    EXPECT_LE(harness.linesWith(R"("event":"rejected")", cause), 1 + harness.linesWith(R"("event":"status")"))
+        << harness.standardError();
   }
-  EXPECT_TRUE(world.isServed("good"));
+  EXPECT_TRUE(harness.requestSucceeds("good"));
 }
 
 TEST_F(ProgramTest, UsesDefaultTimeoutsWhereTheSettingsHaveNone) {
-  std::string text = platformConfigText(world.discovery.address());
+  std::string text = platformConfigText(harness.discovery.address());
   for (const std::string& key :
        {std::string(R"(,"dialTimeoutMs":250.0)"), std::string(R"("releaseWithinMs":500.0,)")}) {
-    const auto at = text.find(key);
-    ASSERT_NE(at, std::string::npos) << key;
-    text.erase(at, key.size());
+    const auto position = text.find(key);
+    ASSERT_NE(position, std::string::npos) << key;
+    text.erase(position, key.size());
   }
-  world.writeConfig(text);
-  ASSERT_NO_FATAL_FAILURE(world.start());
-  for (int i = 0; i < 3; ++i) EXPECT_TRUE(world.isServed("r" + std::to_string(i), 2 * kSecond));
+  harness.writeConfig(text);
+  ASSERT_NO_FATAL_FAILURE(harness.start());
+  for (int i = 0; i < 3; ++i) EXPECT_TRUE(harness.requestSucceeds("r" + std::to_string(i), 2 * kSecond));
 }
 
 // ---- SIGHUP ----
 
-// A silent watch is given up after 2.4 s. A discovery that takes longer for its first list was never heard.
+// A watch without data is abandoned after 2.4 s. Prevents a discovery that takes longer for its first list
+// from never being accepted.
 TEST_F(ProgramTest, AcceptsTheListOfADiscoveryThatAnswersLate) {
   constexpr net::Micros kResponseDelay = 3200 * kMillisecond;
-  world.discovery.responseDelay = kResponseDelay;
-  world.launch();
-  EXPECT_TRUE(world.waitUntilReady(kResponseDelay + 2 * kSecond)) << world.standardError();
+  harness.discovery.responseDelay = kResponseDelay;
+  harness.launch();
+  EXPECT_TRUE(harness.waitUntilReady(kResponseDelay + 2 * kSecond)) << harness.standardError();
 }
 
-TEST_F(ProgramTest, MovesTheWatchAtAReloadAndKeepsOpenStreams) {
+TEST_F(ProgramTest, MovesTheWatchOnReloadAndKeepsOpenStreams) {
   constexpr int kRequestsAfter = 10;
-  ASSERT_NO_FATAL_FAILURE(world.start());
-  ScriptedDiscovery second(world.loop);
-  second.list = listText(2, false, memberText("w2", world.otherWriter, "m2"));
-  const auto streaming = openStream("s1");
-  world.writeConfig(platformConfigText(second.address()));
-  world.program->signal(SIGHUP);
-  ASSERT_TRUE(
-      world.until([&] { return second.watchesBegun() >= 1 && world.linesWith("w2+") == 1; }, kHangTimeout));
-  EXPECT_TRUE(world.until([&] { return world.discovery.openWatches() == 0; }, 1 * kSecond));
-  second.publish(listText(3, false, memberText("w", world.writer, "m2", "draining")));
-  ASSERT_TRUE(world.until([&] { return world.linesWith("w~") == 1; }, 2 * kSecond));
-  world.pass(kDrainGrace);
-  const auto before = world.writer.count("POST");
-  for (int i = 0; i < kRequestsAfter; ++i) EXPECT_TRUE(world.isServed("r" + std::to_string(i)));
-  EXPECT_EQ(world.writer.count("POST"), before);
-  EXPECT_GE(world.otherWriter.count("POST"), static_cast<std::size_t>(kRequestsAfter));
-  expectWholeStream(*streaming);
-  // A watch is begun anew only where the end of the one before was told.
-  EXPECT_LE(world.discovery.watchesBegun(), 1 + world.linesWith(R"("event":"discovery")"));
+  ASSERT_NO_FATAL_FAILURE(harness.start());
+  ScriptedDiscovery secondDiscovery(harness.loop);
+  secondDiscovery.list = listText(2, false, memberText("w2", harness.otherDecodeEngine, "m2"));
+  const auto streamingClient = openStream("s1");
+  harness.writeConfig(platformConfigText(secondDiscovery.address()));
+  harness.program->signal(SIGHUP);
+  ASSERT_TRUE(harness.until(
+      [&] { return secondDiscovery.watchesStarted() >= 1 && harness.linesWith("w2+") == 1; }, kHangTimeout));
+  EXPECT_TRUE(harness.until([&] { return harness.discovery.openWatches() == 0; }, 1 * kSecond));
+  secondDiscovery.publish(listText(3, false, memberText("w", harness.decodeEngine, "m2", "draining")));
+  ASSERT_TRUE(harness.until([&] { return harness.linesWith("w~") == 1; }, 2 * kSecond));
+  harness.pass(kDrainGrace);
+  const auto before = harness.decodeEngine.count("POST");
+  for (int i = 0; i < kRequestsAfter; ++i) EXPECT_TRUE(harness.requestSucceeds("r" + std::to_string(i)));
+  EXPECT_EQ(harness.decodeEngine.count("POST"), before);
+  EXPECT_GE(harness.otherDecodeEngine.count("POST"), static_cast<std::size_t>(kRequestsAfter));
+  expectWholeStream(*streamingClient);
+  // A watch is restarted only if the end of the previous one was logged.
+  EXPECT_LE(harness.discovery.watchesStarted(), 1 + harness.linesWith(R"("event":"discovery")"));
 }
 
-// A configuration that can't be used, and what the line about it has to tell.
-struct BadFile {
+// An invalid configuration, and the text that its log line must contain.
+struct InvalidConfig {
   std::string name;
-  std::function<void(ProcessWorld&)> makeInvalid;
+  std::function<void(ProcessHarness&)> makeInvalid;
   std::string cause;
 };
 
-void PrintTo(const BadFile& file, std::ostream* out) { *out << file.name; }
+void PrintTo(const InvalidConfig& file, std::ostream* out) { *out << file.name; }
 
-std::function<void(ProcessWorld&)> replacedBy(const std::string& text) {
-  return [text](ProcessWorld& world) { world.writeConfig(text); };
+std::function<void(ProcessHarness&)> replaceWith(const std::string& text) {
+  return [text](ProcessHarness& harness) { harness.writeConfig(text); };
 }
 
-// The good text with one place changed.
-std::function<void(ProcessWorld&)> changed(const std::string& from, const std::string& to) {
-  return [from, to](ProcessWorld& world) {
-    std::string text = platformConfigText(world.discovery.address());
-    const auto at = text.find(from);
-    ASSERT_NE(at, std::string::npos);
-    world.writeConfig(text.replace(at, from.size(), to));
+// Writes the valid configuration with one replacement.
+std::function<void(ProcessHarness&)> replaceText(const std::string& from, const std::string& to) {
+  return [from, to](ProcessHarness& harness) {
+    std::string text = platformConfigText(harness.discovery.address());
+    const auto position = text.find(from);
+    ASSERT_NE(position, std::string::npos);
+    harness.writeConfig(text.replace(position, from.size(), to));
   };
 }
 
-std::function<void(ProcessWorld&)> cutInHalf() {
-  return [](ProcessWorld& world) {
-    const std::string text = platformConfigText(world.discovery.address());
-    world.writeConfig(text.substr(0, text.size() / 2));
+std::function<void(ProcessHarness&)> truncateToHalf() {
+  return [](ProcessHarness& harness) {
+    const std::string text = platformConfigText(harness.discovery.address());
+    harness.writeConfig(text.substr(0, text.size() / 2));
   };
 }
 
-std::function<void(ProcessWorld&)> removed() {
-  return [](ProcessWorld& world) { std::filesystem::remove(world.configFile); };
+std::function<void(ProcessHarness&)> removeFile() {
+  return [](ProcessHarness& harness) { std::filesystem::remove(harness.configFile); };
 }
 
-struct BadReload : ProgramTest, testing::WithParamInterface<BadFile> {};
+struct InvalidReload : ProgramTest, testing::WithParamInterface<InvalidConfig> {};
 
-TEST_P(BadReload, KeepsTheConfigurationAndLogsTheCauseOnce) {
+TEST_P(InvalidReload, KeepsTheConfigurationAndLogsTheCauseOnce) {
   constexpr std::size_t kReloads = 3;
-  ASSERT_NO_FATAL_FAILURE(world.start());
-  const auto streaming = openStream("s1");
-  GetParam().makeInvalid(world);
+  ASSERT_NO_FATAL_FAILURE(harness.start());
+  const auto streamingClient = openStream("s1");
+  GetParam().makeInvalid(harness);
   for (std::size_t i = 1; i <= kReloads; ++i) {
-    world.program->signal(SIGHUP);
-    ASSERT_TRUE(world.until([&] { return world.linesWith(world.configFile) >= i; }, kHangTimeout))
-        << world.standardError();
-    EXPECT_EQ(world.linesWith(world.configFile, GetParam().cause), i) << world.standardError();
+    harness.program->signal(SIGHUP);
+    ASSERT_TRUE(harness.until([&] { return harness.linesWith(harness.configFile) >= i; }, kHangTimeout))
+        << harness.standardError();
+    EXPECT_EQ(harness.linesWith(harness.configFile, GetParam().cause), i) << harness.standardError();
   }
-  expectWholeStream(*streaming);
-  world.writer.script = world.otherWriter.script;
-  EXPECT_TRUE(world.isServed("r1"));
-  world.discovery.publish(listText(2, false, memberText("w2", world.otherWriter, "m2")));
-  EXPECT_TRUE(world.until([&] { return world.linesWith("w2+") == 1; }, kHangTimeout));
-  // A watch is begun anew only where the end of the one before was told.
-  EXPECT_LE(world.discovery.watchesBegun(), 1 + world.linesWith(R"("event":"discovery")"));
-  EXPECT_EQ(world.linesWith(world.configFile), kReloads) << world.standardError();
-  EXPECT_EQ(world.linesWith("reload"), kReloads) << world.standardError();
-  EXPECT_FALSE(world.program->ended());
+  expectWholeStream(*streamingClient);
+  harness.decodeEngine.script = harness.otherDecodeEngine.script;
+  EXPECT_TRUE(harness.requestSucceeds("r1"));
+  harness.discovery.publish(listText(2, false, memberText("w2", harness.otherDecodeEngine, "m2")));
+  EXPECT_TRUE(harness.until([&] { return harness.linesWith("w2+") == 1; }, kHangTimeout));
+  // A watch is restarted only if the end of the previous one was logged.
+  EXPECT_LE(harness.discovery.watchesStarted(), 1 + harness.linesWith(R"("event":"discovery")"));
+  EXPECT_EQ(harness.linesWith(harness.configFile), kReloads) << harness.standardError();
+  EXPECT_EQ(harness.linesWith("reload"), kReloads) << harness.standardError();
+  EXPECT_FALSE(harness.program->ended());
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Files, BadReload,
+    Files, InvalidReload,
     testing::Values(
-        BadFile{"Absent", removed(), "can't be read"}, BadFile{"Empty", replacedBy(""), "config.json:1"},
-        BadFile{"Truncated", cutInHalf(), "config.json:"},
-        BadFile{"NoObject", replacedBy("[1, 2]"), "config.json:1"},
-        BadFile{"Binary", replacedBy(std::string("\0\x01\xff\xfe", 4)), "config.json:1"},
-        BadFile{"WrongTypeOfLimits", changed(R"("limits":{)", R"("limits":7,"x":{)"), "limits"},
-        BadFile{"WrongTypeOfANumber", changed(R"("cores":1)", R"("cores":"one")"), "cores"},
-        BadFile{"NoAddress", changed(R"("discovery":"127)", R"("discovery":"no address 127)"), "discovery"},
-        BadFile{"ShareAboveOne", changed(R"("coldFrom":0.3)", R"("coldFrom":2.5)"), "coldFrom"},
-        BadFile{"FewerDescriptorsThanAny", changed(R"("sockets":256)", R"("sockets":2)"), "sockets"},
-        BadFile{"NoRouters", changed(R"("balancers":1)", R"("balancers":0)"), "routers"},
-        BadFile{"NoSuchEffect", changed(R"("effect":"read_like")", R"("effect":"both")"), "effect"}),
+        InvalidConfig{"Absent", removeFile(), "can't be read"},
+        InvalidConfig{"Empty", replaceWith(""), "config.json:1"},
+        InvalidConfig{"Truncated", truncateToHalf(), "config.json:"},
+        InvalidConfig{"NoObject", replaceWith("[1, 2]"), "config.json:1"},
+        InvalidConfig{"Binary", replaceWith(std::string("\0\x01\xff\xfe", 4)), "config.json:1"},
+        InvalidConfig{"WrongTypeOfLimits", replaceText(R"("limits":{)", R"("limits":7,"x":{)"), "limits"},
+        InvalidConfig{"WrongTypeOfANumber", replaceText(R"("cores":1)", R"("cores":"one")"), "cores"},
+        InvalidConfig{"NoAddress", replaceText(R"("discovery":"127)", R"("discovery":"no address 127)"),
+                      "discovery"},
+        InvalidConfig{"ShareAboveOne", replaceText(R"("coldFrom":0.3)", R"("coldFrom":2.5)"), "coldFrom"},
+        InvalidConfig{"FewerDescriptorsThanAny", replaceText(R"("sockets":256)", R"("sockets":2)"),
+                      "sockets"},
+        InvalidConfig{"NoRouters", replaceText(R"("balancers":1)", R"("balancers":0)"), "routers"},
+        InvalidConfig{"NoSuchEffect", replaceText(R"("effect":"read_like")", R"("effect":"both")"),
+                      "effect"}),
     [](const auto& file) { return file.param.name; });
 
-// ---- starts ----
+// ---- startup ----
 
 enum class DiscoveryAtStart { answering, silent, refusing };
 
-struct Starts : ProgramTest, testing::WithParamInterface<DiscoveryAtStart> {
-  // From the start of the program until it has served a request; none where that took too long.
+struct StartTest : ProgramTest, testing::WithParamInterface<DiscoveryAtStart> {
+  // Returns the time from the start of the program to its first served request; none on timeout.
   std::optional<net::Micros> timeToServe(const std::string& id) {
-    const net::Micros from = world.loop.now();
-    world.launch();
+    const net::Micros from = harness.loop.now();
+    harness.launch();
     std::unique_ptr<RawClient> requester;
-    int tries = 0;
-    const bool served = world.until(
+    int attempts = 0;
+    const bool served = harness.until(
         [&] {
           if (requester && requester->has(kLast)) return true;
           if (requester && !requester->closed && !requester->has("HTTP/1.1 429") &&
               !requester->has("HTTP/1.1 5"))
             return false;
-          const std::string address = world.address();
+          const std::string address = harness.address();
           if (address.empty()) return false;
-          requester = world.clientOf(address);
-          requester->ask(id + "-" + std::to_string(++tries));
+          requester = harness.connectTo(address);
+          requester->ask(id + "-" + std::to_string(++attempts));
           return false;
         },
         kStartTimeout);
     if (!served) return std::nullopt;
-    return world.loop.now() - from;
+    return harness.loop.now() - from;
   }
 };
 
-TEST_P(Starts, ServesInTime) {
+TEST_P(StartTest, ServesInTime) {
   constexpr int kStarts = 5;
-  world.discovery.silent = GetParam() == DiscoveryAtStart::silent;
-  if (GetParam() == DiscoveryAtStart::refusing) world.discovery.stop();
-  const std::string known = R"("known":)" + listText(1, true, world.members) + ",";
-  const std::string more = GetParam() == DiscoveryAtStart::answering ? "" : known;
-  world.writeConfig(platformConfigText(world.discovery.address(), 256, more));
+  harness.discovery.silent = GetParam() == DiscoveryAtStart::silent;
+  if (GetParam() == DiscoveryAtStart::refusing) harness.discovery.stop();
+  const std::string knownSetting = R"("known":)" + listText(1, true, harness.endpointEntries) + ",";
+  const std::string knownEndpoints = GetParam() == DiscoveryAtStart::answering ? "" : knownSetting;
+  harness.writeConfig(platformConfigText(harness.discovery.address(), 256, knownEndpoints));
   for (int i = 0; i < kStarts; ++i) {
-    const auto took = timeToServe("start" + std::to_string(i));
-    ASSERT_TRUE(took) << "start " << i;
-    std::cout << "served after " << *took / kMillisecond << " ms\n";
-    EXPECT_TRUE(world.waitUntilReady(kStartTimeout));
-    EXPECT_LE(*took, kStartTimeout);
+    const auto duration = timeToServe("start" + std::to_string(i));
+    ASSERT_TRUE(duration) << "start " << i;
+    std::cout << "served after " << *duration / kMillisecond << " ms\n";
+    EXPECT_TRUE(harness.waitUntilReady(kStartTimeout));
+    EXPECT_LE(*duration, kStartTimeout);
   }
 }
 
-std::string startName(const testing::TestParamInfo<DiscoveryAtStart>& start) {
+std::string discoveryStateName(const testing::TestParamInfo<DiscoveryAtStart>& start) {
   if (start.param == DiscoveryAtStart::answering) return "Answering";
   return start.param == DiscoveryAtStart::silent ? "Silent" : "Refusing";
 }
 
-INSTANTIATE_TEST_SUITE_P(Discovery, Starts,
+INSTANTIATE_TEST_SUITE_P(Discovery, StartTest,
                          testing::Values(DiscoveryAtStart::answering, DiscoveryAtStart::silent,
                                          DiscoveryAtStart::refusing),
-                         startName);
+                         discoveryStateName);
 
 // ---- descriptors ----
 
-// Clients that connect, say nothing and neither read nor close.
-class IdleCrowd {
+// Clients that connect and then neither send, read nor close.
+class IdleClients {
  public:
-  IdleCrowd(net::Loop& loop, const std::string& address) : alarm_(loop), address_(address) {}
+  IdleClients(net::Loop& loop, const std::string& address) : alarm_(loop), address_(address) {}
   void add(std::size_t count) {
     for (std::size_t i = 0; i < count; ++i) {
       sockets_.emplace_back();
@@ -541,7 +556,7 @@
     }
     while (sockets_.size() > kMaxSockets) sockets_.pop_front();
   }
-  // One more comes every so often.
+  // Adds a client at every interval.
   void keepArriving(net::Micros every) {
     add(1);
     alarm_.start(every, [this, every] { keepArriving(every); });
@@ -554,131 +569,137 @@
   std::deque<Poco::Net::StreamSocket> sockets_;
 };
 
-enum class Crowd { stays, keepsComing };
+enum class IdleClientMode { constant, growing };
 
-struct DescriptorPressure : ProgramTest, testing::WithParamInterface<Crowd> {
+struct DescriptorPressure : ProgramTest, testing::WithParamInterface<IdleClientMode> {
   static constexpr int kDescriptors = 128;
-  // The system's bound as well. The sanitizer's check of an object's type opens a pipe, and takes every
-  // object for broken where that fails, so there the program is only told of its limit.
+  // The operating system's limit is lowered as well, except under the address sanitizer: its check of an
+  // object's type opens a pipe and reports every object as invalid if that fails, so the limit is only
+  // configured there.
 #ifdef __SANITIZE_ADDRESS__
   static constexpr rlim_t kSystemLimit = 0;
 #else
   static constexpr rlim_t kSystemLimit = kDescriptors;
 #endif
-  // The share of clients' connections, as the program tells it; its own descriptors come on top.
+  // Limit of client connections that the program reports; its own descriptors are in addition.
   static constexpr std::size_t kClientConnections = 52;
-  static constexpr std::size_t kCrowd = 300;
+  static constexpr std::size_t kIdleClients = 300;
   static constexpr net::Micros kArrivalInterval = 5 * kMillisecond;
 };
 
-TEST_P(DescriptorPressure, NoticesTheRecoveryOfDiscoveryAndServesClients) {
+TEST_P(DescriptorPressure, ReconnectsToDiscoveryAndServesClients) {
   constexpr std::size_t kFailedWatches = 4;
-  world.writeConfig(platformConfigText(world.discovery.address(), kDescriptors));
-  ASSERT_NO_FATAL_FAILURE(world.start(kSystemLimit));
-  ASSERT_TRUE(world.isServed("before"));
-  world.discovery.stop();
-  IdleCrowd crowd(world.loop, world.address());
-  crowd.add(kCrowd);
-  if (GetParam() == Crowd::keepsComing) crowd.keepArriving(kArrivalInterval);
+  harness.writeConfig(platformConfigText(harness.discovery.address(), kDescriptors));
+  ASSERT_NO_FATAL_FAILURE(harness.start(kSystemLimit));
+  ASSERT_TRUE(harness.requestSucceeds("before"));
+  harness.discovery.stop();
+  IdleClients idleClients(harness.loop, harness.address());
+  idleClients.add(kIdleClients);
+  if (GetParam() == IdleClientMode::growing) idleClients.keepArriving(kArrivalInterval);
+  ASSERT_TRUE(harness.until([&] { return harness.linesWith(R"("event":"discovery")") >= kFailedWatches; },
+                            5 * kSecond));
   ASSERT_TRUE(
-      world.until([&] { return world.linesWith(R"("event":"discovery")") >= kFailedWatches; }, 5 * kSecond));
-  ASSERT_TRUE(world.until([&] { return world.program->descriptors() > kClientConnections; }, 2 * kSecond));
-  std::cout << "descriptors taken: " << world.program->descriptors() << " of " << kDescriptors << "\n";
-  world.discovery.list = listText(
-      2, false,
-      memberText("w", world.writer, "m2", "draining") + "," + memberText("w2", world.otherWriter, "m2"));
-  world.discovery.start();
-  const net::Micros returned = world.loop.now();
-  EXPECT_TRUE(world.until([&] { return world.linesWith("w~") == 1; }, kChangeDeliveryTimeout));
-  std::cout << "told after " << (world.loop.now() - returned) / kMillisecond << " ms\n";
-  world.pass(kDrainGrace);
-  const auto before = world.writer.count("POST");
-  EXPECT_TRUE(world.isServed("after"));
-  EXPECT_EQ(world.writer.count("POST"), before);
-  EXPECT_EQ(world.otherWriter.count("POST"), 1u);
-  EXPECT_FALSE(world.program->ended());
-  EXPECT_EQ(world.linesWith(R"("clients":52)"), 1u);
+      harness.until([&] { return harness.program->descriptors() > kClientConnections; }, 2 * kSecond));
+  std::cout << "descriptors in use: " << harness.program->descriptors() << " of " << kDescriptors << "\n";
+  harness.discovery.list = listText(2, false,
+                                    memberText("w", harness.decodeEngine, "m2", "draining") + "," +
+                                        memberText("w2", harness.otherDecodeEngine, "m2"));
+  harness.discovery.start();
+  const net::Micros restartedAt = harness.loop.now();
+  EXPECT_TRUE(harness.until([&] { return harness.linesWith("w~") == 1; }, kChangeDeliveryTimeout));
+  std::cout << "reported after " << (harness.loop.now() - restartedAt) / kMillisecond << " ms\n";
+  harness.pass(kDrainGrace);
+  const auto before = harness.decodeEngine.count("POST");
+  EXPECT_TRUE(harness.requestSucceeds("after"));
+  EXPECT_EQ(harness.decodeEngine.count("POST"), before);
+  EXPECT_EQ(harness.otherDecodeEngine.count("POST"), 1u);
+  EXPECT_FALSE(harness.program->ended());
+  EXPECT_EQ(harness.linesWith(R"("clients":52)"), 1u);
 }
 
 TEST_P(DescriptorPressure, ServesClientsThatArriveTogether) {
   constexpr std::size_t kClients = 12;
-  world.writeConfig(platformConfigText(world.discovery.address(), kDescriptors));
-  ASSERT_NO_FATAL_FAILURE(world.start(kSystemLimit));
-  ASSERT_TRUE(world.isServed("before"));
-  IdleCrowd crowd(world.loop, world.address());
-  crowd.add(kCrowd);
-  if (GetParam() == Crowd::keepsComing) crowd.keepArriving(kArrivalInterval);
-  ASSERT_TRUE(world.until([&] { return world.program->descriptors() > kClientConnections; }, 2 * kSecond));
+  harness.writeConfig(platformConfigText(harness.discovery.address(), kDescriptors));
+  ASSERT_NO_FATAL_FAILURE(harness.start(kSystemLimit));
+  ASSERT_TRUE(harness.requestSucceeds("before"));
+  IdleClients idleClients(harness.loop, harness.address());
+  idleClients.add(kIdleClients);
+  if (GetParam() == IdleClientMode::growing) idleClients.keepArriving(kArrivalInterval);
+  ASSERT_TRUE(
+      harness.until([&] { return harness.program->descriptors() > kClientConnections; }, 2 * kSecond));
   std::vector<TimedRequest> timedRequests(kClients);
   for (std::size_t i = 0; i < kClients; ++i) {
     timedRequests[i].id = "c" + std::to_string(i);
-    timedRequests[i].client = world.client();
+    timedRequests[i].client = harness.client();
     timedRequests[i].ask();
   }
   const auto settled = [](const TimedRequest& timedRequest) { return timedRequest.settled(); };
   std::size_t maxDescriptors = 0;
-  EXPECT_TRUE(world.until(
+  EXPECT_TRUE(harness.until(
       [&] {
-        if (!world.program->ended()) maxDescriptors = std::max(maxDescriptors, world.program->descriptors());
+        if (!harness.program->ended())
+          maxDescriptors = std::max(maxDescriptors, harness.program->descriptors());
         return std::all_of(timedRequests.begin(), timedRequests.end(), settled);
       },
       4 * kSecond));
   EXPECT_LE(maxDescriptors, static_cast<std::size_t>(kDescriptors));
   for (const TimedRequest& timedRequest : timedRequests)
     EXPECT_TRUE(timedRequest.served()) << timedRequest.id << ": " << timedRequest.client->got;
-  std::cout << "descriptors at the most: " << maxDescriptors << " of " << kDescriptors << "\n";
+  std::cout << "maximum descriptors: " << maxDescriptors << " of " << kDescriptors << "\n";
 }
 
-std::string crowdName(const testing::TestParamInfo<Crowd>& crowd) {
-  return crowd.param == Crowd::stays ? "ThatStays" : "ThatKeepsComing";
+std::string idleClientModeName(const testing::TestParamInfo<IdleClientMode>& mode) {
+  return mode.param == IdleClientMode::constant ? "Constant" : "Growing";
 }
 
-INSTANTIATE_TEST_SUITE_P(Crowds, DescriptorPressure, testing::Values(Crowd::stays, Crowd::keepsComing),
-                         crowdName);
+INSTANTIATE_TEST_SUITE_P(Modes, DescriptorPressure,
+                         testing::Values(IdleClientMode::constant, IdleClientMode::growing),
+                         idleClientModeName);
 
-// What is held for a request whose client left has to be let go of before the process ends.
+// KV reservations of a request whose client disconnected must be released before the process exits.
 TEST_F(ProgramTest, ReleasesKvReservationsBeforeItExits) {
   constexpr net::Micros kReleaseDelay = 900 * kMillisecond;
-  const net::Micros from = world.loop.now();
+  const net::Micros from = harness.loop.now();
   std::size_t confirmed = 0;
   const auto answerLateCalls = [&](Request& request) {
     if (request.head.method == "POST") return;
-    if (world.loop.now() - from < kReleaseDelay) return;  // an engine that says nothing to releases yet
+    if (harness.loop.now() - from < kReleaseDelay) return;  // the engine does not answer releases yet
     ++confirmed;
     answerCalls(request);
   };
-  world.writer.script = world.otherWriter.script = answerLateCalls;
-  world.reader.script = [&](Request& request) {
+  harness.decodeEngine.script = harness.otherDecodeEngine.script = answerLateCalls;
+  harness.prefillEngine.script = [&](Request& request) {
     if (request.head.method == "POST")
       request.stream->send(kRead);
     else
       answerLateCalls(request);
   };
-  ASSERT_NO_FATAL_FAILURE(world.start());
-  auto cancelling = world.client();
+  ASSERT_NO_FATAL_FAILURE(harness.start());
+  auto cancelling = harness.client();
   cancelling->ask("h1");
-  ASSERT_TRUE(world.until([&] { return world.writer.count("POST") == 1; }, 2 * kSecond));
+  ASSERT_TRUE(harness.until([&] { return harness.decodeEngine.count("POST") == 1; }, 2 * kSecond));
   cancelling->stream.close();
-  world.program->signal(SIGTERM);
-  EXPECT_TRUE(world.until([&] { return confirmed > 0; }, 4 * kSecond));
-  world.expectGracefulExit();
-  EXPECT_EQ(world.linesWith(R"("drained")", "kv reservations 0, releases in flight 0"), 1u);
-  EXPECT_EQ(world.linesWith(R"("drained")", "abandoned 0"), 1u);
+  harness.program->signal(SIGTERM);
+  EXPECT_TRUE(harness.until([&] { return confirmed > 0; }, 4 * kSecond));
+  harness.expectGracefulExit();
+  EXPECT_EQ(harness.linesWith(R"("drained")", "kv reservations 0, releases in flight 0"), 1u);
+  EXPECT_EQ(harness.linesWith(R"("drained")", "abandoned 0"), 1u);
 }
 
-// The address is another process's for good: the reason on standard error, and status 2.
-TEST_F(ProgramTest, ExitsWithTheReasonWhereItsAddressIsTaken) {
-  const net::Listener other(world.loop, Poco::Net::SocketAddress("127.0.0.1", 0), [](auto) {});
-  const std::string address = other.address().toString();
-  std::string text = platformConfigText(world.discovery.address());
-  const std::string any = R"("listen":"127.0.0.1:0")";
-  text.replace(text.find(any), any.size(), R"("listen":")" + address + "\"");
-  world.writeConfig(text);
-  world.launch();
-  ASSERT_TRUE(world.until([&] { return world.program->ended(); }, 8 * kSecond));
-  EXPECT_EQ(world.program->exitStatus(), 2);
-  EXPECT_NE(world.standardError().find("can't listen on " + address), std::string::npos)
-      << world.standardError();
+// The address stays in use by another process: the program exits with status 2 and reports the reason on
+// standard error.
+TEST_F(ProgramTest, ExitsWithTheReasonIfItsAddressIsInUse) {
+  const net::Listener occupyingListener(harness.loop, Poco::Net::SocketAddress("127.0.0.1", 0), [](auto) {});
+  const std::string address = occupyingListener.address().toString();
+  std::string text = platformConfigText(harness.discovery.address());
+  const std::string defaultListen = R"("listen":"127.0.0.1:0")";
+  text.replace(text.find(defaultListen), defaultListen.size(), R"("listen":")" + address + "\"");
+  harness.writeConfig(text);
+  harness.launch();
+  ASSERT_TRUE(harness.until([&] { return harness.program->ended(); }, 8 * kSecond));
+  EXPECT_EQ(harness.program->exitStatus(), 2);
+  EXPECT_NE(harness.standardError().find("can't listen on " + address), std::string::npos)
+      << harness.standardError();
 }
 
 }  // namespace
--- a/tests/process/scripted_discovery.h
+++ b/tests/process/scripted_discovery.h
@@ -1,4 +1,4 @@
-// A discovery whose lists, silence and absence the test chooses.
+// A discovery server whose lists, response delays and outages are controlled by the test.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 namespace garnethook::test {
 
-/// Answers each watch with the present list and keeps it alive by its beat.
+/// Answers each watch with the current list and sends periodic keep-alives.
 class ScriptedDiscovery {
  public:
   explicit ScriptedDiscovery(net::Loop& loop) : loop_(loop), keepAliveAlarm_(loop) {
@@ -20,19 +20,19 @@
     sendKeepAlive();
   }
   std::string address() const { return address_.toString(); }
-  /// How many watches were begun in all.
-  std::size_t watchesBegun() const { return watchesBegun_; }
-  /// How many watches are open.
+  /// Returns the total number of watches started.
+  std::size_t watchesStarted() const { return watchesStarted_; }
+  /// Returns the number of open watches.
   std::size_t openWatches() const {
     return static_cast<std::size_t>(
         std::count_if(watches_.begin(), watches_.end(), [](const auto& watch) { return watch->open(); }));
   }
-  /// Sends a list on all open watches; later ones begin with it.
-  void publish(const std::string& now) {
-    list = now;
+  /// Sends a list on all open watches; later watches start with it.
+  void publish(const std::string& newList) {
+    list = newList;
     sendAll(list + "\n");
   }
-  /// Resets all watches and refuses new ones, until `start`.
+  /// Resets all watches and refuses new ones until `start` is called.
   void stop() {
     server_.reset();
     watches_.clear();
@@ -41,8 +41,8 @@
   void start() { listen(address_); }
 
   std::string list;
-  bool silent = false;            // takes watches and says nothing
-  net::Micros responseDelay = 0;  // takes so long for the first list of each watch
+  bool silent = false;            // accepts watches and sends nothing
+  net::Micros responseDelay = 0;  // delay before the first list of each watch
 
  private:
   static constexpr net::Micros kKeepAliveInterval = 1'000'000;
@@ -50,12 +50,12 @@
   void listen(const Poco::Net::SocketAddress& address) {
     server_ = std::make_unique<fake_engine::HttpServer>(
         loop_, address, [this](fake_engine::HttpRequest, std::shared_ptr<fake_engine::HttpReply> reply) {
-          begin(std::move(reply));
+          acceptWatch(std::move(reply));
         });
     address_ = server_->address();
   }
-  void begin(std::shared_ptr<fake_engine::HttpReply> watch) {
-    ++watchesBegun_;
+  void acceptWatch(std::shared_ptr<fake_engine::HttpReply> watch) {
+    ++watchesStarted_;
     watches_.push_back(watch);
     if (silent) return;
     if (responseDelay == 0) return respond(watch);
@@ -79,7 +79,7 @@
   net::Loop& loop_;
   timing::Alarm keepAliveAlarm_;
   Poco::Net::SocketAddress address_;
-  std::size_t watchesBegun_ = 0;
+  std::size_t watchesStarted_ = 0;
   std::vector<std::shared_ptr<fake_engine::HttpReply>> watches_;
   std::unique_ptr<fake_engine::HttpServer> server_;
 };
