--- a/tests/process/process_test.cpp
+++ b/tests/process/process_test.cpp
@@ -377,8 +377,8 @@
 
 // ---- SIGHUP ----
 
-// A watch without data is abandoned after 2.4 s. Prevents a discovery that takes longer for its first list
-// from never being accepted.
+// A watch without data is abandoned after 2.4 s. Prevents the router from never receiving
+// the first list of a discovery that takes longer to send it.
 TEST_F(ProgramTest, AcceptsTheListOfADiscoveryThatAnswersLate) {
   constexpr net::Micros kResponseDelay = 3200 * kMillisecond;
   harness.discovery.responseDelay = kResponseDelay;
--- a/tests/process/system_fault_test.cpp
+++ b/tests/process/system_fault_test.cpp
@@ -149,8 +149,8 @@
                 "getsockname:ENOBUFS", "fcntl:ENOMEM", "connect:ENETUNREACH"});
 }
 
-// A signal that arrives before the router is constructed is not lost. Failing reads of the configuration
-// delay the start here.
+// A signal that arrives before the router is constructed is not lost. Failures to open the configuration
+// file delay the start here.
 TEST_F(SystemFaultTest, ExitsGracefullyWhenTerminatedDuringTheStart) {
   harness.injectFaults({"FAULTS=open:EIO:100", "FAULT_UNTIL_MS=1200"});
   harness.launch();
