--- a/tests/soak/client_peer.cpp
+++ b/tests/soak/client_peer.cpp
@@ -40,11 +40,11 @@
         pauseFor(20);
         continue;
       }
-      if (plan_.active("crowd", "r" + std::to_string(router), monotonicNow()) && number_ % 10 == 0) {
+      if (plan_.isActive("crowd", "r" + std::to_string(router), monotonicNow()) && number_ % 10 == 0) {
         crowd(router);
         continue;
       }
-      if (plan_.active("rude", "clients", monotonicNow()) && chance(30))
+      if (plan_.isActive("rude", "clients", monotonicNow()) && chance(30))
         misbehave(socket);
       else
         visit(socket, router);
--- a/tests/soak/discovery_peer.cpp
+++ b/tests/soak/discovery_peer.cpp
@@ -31,7 +31,7 @@
     const std::string name = "d" + std::to_string(number);
     Socket listener = listenAt(plan_.discoveryPort(number));
     while (monotonicNow() < end()) {
-      if (plan_.active("down", name, monotonicNow())) {
+      if (plan_.isActive("down", name, monotonicNow())) {
         listener.close();
         std::this_thread::sleep_for(std::chrono::milliseconds(10));
         continue;
@@ -50,23 +50,23 @@
 
   std::string phase(int engine, Micros now) const {
     const std::string name = "e" + std::to_string(engine);
-    if (plan_.active("gone", name, now)) return "gone";
-    if (plan_.active("restart", name, now)) return "gone";
-    return plan_.active("drain", name, now) ? "draining" : "ready";
+    if (plan_.isActive("gone", name, now)) return "gone";
+    if (plan_.isActive("restart", name, now)) return "gone";
+    return plan_.isActive("drain", name, now) ? "draining" : "ready";
   }
 
   std::string entry(int engine, int router, const std::string& phase, Micros now) const {
-    return R"({"id":"e)" + std::to_string(engine) + R"(","host_port":")" + Plan::addressFor(router) + ":" +
-           std::to_string(plan_.proxyPort(engine)) + R"(","locality":")" + plan_.zone(engine) +
-           R"(","flavor":")" + (plan_.prefills(engine) ? "m1" : "m2") + R"(","cell":)" +
+    return R"({"id":"e)" + std::to_string(engine) + R"(","host_port":")" + Plan::sourceAddressOf(router) +
+           ":" + std::to_string(plan_.proxyPort(engine)) + R"(","locality":")" + plan_.zone(engine) +
+           R"(","flavor":")" + (plan_.isPrefillEngine(engine) ? "m1" : "m2") + R"(","cell":)" +
            std::to_string(engine % 2) + R"(,"phase":")" + phase + R"(","size":1.0,"up_since_ms":)" +
            std::to_string(upSince(engine, now)) + "}";
   }
 
   // Unix time of the engine's latest start; 0: long ago.
   std::int64_t upSince(int engine, Micros now) const {
-    for (const Trouble& t : plan_.of("restart"))
-      if (t.who == "e" + std::to_string(engine) && now - plan_.start >= t.until)
+    for (const Fault& t : plan_.faultsOfKind("restart"))
+      if (t.target == "e" + std::to_string(engine) && now - plan_.start >= t.until)
         return std::chrono::duration_cast<std::chrono::milliseconds>(
                    std::chrono::system_clock::now().time_since_epoch())
                    .count() -
@@ -77,7 +77,7 @@
   // The version is the number of changes so far, from 1.
   std::int64_t version(Micros now) const {
     std::int64_t out = 1;
-    for (const Trouble& t : plan_.troubles)
+    for (const Fault& t : plan_.plannedFaults)
       if ((t.kind == "drain" || t.kind == "gone" || t.kind == "restart") && now - plan_.start >= t.from)
         ++out;
     return out;
@@ -94,13 +94,13 @@
     const Micros since = monotonicNow();
     while (monotonicNow() < end()) {
       const Micros now = monotonicNow();
-      if (plan_.active("down", name, now) || droppedSince(name, since, now)) return socket.reset();
+      if (plan_.isActive("down", name, now) || droppedSince(name, since, now)) return socket.reset();
       if (socket.awaitPeerClose(kTurn)) return;
-      if (plan_.active("quiet", name, now)) {
+      if (plan_.isActive("quiet", name, now)) {
         if (begun) return awaitClose(socket);  // it stays silent for good
         continue;
       }
-      if (!begun && plan_.active("late", name, since) && now < since + kAnswersLate) continue;
+      if (!begun && plan_.isActive("late", name, since) && now < since + kAnswersLate) continue;
       if (!begun) {
         socket.write(
             "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -122,8 +122,8 @@
   }
 
   bool droppedSince(const std::string& name, Micros since, Micros now) const {
-    for (const Trouble& t : plan_.of("dropped"))
-      if (t.who == name && plan_.start + t.from > since && plan_.start + t.from <= now) return true;
+    for (const Fault& t : plan_.faultsOfKind("dropped"))
+      if (t.target == name && plan_.start + t.from > since && plan_.start + t.from <= now) return true;
     return false;
   }
 
--- a/tests/soak/engine_peer.cpp
+++ b/tests/soak/engine_peer.cpp
@@ -36,7 +36,7 @@
  private:
   enum class Spoilt { no, error, turnedAway, noState, garbage, cut, noLastChunk, secondAnswer };
 
-  bool down() const { return plan_.active("restart", name_, monotonicNow()); }
+  bool down() const { return plan_.isActive("restart", name_, monotonicNow()); }
   Micros end() const { return plan_.start + plan_.length + kAfterDay; }
 
   void serve(Socket& socket) {
@@ -45,7 +45,7 @@
     HttpMessage request;
     while (reader.readMessage(request, end()) == HttpReader::Result::whole) {
       if (down() || !answer(socket, request, random)) return socket.reset();
-      if (!plan_.active("forget", name_, monotonicNow()) || random() % 3 != 0) continue;
+      if (!plan_.isActive("forget", name_, monotonicNow()) || random() % 3 != 0) continue;
       std::this_thread::sleep_for(std::chrono::milliseconds(random() % 60));
       return random() % 2 == 0 ? socket.reset() : socket.close();
     }
@@ -67,13 +67,13 @@
                                        " first=" + std::to_string(request.firstByteAt) +
                                        " expires=" + request.field("x-expires-in-ms"));
     const std::string how =
-        plan_.prefills(number_) ? prefill(socket, random) : decode(socket, random, attempt);
+        plan_.isPrefillEngine(number_) ? prefill(socket, random) : decode(socket, random, attempt);
     log_.write("end" + attempt + " how=" + how);
     return how == "read" || how == "served" || how == "never-ran" || how == "error";  // the rest has closed
   }
 
   Spoilt spoilt(std::mt19937_64& random) const {
-    if (!plan_.active("spoil", name_, monotonicNow()) || random() % 3 != 0) return Spoilt::no;
+    if (!plan_.isActive("spoil", name_, monotonicNow()) || random() % 3 != 0) return Spoilt::no;
     return static_cast<Spoilt>(1 + random() % 7);
   }
 
@@ -81,7 +81,7 @@
   bool work(const Socket& socket, Micros span) const {
     Micros until = monotonicNow() + span;
     while (monotonicNow() < until) {
-      if (plan_.active("hang", name_, monotonicNow())) until = monotonicNow() + span;
+      if (plan_.isActive("hang", name_, monotonicNow())) until = monotonicNow() + span;
       if (down()) return false;
       if (monotonicNow() > end() || socket.awaitPeerClose(std::min(kPollEvery, until - monotonicNow())))
         return false;
@@ -98,7 +98,7 @@
   bool read(Micros span) const {
     Micros until = monotonicNow() + span;
     while (monotonicNow() < until) {
-      if (plan_.active("hang", name_, monotonicNow())) until = monotonicNow() + span;
+      if (plan_.isActive("hang", name_, monotonicNow())) until = monotonicNow() + span;
       if (down() || monotonicNow() > end()) return false;
       std::this_thread::sleep_for(std::chrono::microseconds(kPollEvery));
     }
@@ -106,7 +106,7 @@
   }
 
   std::string prefill(Socket& socket, std::mt19937_64& random) const {
-    const bool isSlow = plan_.active("slow", name_, monotonicNow());
+    const bool isSlow = plan_.isActive("slow", name_, monotonicNow());
     if (!read(static_cast<Micros>(3 + random() % (isSlow ? 1000 : 30)) * kMillisecond)) return "lost";
     if (socket.awaitPeerClose(0)) return "left";
     const Spoilt spoil = spoilt(random);
@@ -124,7 +124,7 @@
   }
 
   std::string decode(Socket& socket, std::mt19937_64& random, const std::string& attempt) const {
-    const bool isSlow = plan_.active("slow", name_, monotonicNow());
+    const bool isSlow = plan_.isActive("slow", name_, monotonicNow());
     if (!work(socket, static_cast<Micros>(5 + random() % (isSlow ? 800 : 40)) * kMillisecond))
       return "closed";
     const Spoilt spoil = spoilt(random);
--- a/tests/soak/oracle.h
+++ b/tests/soak/oracle.h
@@ -1,4 +1,5 @@
-// The rules of the platform as invariants over what the processes of a soak told. Free of I/O and clocks.
+// Checks the platform's rules as invariants over the events that the processes of a soak logged. Performs no
+// I/O and reads no clock.
 #pragma once
 
 #include <map>
@@ -10,18 +11,18 @@
 
 namespace garnethook::soak {
 
-struct Breach {
-  Micros at = 0;  ///< From the day's start.
+struct Violation {
+  Micros at = 0;  ///< Relative to the start of the run.
   std::string rule;
   std::string text;
 };
 
 struct Verdict {
-  std::vector<Breach> breaches;
-  std::map<std::string, int> counts;  ///< Requests by how they ended, and attempts.
+  std::vector<Violation> violations;
+  std::map<std::string, int> counts;  ///< Number of requests by result, and number of attempts.
 };
 
-/// Judges a whole day. `events` of all processes, in any order.
-Verdict judge(const Plan& plan, std::vector<LoggedEvent> events);
+/// Checks a whole run. `events` are those of all processes, in any order.
+Verdict checkInvariants(const Plan& plan, std::vector<LoggedEvent> events);
 
 }  // namespace garnethook::soak
--- a/tests/soak/oracle_test.cpp
+++ b/tests/soak/oracle_test.cpp
@@ -1,4 +1,4 @@
-// The soak's oracle finds each planted breach, and nothing in a sound day.
+// Verifies that the soak's oracle reports each injected violation and none in a correct run.
 #include "oracle.h"
 
 #include <gtest/gtest.h>
@@ -6,32 +6,33 @@
 namespace garnethook::soak {
 namespace {
 
-// A day of one request, told line by line in milliseconds.
+// A run with one request, logged line by line with times in milliseconds.
 struct OracleTest : testing::Test {
   OracleTest() { plan.length = 10 * kSecond; }
-  void tell(Micros ms, const std::string& text) {
+  void logEvent(Micros ms, const std::string& text) {
     events.push_back(parseEvent(std::to_string(ms * 1000) + " " + text));
   }
   void sent(const std::string& kind = "chat", const std::string& more = "fresh=1 deadline=1500") {
-    tell(1000, "sent id=q class=" + kind + " router=r0 " + more);
+    logEvent(1000, "sent id=q class=" + kind + " router=r0 " + more);
   }
   void begin(Micros ms, const std::string& engine, const std::string& port, Micros expires = 1000) {
-    tell(ms - 1, "link engine=" + engine + " port=" + port + " router=r0");
-    tell(ms, "begin engine=" + engine + " id=q port=" + port +
-                 " class=chat first=" + std::to_string(ms * 1000) + " expires=" + std::to_string(expires));
+    logEvent(ms - 1, "link engine=" + engine + " port=" + port + " router=r0");
+    logEvent(ms, "begin engine=" + engine + " id=q port=" + port + " class=chat first=" +
+                     std::to_string(ms * 1000) + " expires=" + std::to_string(expires));
   }
   void end(Micros ms, const std::string& engine, const std::string& port, const std::string& how) {
-    tell(ms, "end engine=" + engine + " id=q port=" + port + " how=" + how);
+    logEvent(ms, "end engine=" + engine + " id=q port=" + port + " how=" + how);
   }
   void served(Micros ms) {
-    tell(ms - 100, "stream id=q status=200");
-    tell(ms, "whole id=q slowest=1000");
+    logEvent(ms - 100, "stream id=q status=200");
+    logEvent(ms, "whole id=q slowest=1000");
   }
-  // The rules that were broken, in order.
-  std::vector<std::string> rules() {
-    std::vector<std::string> out;
-    for (const Breach& b : judge(plan, events).breaches) out.push_back(b.rule);
-    return out;
+  // Returns the violated rules in order.
+  std::vector<std::string> violatedRules() {
+    std::vector<std::string> names;
+    for (const Violation& violation : checkInvariants(plan, events).violations)
+      names.push_back(violation.rule);
+    return names;
   }
   using Rules = std::vector<std::string>;
   Plan plan;
@@ -39,75 +40,75 @@
 };
 
 // Engines 0 to 3 prefill, 4 to 8 decode; even ones are in zone a.
-TEST_F(OracleTest, ASoundRequestBreaksNothing) {
+TEST_F(OracleTest, CorrectRequestHasNoViolation) {
   sent();
   begin(1010, "e0", "1");
   end(1030, "e0", "1", "read");
   begin(1040, "e4", "2");
   end(1300, "e4", "2", "served");
   served(1310);
-  EXPECT_EQ(rules(), Rules());
+  EXPECT_EQ(violatedRules(), Rules());
 }
 
-TEST_F(OracleTest, NoAnswerIsALostRequest) {
+TEST_F(OracleTest, MissingAnswerIsALostRequest) {
   sent();
-  tell(9000, "unanswered id=q how=late");
-  EXPECT_EQ(rules(), (Rules{"lost", "too little served"}));
+  logEvent(9000, "unanswered id=q how=late");
+  EXPECT_EQ(violatedRules(), (Rules{"lost", "too little served"}));
 }
 
-TEST_F(OracleTest, ALateAnswerIsALostRequest) {
+TEST_F(OracleTest, LateAnswerIsALostRequest) {
   sent();
-  tell(3200, "final id=q status=504");
-  EXPECT_EQ(rules(), (Rules{"lost", "too little served"}));
+  logEvent(3200, "final id=q status=504");
+  EXPECT_EQ(violatedRules(), (Rules{"lost", "too little served"}));
 }
 
-TEST_F(OracleTest, ACloseWithoutAnAnswerOnANewConnectionIsALostRequest) {
+TEST_F(OracleTest, CloseWithoutAnswerOnNewConnectionIsALostRequest) {
   sent();
-  tell(1200, "unanswered id=q how=reset");
-  EXPECT_EQ(rules(), (Rules{"lost", "too little served"}));
+  logEvent(1200, "unanswered id=q how=reset");
+  EXPECT_EQ(violatedRules(), (Rules{"lost", "too little served"}));
 }
 
-TEST_F(OracleTest, ACloseOfAKeptConnectionIsALossOnlyWhereTheRequestWasSentOn) {
+TEST_F(OracleTest, CloseOfReusedConnectionIsALostRequestOnlyAfterAnAttempt) {
   sent("chat", "fresh=0 deadline=1500");
-  tell(1200, "unanswered id=q how=closed");
-  EXPECT_EQ(rules(), Rules{"too little served"});
+  logEvent(1200, "unanswered id=q how=closed");
+  EXPECT_EQ(violatedRules(), Rules{"too little served"});
   begin(1100, "e0", "1");
   end(1110, "e0", "1", "closed");
-  EXPECT_EQ(rules(), (Rules{"lost", "too little served"}));
+  EXPECT_EQ(violatedRules(), (Rules{"lost", "too little served"}));
 }
 
-TEST_F(OracleTest, TwoAttemptsAtOnceAreADuplicate) {
+TEST_F(OracleTest, ConcurrentAttemptsAreADuplicate) {
   sent();
   begin(1010, "e4", "1");
   begin(1100, "e5", "2");
   end(1300, "e4", "1", "served");
   end(1300, "e5", "2", "closed");
   served(1310);
-  EXPECT_EQ(rules(), Rules{"duplicate"});
+  EXPECT_EQ(violatedRules(), Rules{"duplicate"});
 }
 
-TEST_F(OracleTest, AnAttemptWhoseConnectionTheRouterClosedIsOver) {
+TEST_F(OracleTest, AttemptEndsWhenTheRouterClosesItsConnection) {
   sent();
   begin(1010, "e4", "1");
-  tell(1050, "closed engine=e4 port=1 by=router");
+  logEvent(1050, "closed engine=e4 port=1 by=router");
   begin(1200, "e5", "2");
   end(1300, "e4", "1", "closed");
   end(1300, "e5", "2", "served");
   served(1310);
-  EXPECT_EQ(rules(), Rules());
+  EXPECT_EQ(violatedRules(), Rules());
 }
 
-TEST_F(OracleTest, UnsafeWorkThatMayHaveRunIsNeitherRepeatedNorRefused) {
+TEST_F(OracleTest, PossiblyExecutedNonIdempotentWorkIsNeitherRetriedNorRejected) {
   sent("order");
   begin(1010, "e4", "1");
   end(1050, "e4", "1", "error");
   begin(1200, "e5", "2");
   end(1250, "e5", "2", "error");
-  tell(1300, "final id=q status=503");
-  EXPECT_EQ(rules(), (Rules{"duplicate", "refused", "too little served"}));
+  logEvent(1300, "final id=q status=503");
+  EXPECT_EQ(violatedRules(), (Rules{"duplicate", "refused", "too little served"}));
 }
 
-TEST_F(OracleTest, KeyedWorkIsRepeatedWithinItsGroupAndWindowAlone) {
+TEST_F(OracleTest, KeyedWorkIsRetriedOnlyWithinItsDeduplicationScopeAndWindow) {
   sent("keyed", "fresh=1 deadline=2500");
   begin(1010, "e4", "1");
   end(1050, "e4", "1", "error");
@@ -118,109 +119,109 @@
   begin(3000, "e8", "4", 400);
   end(3100, "e8", "4", "served");
   served(3200);
-  EXPECT_EQ(rules(), (Rules{"duplicate", "duplicate"}));
+  EXPECT_EQ(violatedRules(), (Rules{"duplicate", "duplicate"}));
 }
 
-TEST_F(OracleTest, AStateThatNobodyTakesOrLetsGoIsHeldTooLong) {
+TEST_F(OracleTest, KvStateNeitherFetchedNorReleasedIsHeldTooLong) {
   sent();
   begin(1010, "e0", "1");
   end(1030, "e0", "1", "read");
-  tell(1100, "final id=q status=429");
-  EXPECT_EQ(rules(), (Rules{"held", "too little served"}));
-  tell(1800, "release engine=e1 id=q");
-  EXPECT_EQ(rules(), Rules{"too little served"});
+  logEvent(1100, "final id=q status=429");
+  EXPECT_EQ(violatedRules(), (Rules{"held", "too little served"}));
+  logEvent(1800, "release engine=e1 id=q");
+  EXPECT_EQ(violatedRules(), Rules{"too little served"});
 }
 
-TEST_F(OracleTest, AReleaseBeforeAGivenUpPrefillHasLeftItsStateDoesNotCount) {
+TEST_F(OracleTest, ReleaseBeforeAnAbandonedPrefillLeavesItsStateDoesNotCount) {
   sent();
   begin(1010, "e0", "1");
-  tell(1100, "closed engine=e0 port=1 by=router");
-  tell(1105, "release engine=e0 id=q");
-  tell(1110, "left id=q");
+  logEvent(1100, "closed engine=e0 port=1 by=router");
+  logEvent(1105, "release engine=e0 id=q");
+  logEvent(1110, "left id=q");
   end(2000, "e0", "1", "left");
-  EXPECT_EQ(rules(), (Rules{"held"}));
-  tell(2600, "release engine=e1 id=q");
-  EXPECT_EQ(rules(), Rules());
+  EXPECT_EQ(violatedRules(), (Rules{"held"}));
+  logEvent(2600, "release engine=e1 id=q");
+  EXPECT_EQ(violatedRules(), Rules());
 }
 
-TEST_F(OracleTest, AReleaseThatSparesAWaitingDecodeDoesNotCount) {
+TEST_F(OracleTest, ReleaseDuringAWaitingDecodeDoesNotCount) {
   sent();
   begin(1010, "e0", "1");
   end(1030, "e0", "1", "read");
   begin(1040, "e4", "2");
-  tell(1500, "closed engine=e4 port=2 by=router");
-  tell(1510, "release engine=e0 id=q");
-  tell(1510, "left id=q");
+  logEvent(1500, "closed engine=e4 port=2 by=router");
+  logEvent(1510, "release engine=e0 id=q");
+  logEvent(1510, "left id=q");
   end(2000, "e4", "2", "closed");
-  EXPECT_EQ(rules(), (Rules{"held"}));
-  tell(2200, "release engine=e0 id=q");
-  EXPECT_EQ(rules(), Rules());
+  EXPECT_EQ(violatedRules(), (Rules{"held"}));
+  logEvent(2200, "release engine=e0 id=q");
+  EXPECT_EQ(violatedRules(), Rules());
 }
 
-TEST_F(OracleTest, ALateRequestThatTheKillFindsUnansweredIsLost) {
+TEST_F(OracleTest, LateRequestUnansweredAtTheKillIsLost) {
   sent("chat", "fresh=0 deadline=1500");
-  tell(200, "terminated router=r0");
-  tell(2400, "overdue router=r0");
-  tell(2402, "unanswered id=q how=reset");
-  EXPECT_EQ(rules(), (Rules{"lost", "too little served"}));
+  logEvent(200, "terminated router=r0");
+  logEvent(2400, "overdue router=r0");
+  logEvent(2402, "unanswered id=q how=reset");
+  EXPECT_EQ(violatedRules(), (Rules{"lost", "too little served"}));
 }
 
-TEST_F(OracleTest, ADrainedEngineGetsNothingAfterTheGrace) {
-  plan.troubles.push_back({"drain", "e4", 500 * kMillisecond, 20 * kSecond});
-  tell(600, "told router=r0 changes=4:draining");
+TEST_F(OracleTest, DrainingEndpointGetsNoAttemptAfterTheGracePeriod) {
+  plan.plannedFaults.push_back({"drain", "e4", 500 * kMillisecond, 20 * kSecond});
+  logEvent(600, "told router=r0 changes=4:draining");
   sent("chat", "fresh=1 deadline=4000");
   begin(2000, "e4", "1");
   end(2050, "e4", "1", "never-ran");
   begin(2400, "e4", "2");
   end(2500, "e4", "2", "served");
   served(2600);
-  EXPECT_EQ(rules(), Rules{"drain"});
+  EXPECT_EQ(violatedRules(), Rules{"drain"});
 }
 
-TEST_F(OracleTest, AChangeCountsAsToldSixSecondsAfterDiscoveryCouldBeReached) {
+TEST_F(OracleTest, ChangeCountsAsReportedSixSecondsAfterDiscoveryIsReachable) {
   plan.length = 20 * kSecond;
-  plan.troubles.push_back({"drain", "e4", 100 * kMillisecond, 40 * kSecond});
-  plan.troubles.push_back({"quiet", "d0", 50 * kMillisecond, 1000 * kMillisecond});
-  tell(9000, "sent id=q class=chat router=r0 fresh=1 deadline=1500");
+  plan.plannedFaults.push_back({"drain", "e4", 100 * kMillisecond, 40 * kSecond});
+  plan.plannedFaults.push_back({"quiet", "d0", 50 * kMillisecond, 1000 * kMillisecond});
+  logEvent(9000, "sent id=q class=chat router=r0 fresh=1 deadline=1500");
   begin(9010, "e4", "1");
   end(9100, "e4", "1", "served");
   served(9200);
-  EXPECT_EQ(rules(), Rules{"drain"});
+  EXPECT_EQ(violatedRules(), Rules{"drain"});
 }
 
-TEST_F(OracleTest, NothingBeginsAfterTheClientHasLeft) {
+TEST_F(OracleTest, NoAttemptBeginsAfterTheClientDisconnects) {
   sent();
-  tell(1100, "left id=q");
+  logEvent(1100, "left id=q");
   begin(1400, "e0", "1");
   end(1450, "e0", "1", "closed");
-  EXPECT_EQ(rules(), Rules{"lost"});
+  EXPECT_EQ(violatedRules(), Rules{"lost"});
 }
 
-TEST_F(OracleTest, MoreTimeThanIsLeftIsToldToNobody) {
+TEST_F(OracleTest, AttemptDeadlineDoesNotExceedTheRemainingTime) {
   sent();
   begin(2000, "e4", "1", 900);
   end(2100, "e4", "1", "served");
   served(2200);
-  EXPECT_EQ(rules(), Rules{"deadline"});
+  EXPECT_EQ(violatedRules(), Rules{"deadline"});
 }
 
-TEST_F(OracleTest, AStreamThatItsEngineFinishedIsWhole) {
+TEST_F(OracleTest, StreamFinishedByItsEngineIsDeliveredWhole) {
   sent();
   begin(1010, "e4", "1");
   end(1200, "e4", "1", "served");
-  tell(1150, "stream id=q status=200");
-  tell(1250, "cut id=q slowest=0 how=closed");
-  EXPECT_EQ(rules(), (Rules{"lost", "too little served"}));
+  logEvent(1150, "stream id=q status=200");
+  logEvent(1250, "cut id=q slowest=0 how=closed");
+  EXPECT_EQ(violatedRules(), (Rules{"lost", "too little served"}));
 }
 
-TEST_F(OracleTest, WhatAKilledRouterHadIsNotItsLoss) {
+TEST_F(OracleTest, RequestsOfAKilledRouterAreNotLost) {
   sent();
-  tell(1100, "killed router=r0");
-  tell(1101, "unanswered id=q how=reset");
-  EXPECT_EQ(rules(), Rules());
+  logEvent(1100, "killed router=r0");
+  logEvent(1101, "unanswered id=q how=reset");
+  EXPECT_EQ(violatedRules(), Rules());
 }
 
-TEST_F(OracleTest, ALineThatWasCutShortIsNamed) {
+TEST_F(OracleTest, TruncatedLogLineIsAnError) {
   EXPECT_THROW(parseEvent("12"), std::runtime_error);
   EXPECT_THROW(parseEvent("12 sent id"), std::runtime_error);
 }
--- a/tests/soak/plan.cpp
+++ b/tests/soak/plan.cpp
@@ -3,18 +3,18 @@
 namespace garnethook::soak {
 namespace {
 
-// Draws troubles one after another; each begins while the one before it is still in force.
-class Drawing {
+// Generates faults one after another; each begins while the previous one is still active.
+class PlanGenerator {
  public:
-  Drawing(Plan& plan, std::uint64_t seed) : plan_(plan), random_(seed) {}
+  PlanGenerator(Plan& plan, std::uint64_t seed) : plan_(plan), random_(seed) {}
 
-  void draw() {
-    Micros at = 800 * kMillisecond;
-    while (at < plan_.length - 1500 * kMillisecond) {
-      const Micros lasts = between(600, 2500) * kMillisecond;
-      add(at, at + lasts);
-      if (chance(0.5)) add(at + lasts / 3, at + lasts);
-      at += lasts / 2;
+  void generate() {
+    Micros start = 800 * kMillisecond;
+    while (start < plan_.length - 1500 * kMillisecond) {
+      const Micros duration = between(600, 2500) * kMillisecond;
+      addRandomFault(start, start + duration);
+      if (chance(0.5)) addRandomFault(start + duration / 3, start + duration);
+      start += duration / 2;
     }
   }
 
@@ -22,110 +22,116 @@
   Micros between(Micros low, Micros high) {
     return low + static_cast<Micros>(random_() % static_cast<std::uint64_t>(high - low + 1));
   }
-  bool chance(double share) { return static_cast<double>(random_() >> 11) / 9007199254740992.0 < share; }
+  bool chance(double probability) {
+    return static_cast<double>(random_() >> 11) / 9007199254740992.0 < probability;
+  }
   std::string engine() { return "e" + std::to_string(between(0, plan_.engines() - 1)); }
   std::string prefillEngine() { return "e" + std::to_string(between(0, plan_.prefillEngines - 1)); }
   std::string router() { return "r" + std::to_string(between(0, plan_.routers - 1)); }
   std::string zone() { return chance(0.5) ? "a" : "b"; }
-  void put(const std::string& kind, const std::string& who, Micros from, Micros until,
-           const std::string& detail = "-") {
-    plan_.troubles.push_back({kind, who, from, until, detail});
+  void addFault(const std::string& kind, const std::string& target, Micros from, Micros until,
+                const std::string& detail = "-") {
+    plan_.plannedFaults.push_back({kind, target, from, until, detail});
   }
-  // The same router is not stopped again before it is back, and no engine leaves twice.
-  bool once(const std::string& kind, const std::string& who) {
-    return std::none_of(plan_.troubles.begin(), plan_.troubles.end(),
-                        [&](const Trouble& t) { return t.kind == kind && t.who == who; });
+  // Prevents a second stop of a router before it has restarted, and a second removal of the same endpoint.
+  bool isFirst(const std::string& kind, const std::string& target) {
+    return std::none_of(plan_.plannedFaults.begin(), plan_.plannedFaults.end(),
+                        [&](const Fault& fault) { return fault.kind == kind && fault.target == target; });
   }
-  bool routerBusy(const std::string& who, Micros from) {
-    return std::any_of(plan_.troubles.begin(), plan_.troubles.end(), [&](const Trouble& t) {
-      return (t.kind == "term" || t.kind == "kill") && t.who == who && std::abs(t.from - from) < 7 * kSecond;
+  bool hasRecentStop(const std::string& target, Micros from) {
+    return std::any_of(plan_.plannedFaults.begin(), plan_.plannedFaults.end(), [&](const Fault& fault) {
+      return (fault.kind == "term" || fault.kind == "kill") && fault.target == target &&
+             std::abs(fault.from - from) < 7 * kSecond;
     });
   }
-  void stop(const std::string& kind, Micros from) {
-    const std::string who = router();
-    if (!routerBusy(who, from)) put(kind, who, from, from + 7 * kSecond);
+  void addRouterStop(const std::string& kind, Micros from) {
+    const std::string target = router();
+    if (!hasRecentStop(target, from)) addFault(kind, target, from, from + 7 * kSecond);
   }
-  // Signals in quick succession: a new configuration, half a one, a pause, and the end, twice.
-  void series(Micros from) {
-    const std::string who = router();
-    if (routerBusy(who, from)) return;
-    put("hup", who, from, from, "d1");
-    put(chance(0.5) ? "badhup" : "hup", who, from + between(0, 60) * kMillisecond, from, "d0");
-    if (chance(0.5)) put("pause", who, from + 70 * kMillisecond, from + between(90, 200) * kMillisecond);
+  // Signals in quick succession: a reload, a reload of a truncated configuration or another valid one, a
+  // pause, and two termination signals.
+  void addSignalSequence(Micros from) {
+    const std::string target = router();
+    if (hasRecentStop(target, from)) return;
+    addFault("hup", target, from, from, "d1");
+    addFault(chance(0.5) ? "badhup" : "hup", target, from + between(0, 60) * kMillisecond, from, "d0");
+    if (chance(0.5))
+      addFault("pause", target, from + 70 * kMillisecond, from + between(90, 200) * kMillisecond);
     const Micros endsAt = from + between(210, 600) * kMillisecond;
-    put("term", who, endsAt, endsAt + 7 * kSecond);
-    put("hup", who, endsAt + between(1, 300) * kMillisecond, endsAt, "d1");
-    put("term-again", who, endsAt + between(1, 900) * kMillisecond, endsAt);
+    addFault("term", target, endsAt, endsAt + 7 * kSecond);
+    addFault("hup", target, endsAt + between(1, 300) * kMillisecond, endsAt, "d1");
+    addFault("term-again", target, endsAt + between(1, 900) * kMillisecond, endsAt);
   }
-  void add(Micros from, Micros until) {
+  void addRandomFault(Micros from, Micros until) {
     switch (between(0, 27)) {
-      case 0: return put("hang", engine(), from, until);
-      case 1: return put("refuse", engine(), from, until);
-      case 2: return put("reset", engine(), from, until);
-      case 3: return put("spoil", engine(), from, until);
-      case 4: return put("silent", engine(), from, until);
-      case 5: return put("cut", zone(), from, std::min(until, from + 1500 * kMillisecond));
-      case 6: return put("quiet", "d0", from, until + 1500 * kMillisecond);
-      case 7: return put("down", "d0", from, until);
-      case 8: return put("dropped", "d0", from, until);
-      case 9: return leave(from);
-      case 10: return leave(from);
+      case 0: return addFault("hang", engine(), from, until);
+      case 1: return addFault("refuse", engine(), from, until);
+      case 2: return addFault("reset", engine(), from, until);
+      case 3: return addFault("spoil", engine(), from, until);
+      case 4: return addFault("silent", engine(), from, until);
+      case 5: return addFault("cut", zone(), from, std::min(until, from + 1500 * kMillisecond));
+      case 6: return addFault("quiet", "d0", from, until + 1500 * kMillisecond);
+      case 7: return addFault("down", "d0", from, until);
+      case 8: return addFault("dropped", "d0", from, until);
+      case 9: return addEndpointDrain(from);
+      case 10: return addEndpointDrain(from);
       case 11:
-      case 12: return stop("term", from);
-      case 13: return stop("kill", from);
-      case 14: return put("hup", router(), from, from, chance(0.5) ? "d1" : "d0");
-      case 15: return put("badhup", router(), from, from);
-      case 16: return put("pause", router(), from, from + between(20, 140) * kMillisecond);
-      case 17: return put("late", "d0", from, until + 2500 * kMillisecond);
-      case 18: return put("forget", engine(), from, until);
-      case 19: return put("crowd", router(), from, until);
-      case 20: return restart(from);
-      case 21: return put("slow", engine(), from, until);
-      case 22: return put("slow", prefillEngine(), from, until);
-      case 23: return put("held", engine(), from, until);
-      case 24: return put("deaf", engine(), from, until);
-      case 25: return put("deaf", "all", from, from + 50 * kMillisecond);
-      case 26: return series(from);
-      default: return put("rude", "clients", from, until);
+      case 12: return addRouterStop("term", from);
+      case 13: return addRouterStop("kill", from);
+      case 14: return addFault("hup", router(), from, from, chance(0.5) ? "d1" : "d0");
+      case 15: return addFault("badhup", router(), from, from);
+      case 16: return addFault("pause", router(), from, from + between(20, 140) * kMillisecond);
+      case 17: return addFault("late", "d0", from, until + 2500 * kMillisecond);
+      case 18: return addFault("forget", engine(), from, until);
+      case 19: return addFault("crowd", router(), from, until);
+      case 20: return addEngineRestart(from);
+      case 21: return addFault("slow", engine(), from, until);
+      case 22: return addFault("slow", prefillEngine(), from, until);
+      case 23: return addFault("held", engine(), from, until);
+      case 24: return addFault("deaf", engine(), from, until);
+      case 25: return addFault("deaf", "all", from, from + 50 * kMillisecond);
+      case 26: return addSignalSequence(from);
+      default: return addFault("rude", "clients", from, until);
     }
   }
-  // An engine drains, and is gone a while later; at least two of each role stay.
-  void leave(Micros from) {
-    const std::string who = engine();
-    const int number = std::stoi(who.substr(1));
-    const int role = plan_.prefills(number) ? 0 : 1;
-    if (left_[role] >= 2 || !once("drain", who)) return;
-    ++left_[role];
+  // An endpoint drains and is removed later; at least two of each role remain.
+  void addEndpointDrain(Micros from) {
+    const std::string target = engine();
+    const int number = std::stoi(target.substr(1));
+    const int role = plan_.isPrefillEngine(number) ? 0 : 1;
+    if (removedByRole_[role] >= 2 || !isFirst("drain", target)) return;
+    ++removedByRole_[role];
     const Micros goneAt = chance(0.7) ? from + between(300, 4000) * kMillisecond : plan_.length * 2;
-    put("drain", who, from, goneAt);
-    put("gone", who, goneAt, plan_.length * 3);
+    addFault("drain", target, from, goneAt);
+    addFault("gone", target, goneAt, plan_.length * 3);
   }
 
-  // An engine is killed and comes back cold, under its old name with another start.
-  void restart(Micros from) {
-    const std::string who = engine();
-    if (once("restart", who)) put("restart", who, from, from + 300 * kMillisecond);
+  // An engine is killed and restarts with an empty cache, under the same name with a new start time.
+  void addEngineRestart(Micros from) {
+    const std::string target = engine();
+    if (isFirst("restart", target)) addFault("restart", target, from, from + 300 * kMillisecond);
   }
 
   Plan& plan_;
   std::mt19937_64 random_;
-  int left_[2] = {0, 0};
+  int removedByRole_[2] = {0, 0};
 };
 
 }  // namespace
 
-Plan drawPlan(std::uint64_t seed, Micros length, int portBase) {
+Plan generatePlan(std::uint64_t seed, Micros length, int portBase) {
   Plan plan;
   plan.seed = seed;
   plan.length = length;
   plan.portBase = portBase;
-  // Every third day has short deadlines, so that the kill comes soon; every fifth has a crowd all day.
+  // Every third seed has short deadlines, so that the kill follows soon after the signal; every fifth has a
+  // request overload for the whole run.
   if (seed % 3 == 0) plan.deadlinesMs = {500, 900, 700};
   if (seed % 5 == 0) {
     plan.clients = 5;
-    plan.troubles.push_back({"crowd", "r" + std::to_string(seed / 5 % 4), kSecond, length, "-"});
+    plan.plannedFaults.push_back({"crowd", "r" + std::to_string(seed / 5 % 4), kSecond, length, "-"});
   }
-  Drawing(plan, seed).draw();
+  PlanGenerator(plan, seed).generate();
   return plan;
 }
 
--- a/tests/soak/plan.h
+++ b/tests/soak/plan.h
@@ -1,5 +1,6 @@
-// The plan of a soak, drawn from its seed before anything starts: who does what, and when. Every process
-// reads the same file and acts on its own lines; the oracle reads it to know what was in force.
+// The plan of a soak, generated from its seed before any process starts: which fault applies to which target,
+// and when. Every process reads the same file and acts on its own lines; the oracle reads it to determine
+// which faults were active.
 #pragma once
 
 #include <algorithm>
@@ -13,10 +14,10 @@
 
 namespace garnethook::soak {
 
-/// One trouble: `KIND WHO FROM UNTIL DETAIL`, times in microseconds from the start of the day.
-struct Trouble {
+/// One fault: `KIND TARGET FROM UNTIL DETAIL`, with times in microseconds from the start of the run.
+struct Fault {
   std::string kind;
-  std::string who;
+  std::string target;
   Micros from = 0;
   Micros until = 0;
   std::string detail = "-";
@@ -24,7 +25,7 @@
 
 struct Plan {
   std::uint64_t seed = 1;
-  Micros start = 0;  ///< Monotonic time of the day's beginning.
+  Micros start = 0;  ///< Start of the run on the monotonic clock.
   Micros length = 0;
   int routers = 4;
   int prefillEngines = 4;
@@ -32,31 +33,32 @@
   int clients = 3;
   int portBase = 0;
   std::array<int, 3> deadlinesMs{1500, 2500, 2000};  ///< Of the classes chat, keyed, order.
-  std::vector<Trouble> troubles;
+  std::vector<Fault> plannedFaults;
 
-  /// The platform kills a router that was told to end no sooner than this after the signal.
+  /// Least time between the termination signal and the platform's kill of the router.
   Micros killAfterSignal() const {
     const Micros longest = *std::max_element(deadlinesMs.begin(), deadlinesMs.end()) * kMillisecond;
     return std::min(longest, 3 * kSecond) + 700 * kMillisecond;
   }
 
-  bool active(const std::string& kind, const std::string& who, Micros now) const {
-    return find(kind, who, now) != nullptr;
+  bool isActive(const std::string& kind, const std::string& target, Micros now) const {
+    return findActive(kind, target, now) != nullptr;
   }
-  const Trouble* find(const std::string& kind, const std::string& who, Micros now) const {
-    const auto at = std::find_if(troubles.begin(), troubles.end(), [&](const Trouble& t) {
-      return t.kind == kind && t.who == who && now - start >= t.from && now - start < t.until;
+  const Fault* findActive(const std::string& kind, const std::string& target, Micros now) const {
+    const auto found = std::find_if(plannedFaults.begin(), plannedFaults.end(), [&](const Fault& fault) {
+      return fault.kind == kind && fault.target == target && now - start >= fault.from &&
+             now - start < fault.until;
     });
-    return at == troubles.end() ? nullptr : &*at;
+    return found == plannedFaults.end() ? nullptr : &*found;
   }
-  std::vector<Trouble> of(const std::string& kind) const {
-    std::vector<Trouble> out;
-    std::copy_if(troubles.begin(), troubles.end(), std::back_inserter(out),
-                 [&](const Trouble& t) { return t.kind == kind; });
-    return out;
+  std::vector<Fault> faultsOfKind(const std::string& kind) const {
+    std::vector<Fault> result;
+    std::copy_if(plannedFaults.begin(), plannedFaults.end(), std::back_inserter(result),
+                 [&](const Fault& fault) { return fault.kind == kind; });
+    return result;
   }
   int engines() const { return prefillEngines + decodeEngines; }
-  bool prefills(int engine) const { return engine < prefillEngines; }
+  bool isPrefillEngine(int engine) const { return engine < prefillEngines; }
   std::string zone(int engine) const { return engine % 2 == 0 ? "a" : "b"; }
 
   // Ports, all on loopback: routers, engines, and one proxy port for each engine.
@@ -64,8 +66,8 @@
   int discoveryPort(int discovery) const { return portBase + 50 + discovery; }
   int enginePort(int engine) const { return portBase + 100 + engine; }
   int proxyPort(int engine) const { return portBase + 200 + engine; }
-  /// Each router reaches engines and discovery at an address of its own, which tells them who comes.
-  static std::string addressFor(int router) { return "127.0.0." + std::to_string(10 + router); }
+  /// Each router connects to engines and discovery from its own address, which identifies it to them.
+  static std::string sourceAddressOf(int router) { return "127.0.0." + std::to_string(10 + router); }
   static int routerOf(const std::string& address) {
     return std::stoi(address.substr(address.rfind('.') + 1)) - 10;
   }
@@ -76,47 +78,51 @@
          << "\nprefill " << prefillEngines << "\ndecode " << decodeEngines << "\nclients " << clients
          << "\nports " << portBase << "\ndeadlines " << deadlinesMs[0] << ' ' << deadlinesMs[1] << ' '
          << deadlinesMs[2] << "\n";
-    for (const Trouble& t : troubles)
-      file << "trouble " << t.kind << ' ' << t.who << ' ' << t.from << ' ' << t.until << ' ' << t.detail
-           << "\n";
+    for (const Fault& fault : plannedFaults)
+      file << "trouble " << fault.kind << ' ' << fault.target << ' ' << fault.from << ' ' << fault.until
+           << ' ' << fault.detail << "\n";
   }
   static Plan read(const std::string& path) {
-    Plan out;
+    Plan result;
     std::ifstream file(path);
     if (!file) throw std::runtime_error("can't read " + path);
     for (std::string word; file >> word;) {
-      if (word == "seed") file >> out.seed;
-      if (word == "start") file >> out.start;
-      if (word == "length") file >> out.length;
-      if (word == "routers") file >> out.routers;
-      if (word == "prefill") file >> out.prefillEngines;
-      if (word == "decode") file >> out.decodeEngines;
-      if (word == "clients") file >> out.clients;
-      if (word == "ports") file >> out.portBase;
-      if (word == "deadlines") file >> out.deadlinesMs[0] >> out.deadlinesMs[1] >> out.deadlinesMs[2];
+      if (word == "seed") file >> result.seed;
+      if (word == "start") file >> result.start;
+      if (word == "length") file >> result.length;
+      if (word == "routers") file >> result.routers;
+      if (word == "prefill") file >> result.prefillEngines;
+      if (word == "decode") file >> result.decodeEngines;
+      if (word == "clients") file >> result.clients;
+      if (word == "ports") file >> result.portBase;
+      if (word == "deadlines")
+        file >> result.deadlinesMs[0] >> result.deadlinesMs[1] >> result.deadlinesMs[2];
       if (word != "trouble") continue;
-      Trouble t;
-      file >> t.kind >> t.who >> t.from >> t.until >> t.detail;
-      out.troubles.push_back(t);
+      Fault fault;
+      file >> fault.kind >> fault.target >> fault.from >> fault.until >> fault.detail;
+      result.plannedFaults.push_back(fault);
     }
-    return out;
+    return result;
   }
 };
 
-/// Draws a day. Troubles are laid so that two or three of them overlap in time.
-Plan drawPlan(std::uint64_t seed, Micros length, int portBase);
+/// Generates the plan of one run. Two or three faults overlap in time.
+Plan generatePlan(std::uint64_t seed, Micros length, int portBase);
 
-/// The times within which the rules hold; the routers' settings tell the same.
-struct Terms {
+/// Time limits of the rules; the routers' settings specify the same values.
+struct Limits {
   static constexpr Micros drainGrace = 1500 * kMillisecond;
   static constexpr Micros releaseWithin = 500 * kMillisecond;
   static constexpr Micros repeatWindow = 1500 * kMillisecond;
-  static constexpr Micros toldWithin = 6 * kSecond;
-  static constexpr Micros lateAfterSignal = 700 * kMillisecond;  // what comes later is lost at the kill
-  static constexpr Micros answerSlack = 500 * kMillisecond;      // later than this an answer is lost
-  static constexpr Micros heldSlack = 300 * kMillisecond;
-  static constexpr Micros ruleSlack = 50 * kMillisecond;
-  static constexpr Micros leftSlack = 100 * kMillisecond;  // from a client's close to the last attempt
+  static constexpr Micros listUpdateWithin = 6 * kSecond;
+  static constexpr Micros lateAfterSignal =
+      700 * kMillisecond;  // a request that arrives later is lost at the kill
+  static constexpr Micros answerSlack =
+      500 * kMillisecond;  // an answer that is later than this counts as lost
+  static constexpr Micros releaseSlack = 300 * kMillisecond;
+  static constexpr Micros timingSlack = 50 * kMillisecond;
+  static constexpr Micros clientLeftSlack =
+      100 * kMillisecond;  // from a client's close to the start of the last attempt
   static constexpr Micros deadlineSlack = 150 * kMillisecond;
   static constexpr Micros eventSlack = 300 * kMillisecond;
 };
--- a/tests/soak/proxy_peer.cpp
+++ b/tests/soak/proxy_peer.cpp
@@ -45,7 +45,7 @@
         keepSilence(plan_.proxyPort(engine), name);
         continue;
       }
-      if (plan_.active("refuse", name, monotonicNow())) {
+      if (plan_.isActive("refuse", name, monotonicNow())) {
         listener.close();
         std::this_thread::sleep_for(std::chrono::milliseconds(10));
         continue;
@@ -61,7 +61,7 @@
 
   bool silent(const std::string& engine) const {
     const Micros now = monotonicNow();
-    return plan_.active("silent", engine, now) || plan_.active("cut", zone_, now);
+    return plan_.isActive("silent", engine, now) || plan_.isActive("cut", zone_, now);
   }
 
   // New connections get no answer at all, as from a machine that is cut off: the system's queue of a listener
@@ -93,14 +93,14 @@
         log_.write("closed" + link + " by=router");
         return awaitSilentEnd(upstream);
       }
-      if (plan_.active("held", name, monotonicNow()) && !deliverLate(router, upstream, name, link)) return;
+      if (plan_.isActive("held", name, monotonicNow()) && !deliverLate(router, upstream, name, link)) return;
       if (silent(name)) {
         const bool waited = awaitVoice(router, name);
         log_.write("closed" + link + (waited ? " by=network" : " by=router"));
         if (waited) router.reset();  // it is back, and knows nothing of this connection
         return upstream.reset();
       }
-      if (resetAt == end() && plan_.active("reset", name, monotonicNow()))
+      if (resetAt == end() && plan_.isActive("reset", name, monotonicNow()))
         resetAt = random() % 100 < kResetPercent
                       ? monotonicNow() + static_cast<Micros>(random() % 200) * kMillisecond
                       : end() + 1;
@@ -116,8 +116,8 @@
   // Whether this connection, open since then, has fallen silent for good: new ones are sound.
   bool fellSilent(const std::string& engine, Micros since) const {
     const Micros now = monotonicNow();
-    return std::any_of(plan_.troubles.begin(), plan_.troubles.end(), [&](const Trouble& t) {
-      const bool isMeant = t.kind == "deaf" && (t.who == engine || t.who == "all");
+    return std::any_of(plan_.plannedFaults.begin(), plan_.plannedFaults.end(), [&](const Fault& t) {
+      const bool isMeant = t.kind == "deaf" && (t.target == engine || t.target == "all");
       return isMeant && since < plan_.start + t.from && now >= plan_.start + t.from;
     });
   }
@@ -130,7 +130,7 @@
   bool deliverLate(Socket& router, Socket& upstream, const std::string& name, const std::string& link) {
     std::string held;
     bool isOpen = true;
-    while (plan_.active("held", name, monotonicNow())) {
+    while (plan_.isActive("held", name, monotonicNow())) {
       bool broken = false;
       const auto bytes = isOpen ? router.read(kTurn, broken) : std::nullopt;
       if (!isOpen) std::this_thread::sleep_for(std::chrono::microseconds(kTurn));
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -82,10 +82,10 @@
         log_(log),
         number_(number),
         name_("r" + std::to_string(number)) {
-    for (const Trouble& t : plan.troubles)
-      if (t.who == name_) troubles_.push_back(t);
+    for (const Fault& t : plan.plannedFaults)
+      if (t.target == name_) troubles_.push_back(t);
     std::sort(troubles_.begin(), troubles_.end(),
-              [](const Trouble& a, const Trouble& b) { return a.from < b.from; });
+              [](const Fault& a, const Fault& b) { return a.from < b.from; });
     start();
   }
 
@@ -124,13 +124,13 @@
 
  private:
   void configure(std::string discovery, bool spoilt = false) {
-    const std::string own = Plan::addressFor(number_);
+    const std::string own = Plan::sourceAddressOf(number_);
     const int port = plan_.discoveryPort(discovery == "d0" ? 0 : 1);
     std::string members;
     for (int e = 0; e < plan_.engines(); ++e)
       members += std::string(e == 0 ? "" : ",") + R"({"id":"e)" + std::to_string(e) + R"(","host_port":")" +
                  own + ":" + std::to_string(plan_.proxyPort(e)) + R"(","locality":")" + plan_.zone(e) +
-                 R"(","flavor":")" + (plan_.prefills(e) ? "m1" : "m2") + R"(","cell":)" +
+                 R"(","flavor":")" + (plan_.isPrefillEngine(e) ? "m1" : "m2") + R"(","cell":)" +
                  std::to_string(e % 2) + R"(,"phase":"ready","size":1.0,"up_since_ms":0})";
     std::string text =
         R"({"name":")" + name_ + R"(","listen":"127.0.0.1:)" + std::to_string(plan_.routerPort(number_)) +
@@ -222,7 +222,7 @@
     leaveAt_ = 0;
   }
 
-  void act(const Trouble& t) {
+  void act(const Fault& t) {
     const Micros now = monotonicNow();
     if (t.kind == "term") {
       process_->signal(SIGTERM);
@@ -256,7 +256,7 @@
   int number_;
   std::string name_;
   std::string discovery_ = "d0";
-  std::vector<Trouble> troubles_;
+  std::vector<Fault> troubles_;
   std::size_t next_ = 0;
   std::unique_ptr<ChildProcess> process_;
   int starts_ = 0;
@@ -279,7 +279,7 @@
     peer_.folder = options.folder + "/seed-" + std::to_string(seed);
     fs::remove_all(peer_.folder);
     fs::create_directories(peer_.folder);
-    plan_ = drawPlan(seed, options.seconds * kSecond, options.portBase);
+    plan_ = generatePlan(seed, options.seconds * kSecond, options.portBase);
     plan_.start = monotonicNow() + 3 * kSecond;
     plan_.write(peer_.folder + "/plan");
   }
@@ -348,14 +348,14 @@
       const auto more = readEvents(file.path().string());
       events.insert(events.end(), more.begin(), more.end());
     }
-    const Verdict verdict = judge(plan_, std::move(events));
+    const Verdict verdict = checkInvariants(plan_, std::move(events));
     std::cout << "seed " << plan_.seed << ":";
     for (const auto& [name, count] : verdict.counts) std::cout << " " << name << " " << count << ",";
-    std::cout << " breaches " << verdict.breaches.size() << "\n";
-    for (const Breach& b : verdict.breaches)
+    std::cout << " breaches " << verdict.violations.size() << "\n";
+    for (const Violation& b : verdict.violations)
       std::cout << "  " << b.at / 1000 << " ms " << b.rule << ": " << b.text << "\n";
     std::cout << std::flush;
-    return verdict.breaches.empty();
+    return verdict.violations.empty();
   }
 
   const Options& options_;
