--- a/tests/soak/discovery_peer.cpp
+++ b/tests/soak/discovery_peer.cpp
@@ -1,5 +1,5 @@
-// Two discoveries with the same list; the first one has troubles. Tells when each router was told of a
-// change.
+// Two discovery servers with the same endpoint list; faults apply to the first one. Logs when each change was
+// sent to each router.
 #include <map>
 #include <thread>
 
@@ -9,9 +9,10 @@
 namespace garnethook::soak {
 namespace {
 
-constexpr Micros kTurn = 10 * kMillisecond;
-constexpr Micros kBeat = 2 * kSecond;
-constexpr Micros kAnswersLate = 2800 * kMillisecond;  // while it is slow, for the first list of a watch
+constexpr Micros kPollInterval = 10 * kMillisecond;
+constexpr Micros kHeartbeatInterval = 2 * kSecond;
+constexpr Micros kLateListDelay =
+    2800 * kMillisecond;  // delay of a watch's first list while the fault "late" is active
 
 class Discovery {
  public:
@@ -25,7 +26,7 @@
   }
 
  private:
-  Micros end() const { return plan_.start + plan_.length + kAfterDay; }
+  Micros end() const { return plan_.start + plan_.length + kDrainAfterRun; }
 
   void listen(int number) {
     const std::string name = "d" + std::to_string(number);
@@ -37,12 +38,15 @@
         continue;
       }
       if (!listener) listener = listenAt(plan_.discoveryPort(number));
-      Socket socket = acceptFrom(listener, kTurn);
-      if (socket) std::thread([this, name, s = std::move(socket)]() mutable { watch(s, name); }).detach();
+      Socket socket = acceptFrom(listener, kPollInterval);
+      if (socket)
+        std::thread([this, name, connection = std::move(socket)]() mutable {
+          watch(connection, name);
+        }).detach();
     }
   }
 
-  static std::string chunkOf(const std::string& text) {
+  static std::string encodeChunk(const std::string& text) {
     char size[20];
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
     return size + text + "\r\n";
@@ -63,24 +67,25 @@
            std::to_string(upSince(engine, now)) + "}";
   }
 
-  // Unix time of the engine's latest start; 0: long ago.
+  // Unix time of the engine's latest start in milliseconds; 0: before the run.
   std::int64_t upSince(int engine, Micros now) const {
-    for (const Fault& t : plan_.faultsOfKind("restart"))
-      if (t.target == "e" + std::to_string(engine) && now - plan_.start >= t.until)
+    for (const Fault& fault : plan_.faultsOfKind("restart"))
+      if (fault.target == "e" + std::to_string(engine) && now - plan_.start >= fault.until)
         return std::chrono::duration_cast<std::chrono::milliseconds>(
                    std::chrono::system_clock::now().time_since_epoch())
                    .count() -
-               (monotonicNow() - plan_.start - t.until) / kMillisecond;
+               (monotonicNow() - plan_.start - fault.until) / kMillisecond;
     return 0;
   }
 
-  // The version is the number of changes so far, from 1.
+  // The version counts the changes so far, starting from 1.
   std::int64_t version(Micros now) const {
-    std::int64_t out = 1;
-    for (const Fault& t : plan_.plannedFaults)
-      if ((t.kind == "drain" || t.kind == "gone" || t.kind == "restart") && now - plan_.start >= t.from)
-        ++out;
-    return out;
+    std::int64_t changeCount = 1;
+    for (const Fault& fault : plan_.plannedFaults)
+      if ((fault.kind == "drain" || fault.kind == "gone" || fault.kind == "restart") &&
+          now - plan_.start >= fault.from)
+        ++changeCount;
+    return changeCount;
   }
 
   void watch(Socket& socket, const std::string& name) {
@@ -88,66 +93,67 @@
     HttpReader reader(socket);
     HttpMessage request;
     if (reader.readMessage(request, monotonicNow() + 2 * kSecond) != HttpReader::Result::whole) return;
-    std::map<int, std::string> told;
-    bool begun = false;
-    Micros beatAt = 0;
+    std::map<int, std::string> sentPhases;
+    bool isListSent = false;
+    Micros heartbeatAt = 0;
     const Micros since = monotonicNow();
     while (monotonicNow() < end()) {
       const Micros now = monotonicNow();
       if (plan_.isActive("down", name, now) || droppedSince(name, since, now)) return socket.reset();
-      if (socket.awaitPeerClose(kTurn)) return;
+      if (socket.awaitPeerClose(kPollInterval)) return;
       if (plan_.isActive("quiet", name, now)) {
-        if (begun) return awaitClose(socket);  // it stays silent for good
+        if (isListSent) return awaitClose(socket);  // this watch sends nothing any more
         continue;
       }
-      if (!begun && plan_.isActive("late", name, since) && now < since + kAnswersLate) continue;
-      if (!begun) {
+      if (!isListSent && plan_.isActive("late", name, since) && now < since + kLateListDelay) continue;
+      if (!isListSent) {
         socket.write(
             "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
-        if (!tell(socket, router, told, true)) return;
-        begun = true;
-        beatAt = now + kBeat;
-      } else if (changed(told, now)) {
-        if (!tell(socket, router, told, false)) return;
-        beatAt = now + kBeat;
-      } else if (now >= beatAt) {
-        if (!socket.write(chunkOf("\n"))) return;
-        beatAt = now + kBeat;
+        if (!sendList(socket, router, sentPhases, true)) return;
+        isListSent = true;
+        heartbeatAt = now + kHeartbeatInterval;
+      } else if (changed(sentPhases, now)) {
+        if (!sendList(socket, router, sentPhases, false)) return;
+        heartbeatAt = now + kHeartbeatInterval;
+      } else if (now >= heartbeatAt) {
+        if (!socket.write(encodeChunk("\n"))) return;
+        heartbeatAt = now + kHeartbeatInterval;
       }
     }
   }
 
   void awaitClose(const Socket& socket) const {
-    while (monotonicNow() < end() && !socket.awaitPeerClose(kTurn)) continue;
+    while (monotonicNow() < end() && !socket.awaitPeerClose(kPollInterval)) continue;
   }
 
   bool droppedSince(const std::string& name, Micros since, Micros now) const {
-    for (const Fault& t : plan_.faultsOfKind("dropped"))
-      if (t.target == name && plan_.start + t.from > since && plan_.start + t.from <= now) return true;
+    for (const Fault& fault : plan_.faultsOfKind("dropped"))
+      if (fault.target == name && plan_.start + fault.from > since && plan_.start + fault.from <= now)
+        return true;
     return false;
   }
 
-  bool changed(const std::map<int, std::string>& told, Micros now) const {
-    for (const auto& [engine, before] : told)
+  bool changed(const std::map<int, std::string>& sentPhases, Micros now) const {
+    for (const auto& [engine, before] : sentPhases)
       if (phase(engine, now) != before) return true;
     return false;
   }
 
-  bool tell(const Socket& socket, int router, std::map<int, std::string>& told, bool complete) {
+  bool sendList(const Socket& socket, int router, std::map<int, std::string>& sentPhases, bool complete) {
     const Micros now = monotonicNow();
     std::string members;
     std::string changes;
     for (int engine = 0; engine < plan_.engines(); ++engine) {
       const std::string state = phase(engine, now);
-      if (!complete && told[engine] == state) continue;
-      told[engine] = state;
+      if (!complete && sentPhases[engine] == state) continue;
+      sentPhases[engine] = state;
       if (state != "ready") changes += "," + std::to_string(engine) + ":" + state;
       if (!complete || state != "gone")
         members += (members.empty() ? "" : ",") + entry(engine, router, state, now);
     }
     const std::string list = R"({"revision":)" + std::to_string(version(now)) + R"(,"complete":)" +
                              (complete ? "true" : "false") + R"(,"members":[)" + members + "]}\n";
-    if (!socket.write(chunkOf(list))) return false;
+    if (!socket.write(encodeChunk(list))) return false;
     log_.write("told router=r" + std::to_string(router) +
                " changes=" + (changes.empty() ? "-" : changes.substr(1)));
     return true;
--- a/tests/soak/engine_peer.cpp
+++ b/tests/soak/engine_peer.cpp
@@ -1,5 +1,5 @@
-// A prefill or decode engine. It tells when each request has arrived and how each attempt ended; every event
-// of a stream carries the time at which it was written.
+// A prefill or decode engine. It logs when each request arrived and how each attempt ended; every event of a
+// stream contains the time at which it was written.
 #include <random>
 #include <thread>
 
@@ -9,9 +9,9 @@
 namespace garnethook::soak {
 namespace {
 
-constexpr Micros kPollEvery = 5 * kMillisecond;
+constexpr Micros kPollInterval = 5 * kMillisecond;
 
-std::string chunkOf(const std::string& text) {
+std::string encodeChunk(const std::string& text) {
   char size[20];
   std::snprintf(size, sizeof size, "%zx\r\n", text.size());
   return size + text + "\r\n";
@@ -29,29 +29,30 @@
     const Socket listener = listenAt(plan_.enginePort(number_));
     while (monotonicNow() < end()) {
       Socket socket = acceptFrom(listener, 100 * kMillisecond);
-      if (socket) std::thread([this, s = std::move(socket)]() mutable { serve(s); }).detach();
+      if (socket)
+        std::thread([this, connection = std::move(socket)]() mutable { serve(connection); }).detach();
     }
   }
 
  private:
-  enum class Spoilt { no, error, turnedAway, noState, garbage, cut, noLastChunk, secondAnswer };
+  enum class ResponseFault { no, error, rejected, kvStateMissing, garbage, cut, noLastChunk, secondAnswer };
 
-  bool down() const { return plan_.isActive("restart", name_, monotonicNow()); }
-  Micros end() const { return plan_.start + plan_.length + kAfterDay; }
+  bool isDown() const { return plan_.isActive("restart", name_, monotonicNow()); }
+  Micros end() const { return plan_.start + plan_.length + kDrainAfterRun; }
 
   void serve(Socket& socket) {
     std::mt19937_64 random(plan_.seed * 1000 + static_cast<std::uint64_t>(socket.peerPort()));
     HttpReader reader(socket);
     HttpMessage request;
     while (reader.readMessage(request, end()) == HttpReader::Result::whole) {
-      if (down() || !answer(socket, request, random)) return socket.reset();
+      if (isDown() || !answer(socket, request, random)) return socket.reset();
       if (!plan_.isActive("forget", name_, monotonicNow()) || random() % 3 != 0) continue;
       std::this_thread::sleep_for(std::chrono::milliseconds(random() % 60));
       return random() % 2 == 0 ? socket.reset() : socket.close();
     }
   }
 
-  // False: the connection ends.
+  // Returns false if the connection must be closed.
   bool answer(Socket& socket, const HttpMessage& request, std::mt19937_64& random) {
     if (request.start.starts_with("DELETE /v1/holds/")) {
       const auto from = std::string_view("DELETE /v1/holds/").size();
@@ -69,53 +70,58 @@
     const std::string how =
         plan_.isPrefillEngine(number_) ? prefill(socket, random) : decode(socket, random, attempt);
     log_.write("end" + attempt + " how=" + how);
-    return how == "read" || how == "served" || how == "never-ran" || how == "error";  // the rest has closed
+    return how == "read" || how == "served" || how == "never-ran" ||
+           how == "error";  // the other outcomes end the connection
   }
 
-  Spoilt spoilt(std::mt19937_64& random) const {
-    if (!plan_.isActive("spoil", name_, monotonicNow()) || random() % 3 != 0) return Spoilt::no;
-    return static_cast<Spoilt>(1 + random() % 7);
+  ResponseFault drawResponseFault(std::mt19937_64& random) const {
+    if (!plan_.isActive("spoil", name_, monotonicNow()) || random() % 3 != 0) return ResponseFault::no;
+    return static_cast<ResponseFault>(1 + random() % 7);
   }
 
-  // Works for so long, and through any hang; false: the router has given up.
-  bool work(const Socket& socket, Micros span) const {
-    Micros until = monotonicNow() + span;
+  // Simulates work for `duration`, extended while a hang is active. Returns false if the engine is down, the
+  // run is over, or the router has closed the connection.
+  bool simulateWork(const Socket& socket, Micros duration) const {
+    Micros until = monotonicNow() + duration;
     while (monotonicNow() < until) {
-      if (plan_.isActive("hang", name_, monotonicNow())) until = monotonicNow() + span;
-      if (down()) return false;
-      if (monotonicNow() > end() || socket.awaitPeerClose(std::min(kPollEvery, until - monotonicNow())))
+      if (plan_.isActive("hang", name_, monotonicNow())) until = monotonicNow() + duration;
+      if (isDown()) return false;
+      if (monotonicNow() > end() || socket.awaitPeerClose(std::min(kPollInterval, until - monotonicNow())))
         return false;
     }
     return true;
   }
 
-  std::string turnAway(const Socket& socket, int status) const {
+  std::string reject(const Socket& socket, int status) const {
     socket.write("HTTP/1.1 " + std::to_string(status) + " No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
     return "never-ran";
   }
 
-  // A prefill that has begun goes on though its connection is closed: its state is "left".
-  bool read(Micros span) const {
-    Micros until = monotonicNow() + span;
+  // A prefill that has begun continues after its connection closes: its KV state remains, and it ends as
+  // "left".
+  bool simulatePrefill(Micros duration) const {
+    Micros until = monotonicNow() + duration;
     while (monotonicNow() < until) {
-      if (plan_.isActive("hang", name_, monotonicNow())) until = monotonicNow() + span;
-      if (down() || monotonicNow() > end()) return false;
-      std::this_thread::sleep_for(std::chrono::microseconds(kPollEvery));
+      if (plan_.isActive("hang", name_, monotonicNow())) until = monotonicNow() + duration;
+      if (isDown() || monotonicNow() > end()) return false;
+      std::this_thread::sleep_for(std::chrono::microseconds(kPollInterval));
     }
     return true;
   }
 
   std::string prefill(Socket& socket, std::mt19937_64& random) const {
     const bool isSlow = plan_.isActive("slow", name_, monotonicNow());
-    if (!read(static_cast<Micros>(3 + random() % (isSlow ? 1000 : 30)) * kMillisecond)) return "lost";
+    if (!simulatePrefill(static_cast<Micros>(3 + random() % (isSlow ? 1000 : 30)) * kMillisecond))
+      return "lost";
     if (socket.awaitPeerClose(0)) return "left";
-    const Spoilt spoil = spoilt(random);
-    if (spoil == Spoilt::turnedAway || spoil == Spoilt::noState) return turnAway(socket, 503);
-    if (spoil == Spoilt::error) {
+    const ResponseFault responseFault = drawResponseFault(random);
+    if (responseFault == ResponseFault::rejected || responseFault == ResponseFault::kvStateMissing)
+      return reject(socket, 503);
+    if (responseFault == ResponseFault::error) {
       socket.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
       return "error";
     }
-    if (spoil == Spoilt::garbage || spoil == Spoilt::cut) {
+    if (responseFault == ResponseFault::garbage || responseFault == ResponseFault::cut) {
       socket.write("HTTP/1.1 202 Acc");
       return "broken";
     }
@@ -125,16 +131,16 @@
 
   std::string decode(Socket& socket, std::mt19937_64& random, const std::string& attempt) const {
     const bool isSlow = plan_.isActive("slow", name_, monotonicNow());
-    if (!work(socket, static_cast<Micros>(5 + random() % (isSlow ? 800 : 40)) * kMillisecond))
+    if (!simulateWork(socket, static_cast<Micros>(5 + random() % (isSlow ? 800 : 40)) * kMillisecond))
       return "closed";
-    const Spoilt spoil = spoilt(random);
-    if (spoil == Spoilt::turnedAway) return turnAway(socket, 503);
-    if (spoil == Spoilt::noState) return turnAway(socket, 410);
-    if (spoil == Spoilt::error) {
+    const ResponseFault responseFault = drawResponseFault(random);
+    if (responseFault == ResponseFault::rejected) return reject(socket, 503);
+    if (responseFault == ResponseFault::kvStateMissing) return reject(socket, 410);
+    if (responseFault == ResponseFault::error) {
       socket.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
       return "error";
     }
-    if (spoil == Spoilt::garbage) {
+    if (responseFault == ResponseFault::garbage) {
       socket.write("BTTP/1.1 what\r\n\r\n");
       return "broken";
     }
@@ -144,19 +150,19 @@
     log_.write("fetched" + attempt);
     const auto events = 3 + random() % 20;
     for (std::size_t i = 0; i < events; ++i) {
-      if (spoil == Spoilt::cut && i == events / 2) {
+      if (responseFault == ResponseFault::cut && i == events / 2) {
         socket.write("30\r\ndata: {");
         return "broken";
       }
       const std::string event =
           "data: {\"choices\":[{\"index\":0}],\"at\":" + std::to_string(monotonicNow()) + "}\n\n";
-      if (!socket.write(chunkOf(event))) return "closed";
-      if (!work(socket, static_cast<Micros>(5 + random() % 50) * kMillisecond)) return "closed";
+      if (!socket.write(encodeChunk(event))) return "closed";
+      if (!simulateWork(socket, static_cast<Micros>(5 + random() % 50) * kMillisecond)) return "closed";
     }
-    if (!socket.write(chunkOf("data: [DONE]\n\n"))) return "closed";
-    if (spoil == Spoilt::noLastChunk) return "broken";
+    if (!socket.write(encodeChunk("data: [DONE]\n\n"))) return "closed";
+    if (responseFault == ResponseFault::noLastChunk) return "broken";
     if (!socket.write("0\r\n\r\n")) return "closed";
-    if (spoil == Spoilt::secondAnswer) turnAway(socket, 503);
+    if (responseFault == ResponseFault::secondAnswer) reject(socket, 503);
     return "served";
   }
 
--- a/tests/soak/event_log.h
+++ b/tests/soak/event_log.h
@@ -1,5 +1,5 @@
-// What the processes of a soak tell of themselves: one line an event, in a file for each process, with the
-// time on the machine's monotonic clock, which all of them share.
+// Event log of a soak's processes: one line per event, one file per process. Times are those of the machine's
+// monotonic clock, which all processes share.
 #pragma once
 
 #include <fcntl.h>
@@ -26,7 +26,7 @@
       .count();
 }
 
-/// One line: `TIME KIND name=value ...`; values hold no blank.
+/// One line: `TIME KIND name=value ...`; values contain no spaces.
 struct LoggedEvent {
   Micros at = 0;
   std::string kind;
@@ -42,12 +42,12 @@
   }
 };
 
-/// Appends events to a file. Each line is one write, so that lines of several threads don't mix.
+/// Appends events to a file. Each line is one write, so that lines of different threads do not interleave.
 class EventLog {
  public:
   explicit EventLog(const std::string& path)
       : file_(::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600)) {
-    if (file_ < 0) throw std::runtime_error("can't write " + path);
+    if (file_ < 0) throw std::runtime_error("cannot open event log for writing: " + path);
   }
   ~EventLog() { ::close(file_); }
   EventLog(const EventLog&) = delete;
@@ -56,21 +56,22 @@
   void write(const std::string& kindAndFields) const { write(monotonicNow(), kindAndFields); }
   void write(Micros at, const std::string& kindAndFields) const {
     const std::string line = std::to_string(at) + " " + kindAndFields + "\n";
-    if (::write(file_, line.data(), line.size()) < 0) throw std::runtime_error("can't write an event");
+    if (::write(file_, line.data(), line.size()) < 0)
+      throw std::runtime_error("cannot write to the event log");
   }
 
  private:
   int file_;
 };
 
-/// Reads one line; throws std::runtime_error where it is none. A line cut short by a kill is none.
+/// Parses one line; throws std::runtime_error if it is malformed, as a line truncated by a kill is.
 inline LoggedEvent parseEvent(const std::string& line) {
   std::istringstream words(line);
   LoggedEvent out;
-  if (!(words >> out.at >> out.kind)) throw std::runtime_error("no event: " + line);
+  if (!(words >> out.at >> out.kind)) throw std::runtime_error("malformed event line: " + line);
   for (std::string word; words >> word;) {
     const auto equals = word.find('=');
-    if (equals == std::string::npos) throw std::runtime_error("no field: " + word);
+    if (equals == std::string::npos) throw std::runtime_error("event field without '=': " + word);
     out.fields[word.substr(0, equals)] = word.substr(equals + 1);
   }
   return out;
--- a/tests/soak/peers.h
+++ b/tests/soak/peers.h
@@ -1,4 +1,4 @@
-// The peers of a soak, each the body of a process of its own. They run until the day has ended.
+// The peers of a soak. Each function is the main loop of its own process and runs until the soak run ends.
 #pragma once
 
 #include <string>
@@ -8,19 +8,19 @@
 
 namespace garnethook::soak {
 
-/// What a peer process is told: the day's folder holds the plan and takes its events.
+/// Options of a peer process: the run's folder contains the plan and receives the peer's events.
 struct PeerOptions {
   std::string folder;
   int number = 0;
 
   Plan plan() const { return Plan::read(folder + "/plan"); }
   std::string logFile(const std::string& name) const { return folder + "/" + name + ".events"; }
-  /// Exists while a router takes new connections, as far as the platform's front knows.
+  /// File that exists while the platform's frontend considers the router to be in service.
   std::string inService(int router) const { return folder + "/in-service-" + std::to_string(router); }
 };
 
-/// How long after the day's end peers stay for what is still open.
-inline constexpr Micros kAfterDay = 9 * kSecond;
+/// Time after the end of the run for which peers keep serving open requests.
+inline constexpr Micros kDrainAfterRun = 9 * kSecond;
 
 void runEngine(const PeerOptions& options);
 void runProxy(const PeerOptions& options);  ///< `number`: 0 for zone a, 1 for zone b.
--- a/tests/soak/proxy_peer.cpp
+++ b/tests/soak/proxy_peer.cpp
@@ -1,5 +1,5 @@
-// The network between routers and the engines of one zone: refuses, resets, or carries nothing for a while.
-// It alone sees when a router closes a connection that is cut off.
+// Proxy for the network between routers and the engines of one zone: it refuses or resets connections, or
+// forwards nothing for a while. Only the proxy observes when a router closes a connection that is cut off.
 #include <poll.h>
 
 #include <algorithm>
@@ -15,9 +15,9 @@
 namespace garnethook::soak {
 namespace {
 
-constexpr Micros kTurn = 10 * kMillisecond;
-constexpr Micros kConnectWithin = kSecond;
-constexpr int kResetPercent = 30;  // of connections during a trouble with resets
+constexpr Micros kPollInterval = 10 * kMillisecond;
+constexpr Micros kConnectTimeout = kSecond;
+constexpr int kResetPercent = 30;  // share of connections while a "reset" fault is active
 
 class Proxy {
  public:
@@ -34,15 +34,15 @@
   }
 
  private:
-  Micros end() const { return plan_.start + plan_.length + kAfterDay; }
+  Micros end() const { return plan_.start + plan_.length + kDrainAfterRun; }
 
   void listen(int engine) {
     const std::string name = "e" + std::to_string(engine);
     Socket listener = listenAt(plan_.proxyPort(engine));
     while (monotonicNow() < end()) {
-      if (silent(name)) {
+      if (isCutOff(name)) {
         listener.close();
-        keepSilence(plan_.proxyPort(engine), name);
+        dropNewConnections(plan_.proxyPort(engine), name);
         continue;
       }
       if (plan_.isActive("refuse", name, monotonicNow())) {
@@ -51,35 +51,35 @@
         continue;
       }
       if (!listener) listener = listenAt(plan_.proxyPort(engine));
-      Socket socket = acceptFrom(listener, kTurn);
+      Socket socket = acceptFrom(listener, kPollInterval);
       if (socket)
-        std::thread([this, engine, name, s = std::move(socket)]() mutable {
-          carry(s, engine, name);
+        std::thread([this, engine, name, connection = std::move(socket)]() mutable {
+          forward(connection, engine, name);
         }).detach();
     }
   }
 
-  bool silent(const std::string& engine) const {
+  bool isCutOff(const std::string& engine) const {
     const Micros now = monotonicNow();
     return plan_.isActive("silent", engine, now) || plan_.isActive("cut", zone_, now);
   }
 
-  // New connections get no answer at all, as from a machine that is cut off: the system's queue of a listener
-  // that accepts nothing is full, and drops what comes.
-  void keepSilence(int port, const std::string& name) const {
+  // New connections get no response, as from a host that is cut off: the backlog of a listener that accepts
+  // nothing is full, so the kernel drops connection attempts.
+  void dropNewConnections(int port, const std::string& name) const {
     const Socket listener = listenAt(port, 0);
-    constexpr std::size_t kFill = 4;
+    constexpr std::size_t kFillerConnections = 4;
     std::vector<Socket> fillers;
-    while (silent(name)) {
-      if (fillers.size() < kFill) fillers.push_back(connectTo("127.0.0.1", port, kTurn));
+    while (isCutOff(name)) {
+      if (fillers.size() < kFillerConnections) fillers.push_back(connectTo("127.0.0.1", port, kPollInterval));
       std::this_thread::sleep_for(std::chrono::milliseconds(2));
     }
   }
 
-  // Carries bytes both ways until one side closes.
-  void carry(Socket& router, int engine, const std::string& name) {
+  // Forwards bytes in both directions until one side closes.
+  void forward(Socket& router, int engine, const std::string& name) {
     const int routerNumber = Plan::routerOf(router.localHost());
-    Socket upstream = connectTo("127.0.0.1", plan_.enginePort(engine), kConnectWithin);
+    Socket upstream = connectTo("127.0.0.1", plan_.enginePort(engine), kConnectTimeout);
     if (!upstream) return router.reset();
     const std::string link = " engine=" + name + " port=" + std::to_string(upstream.localPort());
     log_.write("link" + link + " router=r" + std::to_string(routerNumber));
@@ -87,17 +87,18 @@
     Micros resetAt = end();
     const Micros since = monotonicNow();
     while (monotonicNow() < end()) {
-      if (fellSilent(name, since)) {
+      if (isPermanentlySilent(name, since)) {
         log_.write("silenced" + link);
-        router.awaitPeerClose(end() - monotonicNow());  // nothing is carried any more, and nobody is told
+        router.awaitPeerClose(end() - monotonicNow());  // nothing is forwarded, and neither side is notified
         log_.write("closed" + link + " by=router");
-        return awaitSilentEnd(upstream);
+        return awaitEngineClose(upstream);
       }
-      if (plan_.isActive("held", name, monotonicNow()) && !deliverLate(router, upstream, name, link)) return;
-      if (silent(name)) {
-        const bool waited = awaitVoice(router, name);
-        log_.write("closed" + link + (waited ? " by=network" : " by=router"));
-        if (waited) router.reset();  // it is back, and knows nothing of this connection
+      if (plan_.isActive("held", name, monotonicNow()) && !deliverDelayed(router, upstream, name, link))
+        return;
+      if (isCutOff(name)) {
+        const bool hasRecovered = awaitRecovery(router, name);
+        log_.write("closed" + link + (hasRecovered ? " by=network" : " by=router"));
+        if (hasRecovered) router.reset();  // the network is back, but the connection's state is lost
         return upstream.reset();
       }
       if (resetAt == end() && plan_.isActive("reset", name, monotonicNow()))
@@ -109,54 +110,56 @@
         router.reset();
         return upstream.reset();
       }
-      if (!turn(router, upstream, link)) return;
+      if (!forwardOnce(router, upstream, link)) return;
     }
   }
 
-  // Whether this connection, open since then, has fallen silent for good: new ones are sound.
-  bool fellSilent(const std::string& engine, Micros since) const {
+  // Returns whether this connection, opened at `since`, has become silent permanently; new connections work.
+  bool isPermanentlySilent(const std::string& engine, Micros since) const {
     const Micros now = monotonicNow();
-    return std::any_of(plan_.plannedFaults.begin(), plan_.plannedFaults.end(), [&](const Fault& t) {
-      const bool isMeant = t.kind == "deaf" && (t.target == engine || t.target == "all");
-      return isMeant && since < plan_.start + t.from && now >= plan_.start + t.from;
+    return std::any_of(plan_.plannedFaults.begin(), plan_.plannedFaults.end(), [&](const Fault& fault) {
+      const bool applies = fault.kind == "deaf" && (fault.target == engine || fault.target == "all");
+      return applies && since < plan_.start + fault.from && now >= plan_.start + fault.from;
     });
   }
 
-  // The engine hears nothing of the router's close for a while.
-  void awaitSilentEnd(const Socket& upstream) const { upstream.awaitPeerClose(2 * kSecond); }
+  // The engine does not observe the router's close for a while.
+  void awaitEngineClose(const Socket& upstream) const { upstream.awaitPeerClose(2 * kSecond); }
 
-  // Holds back what the router sends until the trouble is over, and then delivers it, also where the router
-  // has closed meanwhile. False: the connection has ended.
-  bool deliverLate(Socket& router, Socket& upstream, const std::string& name, const std::string& link) {
-    std::string held;
+  // Buffers what the router sends until the fault is over and then delivers it, even if the router has closed
+  // in the meantime. Returns false if the connection has ended.
+  bool deliverDelayed(Socket& router, Socket& upstream, const std::string& name, const std::string& link) {
+    std::string delayedBytes;
     bool isOpen = true;
     while (plan_.isActive("held", name, monotonicNow())) {
       bool broken = false;
-      const auto bytes = isOpen ? router.read(kTurn, broken) : std::nullopt;
-      if (!isOpen) std::this_thread::sleep_for(std::chrono::microseconds(kTurn));
-      if (bytes) held += *bytes;
+      const auto bytes = isOpen ? router.read(kPollInterval, broken) : std::nullopt;
+      if (!isOpen) std::this_thread::sleep_for(std::chrono::microseconds(kPollInterval));
+      if (bytes) delayedBytes += *bytes;
       if (!isOpen || (!broken && !(bytes && bytes->empty()))) continue;
       isOpen = false;
       log_.write("closed" + link + " by=router");
     }
-    if (!held.empty()) {
+    if (!delayedBytes.empty()) {
       log_.write("late" + link);
-      upstream.write(held);
+      upstream.write(delayedBytes);
     }
-    if (!isOpen) std::this_thread::sleep_for(std::chrono::microseconds(kTurn));  // it begins before the close
+    if (!isOpen)
+      std::this_thread::sleep_for(
+          std::chrono::microseconds(kPollInterval));  // the attempt must begin before the close
     return isOpen;
   }
 
-  // Waits while nothing is carried; false: the router has closed meanwhile.
-  bool awaitVoice(Socket& router, const std::string& name) const {
-    while (silent(name))
-      if (router.awaitPeerClose(kTurn)) return false;
+  // Waits while nothing is forwarded. Returns false if the router has closed in the meantime.
+  bool awaitRecovery(Socket& router, const std::string& name) const {
+    while (isCutOff(name))
+      if (router.awaitPeerClose(kPollInterval)) return false;
     return true;
   }
 
-  bool turn(Socket& router, Socket& upstream, const std::string& link) {
+  bool forwardOnce(Socket& router, Socket& upstream, const std::string& link) {
     pollfd sides[2] = {{router.descriptor(), POLLIN | POLLRDHUP, 0}, {upstream.descriptor(), POLLIN, 0}};
-    if (::poll(sides, 2, static_cast<int>(kTurn / 1000)) <= 0) return true;
+    if (::poll(sides, 2, static_cast<int>(kPollInterval / 1000)) <= 0) return true;
     bool broken = false;
     if (sides[0].revents != 0) {
       const auto bytes = router.read(0, broken);
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -1,8 +1,8 @@
 // Fault soak of `garnethook run`: routers, engines, network, discovery and clients as processes on loopback,
-// with troubles that overlap in time. Exit status: 0 all rules kept, 1 a rule broken, 2 it could not be
-// played.
+// with overlapping faults. Exit status: 0 no rule was violated, 1 a rule was violated, 2 the soak could not
+// run.
 //
-// Usage: garnethook_soak --program PATH --shim PATH [--seed N] [--seeds COUNT] [--seconds S] [--folder DIR]
+// Usage: fault_soak --program PATH --shim PATH [--seed N] [--seeds COUNT] [--seconds S] [--folder DIR]
 //        [--faults SPEC] [--clock SPEC] [--keep]
 #include <signal.h>
 #include <sys/prctl.h>
@@ -25,10 +25,10 @@
 using test::ChildProcess;
 namespace fs = std::filesystem;
 
-constexpr Micros kReadyWithin = 10 * kSecond;
-constexpr Micros kAcceptsAfterSignal = 300 * kMillisecond;  // as the platform's front goes on using a router
-constexpr Micros kKillNoticed = 300 * kMillisecond;
-constexpr Micros kTurn = 5 * kMillisecond;
+constexpr Micros kReadyTimeout = 10 * kSecond;
+constexpr Micros kInServiceAfterSignal = 300 * kMillisecond;  // the platform's frontend still uses the router
+constexpr Micros kKillDetectedAfter = 300 * kMillisecond;
+constexpr Micros kPollInterval = 5 * kMillisecond;
 
 struct Options {
   std::string self;
@@ -44,25 +44,25 @@
   bool keep = false;
 };
 
-// Momentary failures that Linux documents for the calls of the program.
-constexpr const char* kAllCalls =
+// Transient errors that Linux documents for the program's system calls.
+constexpr const char* kAllCallErrors =
     "recv:EINTR:2,recv:ENOMEM:1,recv:SHORT:3,send:EINTR:2,send:ENOBUFS:1,send:ENOMEM:1,send:SHORT:2,"
     "accept:ECONNABORTED:2,accept:ENFILE:2,accept:EPROTO:1,accept:EINTR:1,accept:ENOBUFS:1,accept:ENETDOWN:1,"
     "socket:ENFILE:1,socket:ENOBUFS:1,socket:EMFILE:1,connect:EADDRNOTAVAIL:1,connect:ENETUNREACH:1,"
     "connect:EINTR:2,epoll_wait:EINTR:5,epoll_ctl:ENOMEM:1,epoll_ctl:ENOSPC:1,poll:EINTR:2,poll:ENOMEM:1,"
     "getpeername:ENOBUFS:2,close:EINTR:2,open:EMFILE:10,open:EINTR:10,read:EINTR:10,write:EINTR:1";
-constexpr const char* kWaits = "epoll_wait:EINTR:20,poll:EINTR:5,recv:EINTR:5,send:EINTR:5";
+constexpr const char* kInterruptedWaits = "epoll_wait:EINTR:20,poll:EINTR:5,recv:EINTR:5,send:EINTR:5";
 
-std::string faultsFor(const Options& options, std::uint64_t seed) {
+std::string callFaultsFor(const Options& options, std::uint64_t seed) {
   if (options.faults != "auto") return options.faults;
   switch (seed % 4) {
-    case 1: return kAllCalls;
-    case 2: return kWaits;
+    case 1: return kAllCallErrors;
+    case 2: return kInterruptedWaits;
     default: return "";
   }
 }
 
-std::string clockFor(const Options& options, std::uint64_t seed) {
+std::string clockStepsFor(const Options& options, std::uint64_t seed) {
   if (options.clock != "auto") return options.clock;
   switch (seed % 3) {
     case 1: return "3000:3600000,6000:-7200000,9000:5000";
@@ -71,7 +71,7 @@
   }
 }
 
-// One router: its process, and what is planned for it.
+// A router process and the faults that are planned for it.
 class RouterProcess {
  public:
   RouterProcess(const Options& options, const PeerOptions& peer, const Plan& plan, const EventLog& log,
@@ -82,27 +82,27 @@
         log_(log),
         number_(number),
         name_("r" + std::to_string(number)) {
-    for (const Fault& t : plan.plannedFaults)
-      if (t.target == name_) troubles_.push_back(t);
-    std::sort(troubles_.begin(), troubles_.end(),
-              [](const Fault& a, const Fault& b) { return a.from < b.from; });
+    for (const Fault& fault : plan.plannedFaults)
+      if (fault.target == name_) faults_.push_back(fault);
+    std::sort(faults_.begin(), faults_.end(),
+              [](const Fault& left, const Fault& right) { return left.from < right.from; });
     start();
   }
 
   bool ready() const { return ready_; }
 
-  // To be called every few milliseconds.
-  void turn() {
+  // Must be called every few milliseconds.
+  void poll() {
     const Micros now = monotonicNow();
-    lookForEnd(now);
-    lookForReady(now);
-    while (ready_ && next_ < troubles_.size() && now >= plan_.start + troubles_[next_].from)
-      act(troubles_[next_++]);
+    checkExit(now);
+    checkReady(now);
+    while (ready_ && nextFault_ < faults_.size() && now >= plan_.start + faults_[nextFault_].from)
+      applyFault(faults_[nextFault_++]);
     if (resumeAt_ != 0 && now >= resumeAt_) {
       process_->signal(SIGCONT);
       resumeAt_ = 0;
     }
-    if (leaveAt_ != 0 && now >= leaveAt_) leaveService();
+    if (removeFromServiceAt_ != 0 && now >= removeFromServiceAt_) removeFromService();
     if (killAt_ != 0 && now >= killAt_) {
       log_.write("overdue router=" + name_);
       process_->signal(SIGKILL);
@@ -110,10 +110,10 @@
     }
   }
 
-  // Ends it in order; true once it has ended.
+  // Starts a graceful shutdown; returns true once the process has exited.
   bool finish() {
     if (!finishing_) {
-      finishing_ = ended_ = true;
+      finishing_ = exited_ = true;
       if (resumeAt_ != 0) process_->signal(SIGCONT);
       process_->signal(SIGTERM);
     }
@@ -123,18 +123,18 @@
   std::string errorFile() const { return peer_.folder + "/" + name_ + ".log"; }
 
  private:
-  void configure(std::string discovery, bool spoilt = false) {
-    const std::string own = Plan::sourceAddressOf(number_);
+  void configure(std::string discovery, bool truncated = false) {
+    const std::string sourceAddress = Plan::sourceAddressOf(number_);
     const int port = plan_.discoveryPort(discovery == "d0" ? 0 : 1);
     std::string members;
     for (int e = 0; e < plan_.engines(); ++e)
       members += std::string(e == 0 ? "" : ",") + R"({"id":"e)" + std::to_string(e) + R"(","host_port":")" +
-                 own + ":" + std::to_string(plan_.proxyPort(e)) + R"(","locality":")" + plan_.zone(e) +
-                 R"(","flavor":")" + (plan_.isPrefillEngine(e) ? "m1" : "m2") + R"(","cell":)" +
-                 std::to_string(e % 2) + R"(,"phase":"ready","size":1.0,"up_since_ms":0})";
+                 sourceAddress + ":" + std::to_string(plan_.proxyPort(e)) + R"(","locality":")" +
+                 plan_.zone(e) + R"(","flavor":")" + (plan_.isPrefillEngine(e) ? "m1" : "m2") +
+                 R"(","cell":)" + std::to_string(e % 2) + R"(,"phase":"ready","size":1.0,"up_since_ms":0})";
     std::string text =
         R"({"name":")" + name_ + R"(","listen":"127.0.0.1:)" + std::to_string(plan_.routerPort(number_)) +
-        R"(","discovery":")" + own + ":" + std::to_string(port) + R"(","seed":")" +
+        R"(","discovery":")" + sourceAddress + ":" + std::to_string(port) + R"(","seed":")" +
         std::to_string(number_ + 1) +
         R"(","limits":{"cores":1,"memory_mb":192,"sockets":512},
       "known":{"revision":1,"complete":true,"members":[)" +
@@ -147,25 +147,25 @@
         "familyInfo":{"kindRole":["read","write"],"memoryTokens":[200000,100000],"releaseWithinMs":500.0,
                       "tokenAimMs":[50.0,70.0,70.0]},
         "profiles":[{"name":"chat","aimMs":)" +
-        aim(0) + R"(,"deadlineMs":)" + std::to_string(plan_.deadlinesMs[0]) +
+        ttftObjectiveMs(0) + R"(,"deadlineMs":)" + std::to_string(plan_.deadlinesMs[0]) +
         R"(,"effect":"read_like","streaming":true},
                     {"name":"keyed","aimMs":)" +
-        aim(1) + R"(,"deadlineMs":)" + std::to_string(plan_.deadlinesMs[1]) +
+        ttftObjectiveMs(1) + R"(,"deadlineMs":)" + std::to_string(plan_.deadlinesMs[1]) +
         R"(,"effect":"idempotency_key","group":"zone",
                      "windowMs":1500.0,"streaming":true},
                     {"name":"order","aimMs":)" +
-        aim(2) + R"(,"deadlineMs":)" + std::to_string(plan_.deadlinesMs[2]) +
+        ttftObjectiveMs(2) + R"(,"deadlineMs":)" + std::to_string(plan_.deadlinesMs[2]) +
         R"(,"effect":"non_idempotent","streaming":true}],
         "rules":{"coldFrom":0.3,"warmWithinMs":4000.0,"fallMultiple":2.5,"tipAfterMs":1500.0,"drainGraceMs":1500.0,
                  "graceToAnswerMs":8.0}}})";
     discovery_ = discovery;
-    if (spoilt) text.resize(text.size() / 2);
-    const std::string draft = configFile() + ".draft";
-    std::ofstream(draft) << text;
-    fs::rename(draft, configFile());
+    if (truncated) text.resize(text.size() / 2);
+    const std::string temporaryFile = configFile() + ".draft";
+    std::ofstream(temporaryFile) << text;
+    fs::rename(temporaryFile, configFile());
   }
-  // Time to a first token that is wanted: half of the deadline.
-  std::string aim(std::size_t requestClass) const {
+  // Returns the TTFT objective: half of the deadline.
+  std::string ttftObjectiveMs(std::size_t requestClass) const {
     return std::to_string(plan_.deadlinesMs[requestClass] / 2);
   }
   std::string configFile() const { return peer_.folder + "/" + name_ + ".json"; }
@@ -173,79 +173,81 @@
   void start() {
     configure(discovery_);
     std::vector<std::string> environment{
-        "RELAY_CONFIG=" + configFile(), "FAULTS=" + faultsFor(options_, plan_.seed),
-        "CLOCK_STEPS=" + clockFor(options_, plan_.seed),
-        "FAULT_SEED=" + std::to_string(plan_.seed * 100 + static_cast<unsigned>(number_ + 10 * starts_++))};
+        "RELAY_CONFIG=" + configFile(), "FAULTS=" + callFaultsFor(options_, plan_.seed),
+        "CLOCK_STEPS=" + clockStepsFor(options_, plan_.seed),
+        "FAULT_SEED=" +
+            std::to_string(plan_.seed * 100 + static_cast<unsigned>(number_ + 10 * startCount_++))};
     if (!options_.shim.empty()) environment.push_back("LD_PRELOAD=" + options_.shim);
     environment.push_back("ASAN_OPTIONS=verify_asan_link_order=0");
     process_ = std::make_unique<ChildProcess>(
         ChildOptions{{options_.program, "run", "--log", "debug"}, environment, errorFile()});
     startedAt_ = monotonicNow();
     log_.write("started router=" + name_);
-    ready_ = ended_ = false;
+    ready_ = exited_ = false;
   }
 
-  void lookForReady(Micros now) {
-    if (ready_ || ended_) return;
+  void checkReady(Micros now) {
+    if (ready_ || exited_) return;
     Socket socket = connectTo("127.0.0.1", plan_.routerPort(number_), 50 * kMillisecond);
     HttpReader reader(socket);
-    HttpMessage answer;
-    const bool asked =
+    HttpMessage response;
+    const bool isRequestSent =
         socket && socket.write("GET /-/ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-    if (asked && reader.readMessage(answer, now + 200 * kMillisecond) == HttpReader::Result::whole &&
-        answer.start.starts_with("HTTP/1.1 200")) {
+    if (isRequestSent &&
+        reader.readMessage(response, now + 200 * kMillisecond) == HttpReader::Result::whole &&
+        response.start.starts_with("HTTP/1.1 200")) {
       ready_ = true;
       std::ofstream(peer_.inService(number_)) << "1";
-    } else if (now - startedAt_ > kReadyWithin && !std::exchange(lateTold_, true)) {
+    } else if (now - startedAt_ > kReadyTimeout && !std::exchange(lateReadyLogged_, true)) {
       log_.write("late-ready router=" + name_);
     }
   }
 
-  void lookForEnd(Micros now) {
-    if (ended_ || !process_->ended()) {
-      if (ended_ && now >= restartAt_) start();
+  void checkExit(Micros now) {
+    if (exited_ || !process_->ended()) {
+      if (exited_ && now >= restartAt_) start();
       return;
     }
-    ended_ = true;
-    if (killAt_ == 0 && !expected_)
+    exited_ = true;
+    if (killAt_ == 0 && !exitExpected_)
       log_.write("crashed router=" + name_ + " what=status-" +
                  std::to_string(process_->exitStatus().value_or(-1)));
-    killAt_ = leaveAt_ = resumeAt_ = 0;
-    expected_ = lateTold_ = false;
-    leaveService();
+    killAt_ = removeFromServiceAt_ = resumeAt_ = 0;
+    exitExpected_ = lateReadyLogged_ = false;
+    removeFromService();
     restartAt_ = now + 200 * kMillisecond;
   }
 
-  void leaveService() {
+  void removeFromService() {
     std::error_code ignored;
     fs::remove(peer_.inService(number_), ignored);
-    leaveAt_ = 0;
+    removeFromServiceAt_ = 0;
   }
 
-  void act(const Fault& t) {
+  void applyFault(const Fault& fault) {
     const Micros now = monotonicNow();
-    if (t.kind == "term") {
+    if (fault.kind == "term") {
       process_->signal(SIGTERM);
       log_.write("terminated router=" + name_);
-      leaveAt_ = now + kAcceptsAfterSignal;
+      removeFromServiceAt_ = now + kInServiceAfterSignal;
       killAt_ = now + plan_.killAfterSignal();
-      expected_ = true;
-    } else if (t.kind == "term-again") {
+      exitExpected_ = true;
+    } else if (fault.kind == "term-again") {
       if (killAt_ != 0) process_->signal(SIGTERM);
-    } else if (t.kind == "kill") {
+    } else if (fault.kind == "kill") {
       log_.write("killed router=" + name_);
       process_->signal(SIGKILL);
-      expected_ = true;
-      leaveAt_ = now + kKillNoticed;
-    } else if (t.kind == "hup") {
-      configure(t.detail);
+      exitExpected_ = true;
+      removeFromServiceAt_ = now + kKillDetectedAfter;
+    } else if (fault.kind == "hup") {
+      configure(fault.detail);
       process_->signal(SIGHUP);
-    } else if (t.kind == "badhup") {
+    } else if (fault.kind == "badhup") {
       configure(discovery_, true);
       process_->signal(SIGHUP);
-    } else if (t.kind == "pause") {
+    } else if (fault.kind == "pause") {
       process_->signal(SIGSTOP);
-      resumeAt_ = plan_.start + t.until;
+      resumeAt_ = plan_.start + fault.until;
     }
   }
 
@@ -256,26 +258,26 @@
   int number_;
   std::string name_;
   std::string discovery_ = "d0";
-  std::vector<Fault> troubles_;
-  std::size_t next_ = 0;
+  std::vector<Fault> faults_;
+  std::size_t nextFault_ = 0;
   std::unique_ptr<ChildProcess> process_;
-  int starts_ = 0;
+  int startCount_ = 0;
   Micros startedAt_ = 0;
   Micros restartAt_ = 0;
-  Micros leaveAt_ = 0;
+  Micros removeFromServiceAt_ = 0;
   Micros killAt_ = 0;
   Micros resumeAt_ = 0;
   bool ready_ = false;
-  bool ended_ = false;
-  bool expected_ = false;
-  bool lateTold_ = false;
+  bool exited_ = false;
+  bool exitExpected_ = false;
+  bool lateReadyLogged_ = false;
   bool finishing_ = false;
 };
 
-// One day with one seed.
-class Day {
+// One run with one seed.
+class SoakRun {
  public:
-  Day(const Options& options, std::uint64_t seed) : options_(options) {
+  SoakRun(const Options& options, std::uint64_t seed) : options_(options) {
     peer_.folder = options.folder + "/seed-" + std::to_string(seed);
     fs::remove_all(peer_.folder);
     fs::create_directories(peer_.folder);
@@ -284,7 +286,7 @@
     plan_.write(peer_.folder + "/plan");
   }
 
-  bool play() {
+  bool run() {
     const EventLog log(peer_.folder + "/day.events");
     for (int i = 0; i < plan_.engines(); ++i) spawn("engine", i);
     for (int zone = 0; zone < 2; ++zone) spawn("proxy", zone);
@@ -296,8 +298,8 @@
     for (int i = 0; i < plan_.clients; ++i) spawn("clients", i);
     const Micros end = plan_.start + plan_.length + 4 * kSecond;
     while (monotonicNow() < end) {
-      for (auto& router : routers) router->turn();
-      std::this_thread::sleep_for(std::chrono::microseconds(kTurn));
+      for (auto& router : routers) router->poll();
+      std::this_thread::sleep_for(std::chrono::microseconds(kPollInterval));
     }
     finish(routers, log);
     collectViolations(routers, log);
@@ -315,16 +317,16 @@
 
   void finish(std::vector<std::unique_ptr<RouterProcess>>& routers, const EventLog& log) const {
     const Micros until = monotonicNow() + plan_.killAfterSignal();
-    bool all = false;
-    while (!all && monotonicNow() < until) {
-      all = true;
-      for (auto& router : routers) all = router->finish() && all;
-      std::this_thread::sleep_for(std::chrono::microseconds(kTurn));
+    bool allExited = false;
+    while (!allExited && monotonicNow() < until) {
+      allExited = true;
+      for (auto& router : routers) allExited = router->finish() && allExited;
+      std::this_thread::sleep_for(std::chrono::microseconds(kPollInterval));
     }
-    if (!all) log.write("overdue router=any");
+    if (!allExited) log.write("overdue router=any");
   }
 
-  // What routers found of their own breaches.
+  // Collects the violations and sanitizer errors that the routers logged.
   static void collectViolations(const std::vector<std::unique_ptr<RouterProcess>>& routers,
                                 const EventLog& log) {
     for (const auto& router : routers) {
@@ -345,15 +347,15 @@
     std::vector<LoggedEvent> events;
     for (const auto& file : fs::directory_iterator(peer_.folder)) {
       if (file.path().extension() != ".events") continue;
-      const auto more = readEvents(file.path().string());
-      events.insert(events.end(), more.begin(), more.end());
+      const auto fileEvents = readEvents(file.path().string());
+      events.insert(events.end(), fileEvents.begin(), fileEvents.end());
     }
     const Verdict verdict = checkInvariants(plan_, std::move(events));
     std::cout << "seed " << plan_.seed << ":";
     for (const auto& [name, count] : verdict.counts) std::cout << " " << name << " " << count << ",";
     std::cout << " breaches " << verdict.violations.size() << "\n";
-    for (const Violation& b : verdict.violations)
-      std::cout << "  " << b.at / 1000 << " ms " << b.rule << ": " << b.text << "\n";
+    for (const Violation& violation : verdict.violations)
+      std::cout << "  " << violation.at / 1000 << " ms " << violation.rule << ": " << violation.text << "\n";
     std::cout << std::flush;
     return verdict.violations.empty();
   }
@@ -368,9 +370,9 @@
   int failed = 0;
   for (int i = 0; i < options.seeds; ++i) {
     const std::uint64_t seed = options.seed + static_cast<std::uint64_t>(i);
-    const bool kept = Day(options, seed).play();
-    if (!kept) ++failed;
-    if (kept && !options.keep) fs::remove_all(options.folder + "/seed-" + std::to_string(seed));
+    const bool passed = SoakRun(options, seed).run();
+    if (!passed) ++failed;
+    if (passed && !options.keep) fs::remove_all(options.folder + "/seed-" + std::to_string(seed));
   }
   std::cout << options.seeds - failed << " passed, " << failed << " failed" << std::endl;
   return failed == 0 ? 0 : 1;
@@ -382,7 +384,7 @@
   if (role == "proxy") runProxy(options);
   if (role == "discovery") runDiscovery(options);
   if (role == "clients") runClients(options);
-  ::_exit(0);  // threads of connections may still stand
+  ::_exit(0);  // connection threads may still be running
 }
 
 }  // namespace
@@ -396,18 +398,20 @@
   std::string peer;
   PeerOptions peerOptions;
   CLI::App app{"Fault soak of garnethook run"};
-  app.add_option("--program", options.program, "the router's program");
-  app.add_option("--shim", options.shim, "the library with failing system calls; none: calls don't fail");
-  app.add_option("--seed", options.seed, "the first day's seed");
-  app.add_option("--seeds", options.seeds, "how many days");
-  app.add_option("--seconds", options.seconds, "length of a day");
-  app.add_option("--folder", options.folder, "takes a folder for each day");
-  app.add_option("--faults", options.faults, "CALL:ERRNO:PERCENT,... in place of the seed's choice");
-  app.add_option("--clock", options.clock, "AFTER_MS:STEP_MS,... in place of the seed's choice");
-  app.add_option("--ports", options.portBase, "first of the ports that are used");
-  app.add_flag("--keep", options.keep, "keep the folders of days that passed");
-  app.add_option("--peer", peer, "used by itself, for its peers");
-  app.add_option("--number", peerOptions.number, "used by itself, for its peers");
+  app.add_option("--program", options.program, "path of the router program");
+  app.add_option("--shim", options.shim,
+                 "library that injects system call errors; none: no errors are injected");
+  app.add_option("--seed", options.seed, "seed of the first run");
+  app.add_option("--seeds", options.seeds, "number of runs");
+  app.add_option("--seconds", options.seconds, "length of a run in seconds");
+  app.add_option("--folder", options.folder, "parent of the folders of all runs");
+  app.add_option("--faults", options.faults,
+                 "CALL:ERRNO:PERCENT,... instead of the faults selected by the seed");
+  app.add_option("--clock", options.clock, "AFTER_MS:STEP_MS,... instead of the steps selected by the seed");
+  app.add_option("--ports", options.portBase, "first port of the range in use");
+  app.add_flag("--keep", options.keep, "keep the folders of runs that passed");
+  app.add_option("--peer", peer, "internal: starts a peer process");
+  app.add_option("--number", peerOptions.number, "internal: starts a peer process");
   CLI11_PARSE(app, argc, argv);
   try {
     if (!peer.empty()) {
