--- a/tests/soak/client_peer.cpp
+++ b/tests/soak/client_peer.cpp
@@ -15,8 +15,7 @@
 constexpr int kThreads = 10;
 constexpr int kIdleConnections = 120;
 constexpr Micros kConnectTimeout = 10 * kMillisecond;
-constexpr Micros kResponseTimeout =
-    9 * kSecond;  // longest deadline, duration of a stream, and time for a late answer
+constexpr Micros kResponseTimeout = 9 * kSecond;  // longest deadline, a stream, and a margin for late answers
 constexpr const char* kClasses[] = {"chat", "keyed", "order"};
 
 class Client {
@@ -130,7 +129,7 @@
     const Micros deadline = sentAt + kResponseTimeout;
     const auto result = reader.readMessage(response, deadline);
     if (result != HttpReader::Result::whole) {
-      const char* how = result == HttpReader::Result::late     ? "late"
+      const char* how = result == HttpReader::Result::timedOut ? "late"
                         : result == HttpReader::Result::broken ? "reset"
                         : response.firstByteAt != 0            ? "cut"
                                                                : "closed";
@@ -153,7 +152,7 @@
       const auto result = reader.readChunk(chunk, monotonicNow() + 7 * kSecond);
       if (result != HttpReader::Result::whole) {
         log_.write("cut id=" + id + " slowest=" + std::to_string(slowestEvent) +
-                   " how=" + (result == HttpReader::Result::late ? "silent" : "closed"));
+                   " how=" + (result == HttpReader::Result::timedOut ? "silent" : "closed"));
         return false;
       }
       if (chunk.empty()) break;
--- a/tests/soak/discovery_peer.cpp
+++ b/tests/soak/discovery_peer.cpp
@@ -11,8 +11,7 @@
 
 constexpr Micros kPollInterval = 10 * kMillisecond;
 constexpr Micros kHeartbeatInterval = 2 * kSecond;
-constexpr Micros kLateListDelay =
-    2800 * kMillisecond;  // delay of a watch's first list while the fault "late" is active
+constexpr Micros kLateListDelay = 2800 * kMillisecond;  // of a watch's first list under the fault "late"
 
 class Discovery {
  public:
--- a/tests/soak/engine_peer.cpp
+++ b/tests/soak/engine_peer.cpp
@@ -71,7 +71,7 @@
         plan_.isPrefillEngine(number_) ? prefill(socket, random) : decode(socket, random, attempt);
     log_.write("end" + attempt + " how=" + how);
     return how == "read" || how == "served" || how == "never-ran" ||
-           how == "error";  // the other outcomes end the connection
+           how == "error";  // other outcomes close it
   }
 
   ResponseFault drawResponseFault(std::mt19937_64& random) const {
--- a/tests/soak/oracle.cpp
+++ b/tests/soak/oracle.cpp
@@ -60,11 +60,11 @@
   }
 
   Verdict run() {
-    for (const LoggedEvent& event : events_) applyEvent(event);
-    for (auto& [id, request] : requests_) {
-      std::sort(request.attempts.begin(), request.attempts.end(),
+    for (const LoggedEvent& loggedEvent : events_) applyEvent(loggedEvent);
+    for (auto& [id, recorded] : requests_) {
+      std::sort(recorded.attempts.begin(), recorded.attempts.end(),
                 [](const Attempt& a, const Attempt& b) { return a.arrivedAt < b.arrivedAt; });
-      checkRequest(request);
+      checkRequest(recorded);
     }
     checkTotals();
     return std::move(verdict_);
--- a/tests/soak/sockets.cpp
+++ b/tests/soak/sockets.cpp
@@ -15,11 +15,11 @@
 namespace {
 
 sockaddr_in addressOf(const std::string& host, int port) {
-  sockaddr_in out{};
-  out.sin_family = AF_INET;
-  out.sin_port = htons(static_cast<std::uint16_t>(port));
-  ::inet_pton(AF_INET, host.c_str(), &out.sin_addr);
-  return out;
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(static_cast<std::uint16_t>(port));
+  ::inet_pton(AF_INET, host.c_str(), &address.sin_addr);
+  return address;
 }
 
 short waitFor(int descriptor, short events, Micros wait) {
@@ -41,8 +41,8 @@
 }
 
 void Socket::reset() {
-  const linger hard{1, 0};
-  if (descriptor_ >= 0) ::setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+  const linger resetOnClose{1, 0};
+  if (descriptor_ >= 0) ::setsockopt(descriptor_, SOL_SOCKET, SO_LINGER, &resetOnClose, sizeof resetOnClose);
   close();
 }
 
@@ -58,14 +58,14 @@
 std::optional<std::string> Socket::read(Micros wait, bool& broken) const {
   broken = false;
   if (waitFor(descriptor_, POLLIN, wait) == 0) return std::nullopt;
-  std::string out(64 * 1024, '\0');
-  const auto count = ::recv(descriptor_, out.data(), out.size(), 0);
+  std::string bytes(64 * 1024, '\0');
+  const auto count = ::recv(descriptor_, bytes.data(), bytes.size(), 0);
   if (count < 0) {
     broken = true;
     return std::nullopt;
   }
-  out.resize(static_cast<std::size_t>(count));
-  return out;
+  bytes.resize(static_cast<std::size_t>(count));
+  return bytes;
 }
 
 bool Socket::awaitPeerClose(Micros wait) const {
@@ -96,45 +96,46 @@
 }
 
 Socket connectTo(const std::string& host, int port, Micros wait) {
-  Socket out(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+  Socket connection(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
   const sockaddr_in address = addressOf(host, port);
   const int one = 1;
-  ::setsockopt(out.descriptor(), IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-  const bool there =
-      ::connect(out.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
-  if (!there && (errno != EINPROGRESS || waitFor(out.descriptor(), POLLOUT, wait) == 0)) return {};
+  ::setsockopt(connection.descriptor(), IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+  const bool isConnected =
+      ::connect(connection.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
+  if (!isConnected && (errno != EINPROGRESS || waitFor(connection.descriptor(), POLLOUT, wait) == 0))
+    return {};
   int error = 0;
   socklen_t size = sizeof error;
-  ::getsockopt(out.descriptor(), SOL_SOCKET, SO_ERROR, &error, &size);
+  ::getsockopt(connection.descriptor(), SOL_SOCKET, SO_ERROR, &error, &size);
   if (error != 0) return {};
-  ::fcntl(out.descriptor(), F_SETFL, 0);
-  return out;
+  ::fcntl(connection.descriptor(), F_SETFL, 0);
+  return connection;
 }
 
 Socket listenAt(int port, int backlog) {
-  Socket out(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  Socket listener(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   const int one = 1;
-  ::setsockopt(out.descriptor(), SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
+  ::setsockopt(listener.descriptor(), SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   const sockaddr_in address = addressOf("0.0.0.0", port);
-  if (::bind(out.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
-      ::listen(out.descriptor(), backlog) != 0)
-    throw std::runtime_error("can't listen at port " + std::to_string(port) + ": " + std::strerror(errno));
-  return out;
+  if (::bind(listener.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
+      ::listen(listener.descriptor(), backlog) != 0)
+    throw std::runtime_error("cannot listen on port " + std::to_string(port) + ": " + std::strerror(errno));
+  return listener;
 }
 
 Socket acceptFrom(const Socket& listener, Micros wait) {
   if (waitFor(listener.descriptor(), POLLIN, wait) == 0) return {};
-  Socket out(::accept4(listener.descriptor(), nullptr, nullptr, SOCK_CLOEXEC));
+  Socket connection(::accept4(listener.descriptor(), nullptr, nullptr, SOCK_CLOEXEC));
   const int one = 1;
-  if (out) ::setsockopt(out.descriptor(), IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-  return out;
+  if (connection) ::setsockopt(connection.descriptor(), IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+  return connection;
 }
 
-HttpReader::Result HttpReader::more(Micros deadline) {
+HttpReader::Result HttpReader::readMore(Micros deadline) {
   bool broken = false;
   const auto bytes = socket_.read(deadline - monotonicNow(), broken);
   if (broken) return Result::broken;
-  if (!bytes) return Result::late;
+  if (!bytes) return Result::timedOut;
   if (bytes->empty()) return Result::ended;
   buffer_ += *bytes;
   return Result::whole;
@@ -145,7 +146,7 @@
   if (!buffer_.empty()) message.firstByteAt = monotonicNow();
   std::size_t end = std::string::npos;
   while ((end = buffer_.find("\r\n\r\n")) == std::string::npos) {
-    if (const auto result = more(deadline); result != Result::whole) return result;
+    if (const auto result = readMore(deadline); result != Result::whole) return result;
     if (message.firstByteAt == 0) message.firstByteAt = monotonicNow();
   }
   std::string head = buffer_.substr(0, end + 2);
@@ -153,19 +154,20 @@
   const auto line = head.find("\r\n");
   message.start = head.substr(0, line);
   for (std::size_t at = line + 2; at < head.size();) {
-    const auto stop = head.find("\r\n", at);
+    const auto lineEnd = head.find("\r\n", at);
     const auto colon = head.find(':', at);
-    if (colon == std::string::npos || colon > stop) break;
+    if (colon == std::string::npos || colon > lineEnd) break;
     std::string name = head.substr(at, colon - at);
-    std::transform(name.begin(), name.end(), name.begin(), [](unsigned char c) { return std::tolower(c); });
+    std::transform(name.begin(), name.end(), name.begin(),
+                   [](unsigned char character) { return std::tolower(character); });
     const auto value = head.find_first_not_of(' ', colon + 1);
-    message.fields[name] = value < stop ? head.substr(value, stop - value) : std::string();
-    at = stop + 2;
+    message.fields[name] = value < lineEnd ? head.substr(value, lineEnd - value) : std::string();
+    at = lineEnd + 2;
   }
   const std::string length = message.field("content-length");
   const std::size_t size = length.empty() ? 0 : std::stoul(length);
   while (buffer_.size() < size)
-    if (const auto result = more(deadline); result != Result::whole) return result;
+    if (const auto result = readMore(deadline); result != Result::whole) return result;
   message.body = buffer_.substr(0, size);
   buffer_.erase(0, size);
   message.lastByteAt = monotonicNow();
@@ -183,7 +185,7 @@
         return Result::whole;
       }
     }
-    if (const auto result = more(deadline); result != Result::whole) return result;
+    if (const auto result = readMore(deadline); result != Result::whole) return result;
   }
 }
 
--- a/tests/soak/sockets.h
+++ b/tests/soak/sockets.h
@@ -1,5 +1,5 @@
-// Blocking sockets and plain HTTP/1.1 reading for the peers of a soak. Each connection has a thread of its
-// own.
+// Blocking sockets and a plain HTTP/1.1 reader for the peers of a soak. Each connection is served by its own
+// thread.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace garnethook::soak {
 
-/// A connected socket, closed with its owner.
+/// Owns a socket descriptor and closes it on destruction.
 class Socket {
  public:
   Socket() = default;
@@ -23,14 +23,14 @@
   explicit operator bool() const { return descriptor_ >= 0; }
   int descriptor() const { return descriptor_; }
   void close();
-  /// Closes with a reset.
+  /// Closes the connection with a TCP reset.
   void reset();
-  /// Writes all of it; false where the connection is broken.
+  /// Writes all bytes; returns false if the connection is broken.
   bool write(std::string_view bytes) const;
-  /// What is there within `wait`: empty at the end of the connection, nothing where the time is over or the
-  /// connection is broken (`broken` tells).
+  /// Reads what arrives within `wait`. Returns an empty string at the end of the connection, and std::nullopt
+  /// on a timeout or if the connection is broken (then `broken` is true).
   std::optional<std::string> read(Micros wait, bool& broken) const;
-  /// Waits until the peer has closed or reset the connection, without reading; false: the time is over.
+  /// Waits until the peer has closed or reset the connection, without reading; returns false on a timeout.
   bool awaitPeerClose(Micros wait) const;
   std::string localHost() const;
   int localPort() const;
@@ -40,11 +40,11 @@
   int descriptor_ = -1;
 };
 
-/// Connects within `wait`; an empty socket where that fails.
+/// Connects within `wait`; returns an empty socket on failure.
 Socket connectTo(const std::string& host, int port, Micros wait);
-/// Listens at all loopback addresses; throws std::runtime_error where that fails.
+/// Listens on all addresses; throws std::runtime_error on failure.
 Socket listenAt(int port, int backlog = 1024);
-/// The next connection within `wait`; an empty socket where there is none.
+/// Accepts the next connection within `wait`; returns an empty socket if there is none.
 Socket acceptFrom(const Socket& listener, Micros wait);
 
 /// One HTTP/1.1 message. Header names are in lower case.
@@ -61,20 +61,20 @@
   }
 };
 
-/// Reads messages from a connection, keeping what came behind the last one.
+/// Reads messages from a connection and buffers the bytes that follow the last one.
 class HttpReader {
  public:
   explicit HttpReader(const Socket& socket) : socket_(socket) {}
-  enum class Result { whole, ended, broken, late };
-  /// A request or an answer with a length. The head is told by itself in `message` where a chunked body
-  /// follows.
+  enum class Result { whole, ended, broken, timedOut };
+  /// Reads a request or a response with a Content-Length. If a chunked body follows, `message` contains the
+  /// head only.
   Result readMessage(HttpMessage& message, Micros deadline);
-  /// The next chunk of a chunked body; an empty one is the last.
+  /// Reads the next chunk of a chunked body; an empty chunk is the last one.
   Result readChunk(std::string& chunk, Micros deadline);
-  bool anythingRead() const { return !buffer_.empty(); }
+  bool hasBufferedBytes() const { return !buffer_.empty(); }
 
  private:
-  Result more(Micros deadline);
+  Result readMore(Micros deadline);
   const Socket& socket_;
   std::string buffer_;
 };
