--- a/tests/soak/oracle.cpp
+++ b/tests/soak/oracle.cpp
@@ -56,14 +56,14 @@
   InvariantChecker(const Plan& plan, std::vector<LoggedEvent> events)
       : plan_(plan), events_(std::move(events)) {
     std::stable_sort(events_.begin(), events_.end(),
-                     [](const LoggedEvent& a, const LoggedEvent& b) { return a.at < b.at; });
+                     [](const LoggedEvent& left, const LoggedEvent& right) { return left.at < right.at; });
   }
 
   Verdict run() {
     for (const LoggedEvent& loggedEvent : events_) applyEvent(loggedEvent);
     for (auto& [id, recorded] : requests_) {
       std::sort(recorded.attempts.begin(), recorded.attempts.end(),
-                [](const Attempt& a, const Attempt& b) { return a.arrivedAt < b.arrivedAt; });
+                [](const Attempt& left, const Attempt& right) { return left.arrivedAt < right.arrivedAt; });
       checkRequest(recorded);
     }
     checkTotals();
@@ -88,16 +88,17 @@
       request.sentAt = event.at;
       request.deadline = event.at + event.number("deadline") * kMillisecond;
     } else if (event.kind == "begin") {
-      Attempt attempt;
-      attempt.engine = event.text("engine");
-      attempt.port = event.text("port");
-      attempt.router = routerByConnection_[attempt.engine + ":" + attempt.port];
-      attempt.firstByteAt = event.number("first");
-      attempt.arrivedAt = event.at;
-      attempt.expiresMs = event.number("expires");
-      attempt.isDelivered = event.at - delayedDeliveryAt_[attempt.engine + ":" + attempt.port] > kPeerSlack;
-      requests_[id].attempts.push_back(attempt);
-      openAttempts_[attempt.engine + ":" + attempt.port] = {id, requests_[id].attempts.size() - 1};
+      Attempt openAttempt;
+      openAttempt.engine = event.text("engine");
+      openAttempt.port = event.text("port");
+      openAttempt.router = routerByConnection_[openAttempt.engine + ":" + openAttempt.port];
+      openAttempt.firstByteAt = event.number("first");
+      openAttempt.arrivedAt = event.at;
+      openAttempt.expiresMs = event.number("expires");
+      openAttempt.isDelivered =
+          event.at - delayedDeliveryAt_[openAttempt.engine + ":" + openAttempt.port] > kPeerSlack;
+      requests_[id].attempts.push_back(openAttempt);
+      openAttempts_[openAttempt.engine + ":" + openAttempt.port] = {id, requests_[id].attempts.size() - 1};
     } else if (event.kind == "end") {
       endAttempt(event.text("engine") + ":" + event.text("port"), event.at, event.text("how"), "");
     } else if (event.kind == "late") {
@@ -105,9 +106,9 @@
     } else if (event.kind == "fetched" || event.kind == "silenced") {
       const auto found = openAttempts_.find(event.text("engine") + ":" + event.text("port"));
       if (found == openAttempts_.end()) return;
-      Attempt& attempt = requests_[found->second.first].attempts[found->second.second];
-      if (event.kind == "fetched") attempt.fetchedAt = event.at;
-      if (event.kind == "silenced" && attempt.endedAt == 0) attempt.isSilenced = true;
+      Attempt& openAttempt = requests_[found->second.first].attempts[found->second.second];
+      if (event.kind == "fetched") openAttempt.fetchedAt = event.at;
+      if (event.kind == "silenced" && openAttempt.endedAt == 0) openAttempt.isSilenced = true;
     } else if (event.kind == "link") {
       routerByConnection_[event.text("engine") + ":" + event.text("port")] = event.text("router");
     } else if (event.kind == "closed") {
@@ -147,16 +148,16 @@
   void endAttempt(const std::string& connection, Micros at, const std::string& how, const std::string& by) {
     const auto found = openAttempts_.find(connection);
     if (found == openAttempts_.end()) return;
-    Attempt& attempt = requests_[found->second.first].attempts[found->second.second];
-    if (attempt.endedAt == 0) attempt.endedAt = at;
+    Attempt& openAttempt = requests_[found->second.first].attempts[found->second.second];
+    if (openAttempt.endedAt == 0) openAttempt.endedAt = at;
     if (!how.empty()) {
-      attempt.how = how;
-      attempt.workEndedAt = at;
-      if (how == "served" && attempt.fetchedAt == 0) attempt.fetchedAt = at;
+      openAttempt.how = how;
+      openAttempt.workEndedAt = at;
+      if (how == "served" && openAttempt.fetchedAt == 0) openAttempt.fetchedAt = at;
     }
     if (by.empty()) return;
-    attempt.closedBy = by;
-    attempt.closedAt = at;
+    openAttempt.closedBy = by;
+    openAttempt.closedAt = at;
   }
 
   void applyListChanges(const LoggedEvent& event) {
@@ -243,16 +244,17 @@
     ++verdict_.counts["cut"];
     if (request.attempts.empty())
       return addViolation(request.answeredAt, "lost", request.id + " was begun by no engine");
-    const Attempt& a = request.attempts.back();
-    if (a.isSilenced) return;
-    if (a.how == "served" && !hasSilencingFault(a.engine, a.arrivedAt, request.answeredAt))
+    const Attempt& attempt = request.attempts.back();
+    if (attempt.isSilenced) return;
+    if (attempt.how == "served" && !hasSilencingFault(attempt.engine, attempt.arrivedAt, request.answeredAt))
       return addViolation(request.answeredAt, "lost",
-                          request.id + " was cut, and " + a.engine + " had finished it");
+                          request.id + " was cut, and " + attempt.engine + " had finished it");
     if (request.how == "silent")
       return addViolation(request.answeredAt, "lost", request.id + " fell silent and was not ended");
-    if (a.closedBy == "router" && a.how != "broken" && !hasSilencingFault(a.engine, a.arrivedAt, a.endedAt))
+    if (attempt.closedBy == "router" && attempt.how != "broken" &&
+        !hasSilencingFault(attempt.engine, attempt.arrivedAt, attempt.endedAt))
       addViolation(request.answeredAt, "lost",
-                   request.id + " was cut by the router while " + a.engine + " wrote");
+                   request.id + " was cut by the router while " + attempt.engine + " wrote");
   }
 
   void checkUnanswered(const Request& request) {
@@ -290,45 +292,46 @@
 
   void checkAttempts(const Request& request) {
     for (std::size_t i = 0; i < request.attempts.size(); ++i) {
-      const Attempt& a = request.attempts[i];
-      if (!a.isDelivered) continue;
+      const Attempt& attempt = request.attempts[i];
+      if (!attempt.isDelivered) continue;
       for (std::size_t j = 0; j < i; ++j) {
         const Attempt& earlier = request.attempts[j];
-        if (earlier.endedAt == 0 || earlier.endedAt > a.arrivedAt + kPeerSlack)
-          addViolation(a.arrivedAt, "duplicate",
-                       request.id + " at " + a.engine + " while out at " + earlier.engine);
+        if (earlier.endedAt == 0 || earlier.endedAt > attempt.arrivedAt + kPeerSlack)
+          addViolation(attempt.arrivedAt, "duplicate",
+                       request.id + " at " + attempt.engine + " while out at " + earlier.engine);
       }
       if (request.clientLeftAt != 0 &&
-          a.firstByteAt > request.clientLeftAt + Limits::clientLeftSlack + kPeerSlack)
-        addViolation(a.firstByteAt, "lost",
+          attempt.firstByteAt > request.clientLeftAt + Limits::clientLeftSlack + kPeerSlack)
+        addViolation(attempt.firstByteAt, "lost",
                      request.id + " sent on " +
-                         std::to_string((a.firstByteAt - request.clientLeftAt) / 1000) +
+                         std::to_string((attempt.firstByteAt - request.clientLeftAt) / 1000) +
                          " ms after its client left");
-      const Micros leftMs = (request.deadline - a.firstByteAt) / 1000;
-      if (a.expiresMs > leftMs + Limits::deadlineSlack / 1000)
-        addViolation(
-            a.firstByteAt, "deadline",
-            request.id + " told " + std::to_string(a.expiresMs) + " ms, left " + std::to_string(leftMs));
-      if (a.firstByteAt > request.deadline + Limits::answerSlack)
-        addViolation(a.firstByteAt, "lost", request.id + " sent on after its time");
-      checkDrain(request, a);
+      const Micros leftMs = (request.deadline - attempt.firstByteAt) / 1000;
+      if (attempt.expiresMs > leftMs + Limits::deadlineSlack / 1000)
+        addViolation(attempt.firstByteAt, "deadline",
+                     request.id + " told " + std::to_string(attempt.expiresMs) + " ms, left " +
+                         std::to_string(leftMs));
+      if (attempt.firstByteAt > request.deadline + Limits::answerSlack)
+        addViolation(attempt.firstByteAt, "lost", request.id + " sent on after its time");
+      checkDrain(request, attempt);
     }
   }
 
-  void checkDrain(const Request& request, const Attempt& a) {
-    const auto reported = drainReportedAt_.find({a.router, a.engine});
+  void checkDrain(const Request& request, const Attempt& attempt) {
+    const auto reported = drainReportedAt_.find({attempt.router, attempt.engine});
     std::optional<Micros> since;
     if (reported != drainReportedAt_.end()) since = reported->second;
     for (const Fault& fault : plan_.faultsOfKind("drain"))
-      if (fault.target == a.engine) {
+      if (fault.target == attempt.engine) {
         const Micros by = discoveryReachableAt(plan_.start + fault.from) + Limits::listUpdateWithin;
         since = std::min(since.value_or(by), by);
       }
-    if (!since || a.firstByteAt <= *since + Limits::drainGrace + Limits::timingSlack + kPeerSlack) return;
-    if (isNewProcessWithoutList(a.router, a.firstByteAt)) return;
-    addViolation(a.firstByteAt, "drain",
-                 request.id + " at " + a.engine + " " + std::to_string((a.firstByteAt - *since) / 1000) +
-                     " ms after it was told");
+    if (!since || attempt.firstByteAt <= *since + Limits::drainGrace + Limits::timingSlack + kPeerSlack)
+      return;
+    if (isNewProcessWithoutList(attempt.router, attempt.firstByteAt)) return;
+    addViolation(attempt.firstByteAt, "drain",
+                 request.id + " at " + attempt.engine + " " +
+                     std::to_string((attempt.firstByteAt - *since) / 1000) + " ms after it was told");
   }
 
   // Returns the earliest time from `at` on at which discovery is reachable.
@@ -353,11 +356,11 @@
   // Returns whether both zones are cut off at the same time, so that no endpoint can receive a release.
   bool areAllZonesCut(Micros from, Micros to) const {
     const auto cuts = plan_.faultsOfKind("cut");
-    return std::any_of(cuts.begin(), cuts.end(), [&](const Fault& a) {
-      return a.target == "a" && std::any_of(cuts.begin(), cuts.end(), [&](const Fault& b) {
-               const Micros begin = plan_.start + std::max(a.from, b.from);
-               const Micros end = plan_.start + std::min(a.until, b.until);
-               return b.target == "b" && begin < end && begin <= to && end >= from;
+    return std::any_of(cuts.begin(), cuts.end(), [&](const Fault& cutOfA) {
+      return cutOfA.target == "a" && std::any_of(cuts.begin(), cuts.end(), [&](const Fault& cutOfB) {
+               const Micros begin = plan_.start + std::max(cutOfA.from, cutOfB.from);
+               const Micros end = plan_.start + std::min(cutOfA.until, cutOfB.until);
+               return cutOfB.target == "b" && begin < end && begin <= to && end >= from;
              });
     });
   }
@@ -366,30 +369,30 @@
   bool isNewProcessWithoutList(const std::string& router, Micros at) const {
     const auto found = routerEvents_.find(router);
     if (found == routerEvents_.end()) return false;
-    Micros started = 0;
+    Micros startedAt = 0;
     for (const LoggedEvent& event : found->second)
-      if (event.kind == "started" && event.at <= at) started = event.at;
-    const Micros answers = newWatchAnsweredAt(started);
-    return answers != started && at <= answers + Limits::listUpdateWithin;
+      if (event.kind == "started" && event.at <= at) startedAt = event.at;
+    const Micros answeredFrom = newWatchAnsweredAt(startedAt);
+    return answeredFrom != startedAt && at <= answeredFrom + Limits::listUpdateWithin;
   }
 
   // Possibly executed work is retried or rejected only as its class allows.
   void checkPossibleExecution(const Request& request) {
     if (request.kind == "chat") return;
     const Attempt* first = nullptr;
-    for (const Attempt& a : request.attempts) {
-      if (plan_.isPrefillEngine(std::stoi(a.engine.substr(1)))) continue;
+    for (const Attempt& attempt : request.attempts) {
+      if (plan_.isPrefillEngine(std::stoi(attempt.engine.substr(1)))) continue;
       if (first != nullptr) {
         const bool sameZone =
-            plan_.zone(std::stoi(a.engine.substr(1))) == plan_.zone(std::stoi(first->engine.substr(1)));
-        const bool inTime =
-            a.firstByteAt <= first->firstByteAt + Limits::repeatWindow + Limits::timingSlack + kPeerSlack;
+            plan_.zone(std::stoi(attempt.engine.substr(1))) == plan_.zone(std::stoi(first->engine.substr(1)));
+        const bool inTime = attempt.firstByteAt <= first->firstByteAt + Limits::deduplicationWindow +
+                                                       Limits::timingSlack + kPeerSlack;
         if (request.kind == "order" || !sameZone || !inTime)
-          addViolation(a.firstByteAt, "duplicate",
+          addViolation(attempt.firstByteAt, "duplicate",
                        request.id + " (" + request.kind + ") may have run at " + first->engine +
-                           " and goes to " + a.engine);
-      } else if (a.isPossiblyExecuted()) {
-        first = &a;
+                           " and goes to " + attempt.engine);
+      } else if (attempt.isPossiblyExecuted()) {
+        first = &attempt;
       }
     }
     if (first != nullptr && request.end == "final" && (request.status == "429" || request.status == "503"))
@@ -400,22 +403,25 @@
 
   // ---- KV reservations ----
 
-  bool isPrefill(const Attempt& a) const { return plan_.isPrefillEngine(std::stoi(a.engine.substr(1))); }
+  bool isPrefill(const Attempt& attempt) const {
+    return plan_.isPrefillEngine(std::stoi(attempt.engine.substr(1)));
+  }
 
   // Returns when the router can stop waiting for the attempt. Where the network lost the engine's answer,
   // the router waits until the connection closes.
-  Micros openUntil(const Attempt& a) const {
-    return a.isSilenced || hasSilencingFault(a.engine, a.endedAt, a.endedAt) ? std::max(a.endedAt, a.closedAt)
-                                                                             : a.endedAt;
+  Micros openUntil(const Attempt& attempt) const {
+    return attempt.isSilenced || hasSilencingFault(attempt.engine, attempt.endedAt, attempt.endedAt)
+               ? std::max(attempt.endedAt, attempt.closedAt)
+               : attempt.endedAt;
   }
 
   // Returns the time from which no attempt of the request is open, counting those that began within the time
   // limit for a release.
   Micros noAttemptOpenFrom(const Request& request, Micros since) const {
     Micros result = since;
-    for (const Attempt& a : request.attempts) {
-      if (a.arrivedAt > result + maxUnreleasedTime()) break;
-      result = std::max(result, a.endedAt == 0 ? plan_.start + 2 * plan_.length : openUntil(a));
+    for (const Attempt& attempt : request.attempts) {
+      if (attempt.arrivedAt > result + maxUnreleasedTime()) break;
+      result = std::max(result, attempt.endedAt == 0 ? plan_.start + 2 * plan_.length : openUntil(attempt));
     }
     return result;
   }
@@ -425,10 +431,10 @@
 
   // A release does not free KV state that a decode attempt is waiting for.
   bool isDeferredForDecode(const Request& request, Micros releasedAt) const {
-    return std::any_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& a) {
-      const bool hasArrived = !isPrefill(a) && a.arrivedAt < releasedAt - kPeerSlack;
-      const Micros waitsUntil = a.fetchedAt != 0 ? a.fetchedAt : a.workEndedAt;
-      return hasArrived && a.how != "never-ran" && waitsUntil > releasedAt + kPeerSlack;
+    return std::any_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& attempt) {
+      const bool hasArrived = !isPrefill(attempt) && attempt.arrivedAt < releasedAt - kPeerSlack;
+      const Micros waitsUntil = attempt.fetchedAt != 0 ? attempt.fetchedAt : attempt.workEndedAt;
+      return hasArrived && attempt.how != "never-ran" && waitsUntil > releasedAt + kPeerSlack;
     });
   }
 
@@ -438,8 +444,8 @@
     const auto consider = [&](Micros at) {
       if (at >= since - kPeerSlack && (first == 0 || at < first)) first = at;
     };
-    for (const Attempt& a : request.attempts)
-      if (a.fetchedAt != 0) consider(a.fetchedAt);
+    for (const Attempt& attempt : request.attempts)
+      if (attempt.fetchedAt != 0) consider(attempt.fetchedAt);
     for (const Micros at : request.releases)
       if (!isDeferredForDecode(request, at)) consider(at);
     return first;
@@ -458,18 +464,18 @@
   // KV state left by a prefill is fetched or released in time, counted from when it exists and no attempt is
   // open.
   void checkKvReservations(const Request& request) {
-    for (const Attempt& a : request.attempts) {
-      const bool holds = isPrefill(a) && (a.how == "read" || a.how == "left");
+    for (const Attempt& attempt : request.attempts) {
+      const bool holds = isPrefill(attempt) && (attempt.how == "read" || attempt.how == "left");
       if (!holds) continue;
-      const Micros due = noAttemptOpenFrom(request, a.workEndedAt) + maxUnreleasedTime();
-      const Micros freed = freedAt(request, a.workEndedAt);
+      const Micros due = noAttemptOpenFrom(request, attempt.workEndedAt) + maxUnreleasedTime();
+      const Micros freed = freedAt(request, attempt.workEndedAt);
       if ((freed != 0 && freed <= due + kPeerSlack) || killedBefore(request.router, request.sentAt, due) ||
-          wasRestarted(a.engine, a.workEndedAt, due) || areAllZonesCut(a.workEndedAt, due) ||
-          due > plan_.start + plan_.length + 4 * kSecond)
+          wasRestarted(attempt.engine, attempt.workEndedAt, due) ||
+          areAllZonesCut(attempt.workEndedAt, due) || due > plan_.start + plan_.length + 4 * kSecond)
         continue;
       addViolation(due, "held",
-                   request.id + " held since its attempt at " + a.engine + " ended (" + a.how + " at " +
-                       std::to_string((a.workEndedAt - plan_.start) / 1000) + " ms), " +
+                   request.id + " held since its attempt at " + attempt.engine + " ended (" + attempt.how +
+                       " at " + std::to_string((attempt.workEndedAt - plan_.start) / 1000) + " ms), " +
                        (freed == 0 ? "never released"
                                    : "released " + std::to_string((freed - due) / 1000) + " ms late"));
     }
--- a/tests/soak/plan.h
+++ b/tests/soak/plan.h
@@ -113,16 +113,13 @@
 struct Limits {
   static constexpr Micros drainGrace = 1500 * kMillisecond;
   static constexpr Micros releaseWithin = 500 * kMillisecond;
-  static constexpr Micros repeatWindow = 1500 * kMillisecond;
+  static constexpr Micros deduplicationWindow = 1500 * kMillisecond;
   static constexpr Micros listUpdateWithin = 6 * kSecond;
-  static constexpr Micros lateAfterSignal =
-      700 * kMillisecond;  // a request that arrives later is lost at the kill
-  static constexpr Micros answerSlack =
-      500 * kMillisecond;  // an answer that is later than this counts as lost
+  static constexpr Micros lateAfterSignal = 700 * kMillisecond;  // later requests are lost at the kill
+  static constexpr Micros answerSlack = 500 * kMillisecond;      // later answers count as lost
   static constexpr Micros releaseSlack = 300 * kMillisecond;
   static constexpr Micros timingSlack = 50 * kMillisecond;
-  static constexpr Micros clientLeftSlack =
-      100 * kMillisecond;  // from a client's close to the start of the last attempt
+  static constexpr Micros clientLeftSlack = 100 * kMillisecond;  // from a client's close to the last attempt
   static constexpr Micros deadlineSlack = 150 * kMillisecond;
   static constexpr Micros eventSlack = 300 * kMillisecond;
 };
--- a/tests/soak/sockets.cpp
+++ b/tests/soak/sockets.cpp
@@ -15,11 +15,11 @@
 namespace {
 
 sockaddr_in addressOf(const std::string& host, int port) {
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_port = htons(static_cast<std::uint16_t>(port));
-  ::inet_pton(AF_INET, host.c_str(), &address.sin_addr);
-  return address;
+  sockaddr_in endpoint{};
+  endpoint.sin_family = AF_INET;
+  endpoint.sin_port = htons(static_cast<std::uint16_t>(port));
+  ::inet_pton(AF_INET, host.c_str(), &endpoint.sin_addr);
+  return endpoint;
 }
 
 short waitFor(int descriptor, short events, Micros wait) {
@@ -58,14 +58,14 @@
 std::optional<std::string> Socket::read(Micros wait, bool& broken) const {
   broken = false;
   if (waitFor(descriptor_, POLLIN, wait) == 0) return std::nullopt;
-  std::string bytes(64 * 1024, '\0');
-  const auto count = ::recv(descriptor_, bytes.data(), bytes.size(), 0);
+  std::string received(64 * 1024, '\0');
+  const auto count = ::recv(descriptor_, received.data(), received.size(), 0);
   if (count < 0) {
     broken = true;
     return std::nullopt;
   }
-  bytes.resize(static_cast<std::size_t>(count));
-  return bytes;
+  received.resize(static_cast<std::size_t>(count));
+  return received;
 }
 
 bool Socket::awaitPeerClose(Micros wait) const {
@@ -113,14 +113,15 @@
 }
 
 Socket listenAt(int port, int backlog) {
-  Socket listener(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  Socket listeningSocket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   const int one = 1;
-  ::setsockopt(listener.descriptor(), SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
+  ::setsockopt(listeningSocket.descriptor(), SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   const sockaddr_in address = addressOf("0.0.0.0", port);
-  if (::bind(listener.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
-      ::listen(listener.descriptor(), backlog) != 0)
+  if (::bind(listeningSocket.descriptor(), reinterpret_cast<const sockaddr*>(&address), sizeof address) !=
+          0 ||
+      ::listen(listeningSocket.descriptor(), backlog) != 0)
     throw std::runtime_error("cannot listen on port " + std::to_string(port) + ": " + std::strerror(errno));
-  return listener;
+  return listeningSocket;
 }
 
 Socket acceptFrom(const Socket& listener, Micros wait) {
