--- a/tests/soak/plan.cpp
+++ b/tests/soak/plan.cpp
@@ -33,7 +33,8 @@
                 const std::string& detail = "-") {
     plan_.plannedFaults.push_back({kind, target, from, until, detail});
   }
-  // Prevents a second stop of a router before it has restarted, and a second removal of the same endpoint.
+  // Prevents a second stop of a router before it has restarted, and a second drain or restart of the same
+  // engine.
   bool isFirst(const std::string& kind, const std::string& target) {
     return std::none_of(plan_.plannedFaults.begin(), plan_.plannedFaults.end(),
                         [&](const Fault& fault) { return fault.kind == kind && fault.target == target; });
@@ -106,7 +107,7 @@
     addFault("gone", target, goneAt, plan_.length * 3);
   }
 
-  // An engine is killed and restarts with an empty cache, under the same name with a new start time.
+  // An engine is killed and restarts cold, under the same name with a new start time.
   void addEngineRestart(Micros from) {
     const std::string target = engine();
     if (isFirst("restart", target)) addFault("restart", target, from, from + 300 * kMillisecond);
