--- a/tests/path/endings_test.cpp
+++ b/tests/path/endings_test.cpp
@@ -1,4 +1,5 @@
-// Endings of requests, streams, held states, watches and configurations, by rows of docs/endings.md.
+// Terminations of requests, streams, KV reservations, watches and configurations, as listed in
+// docs/endings.md.
 #include <array>
 
 #include "path/platform_world.h"
@@ -14,262 +15,269 @@
 constexpr net::Micros kMillisecond = 1'000;
 constexpr net::Micros kSecond = 1'000'000;
 
-// ---- requests and streams at the front ----
+// ---- requests and streams at the HTTP frontend ----
 
-// A deadline and the first event in one turn: the client gets the one that came first, whole, and nothing
-// else.
-TEST(RequestEnding, ADeadlineAndTheFirstEventInOneTurnGiveOneAnswer) {
+// The deadline and the first event occur in one loop iteration: the client gets only the response to the one
+// that is processed first, and gets it whole.
+TEST(RequestEnding, ADeadlineAndTheFirstEventInOneLoopIterationGiveOneResponse) {
   constexpr int kExpiresInMs = 200;
   for (const bool eventFirst : {true, false}) {
-    FrontendWorld w;
-    w.engines.holdFirstWrite(false);
-    auto c = w.acceptedClient(false);
-    c->send(clientRequest("d", "chat", "", kExpiresInMs));
-    ASSERT_TRUE(w.until([&] { return w.engines.held.has_value(); }));
-    const auto attempt = *w.engines.held;
-    const auto answer = [&w, attempt] {
-      w.engines.events->onTokens(attempt.id, kEvent, 1, {});
-      w.engines.end(attempt, Outcome::completed);
+    FrontendWorld world;
+    world.engines.holdFirstWrite(false);
+    auto client = world.acceptedClient(false);
+    client->send(clientRequest("d", "chat", "", kExpiresInMs));
+    ASSERT_TRUE(world.until([&] { return world.engines.held.has_value(); }));
+    const auto attempt = *world.engines.held;
+    const auto sendResponse = [&world, attempt] {
+      world.engines.events->onTokens(attempt.id, kEvent, 1, {});
+      world.engines.end(attempt, Outcome::completed);
     };
-    w.stall((kExpiresInMs + 100) * kMillisecond);  // the deadline is due, and not seen
+    world.stall((kExpiresInMs + 100) * kMillisecond);  // the deadline has expired but has not been processed
     if (eventFirst)
-      answer();
+      sendResponse();
     else
-      w.loop.after(0, answer);  // behind the timers that are due by now
-    ASSERT_TRUE(w.until([&] { return (c->receive(), c->has("HTTP/1.1")); })) << c->got;
-    w.pass(20 * kMillisecond);
-    c->receive();
-    EXPECT_EQ(c->count("HTTP/1.1"), 1u) << c->got;
-    EXPECT_EQ(c->streams(), eventFirst ? 1u : 0u) << c->got;
-    EXPECT_EQ(c->has(kEvent), eventFirst) << c->got;
-    EXPECT_TRUE(w.clean());
+      world.loop.after(0, sendResponse);  // runs after the timers that have already expired
+    ASSERT_TRUE(world.until([&] { return (client->receive(), client->has("HTTP/1.1")); })) << client->got;
+    world.pass(20 * kMillisecond);
+    client->receive();
+    EXPECT_EQ(client->count("HTTP/1.1"), 1u) << client->got;
+    EXPECT_EQ(client->streams(), eventFirst ? 1u : 0u) << client->got;
+    EXPECT_EQ(client->has(kEvent), eventFirst) << client->got;
+    EXPECT_TRUE(world.clean());
   }
 }
 
-// The guard of quiet streams and another event in one turn: the event's stream goes on, or it is broken off
-// once.
-TEST(StreamEnding, AnEventInTheTurnOfTheGuardsTimerKeepsTheStream) {
-  constexpr net::Micros kSilence = 200 * kMillisecond;
+// The stall timer of a stream and its next event occur in one loop iteration: either the stream continues, or
+// it is aborted once.
+TEST(StreamEnding, AnEventInTheLoopIterationOfTheStallTimerKeepsTheStream) {
+  constexpr net::Micros kStallTimeout = 200 * kMillisecond;
   for (const bool eventFirst : {true, false}) {
-    FrontendWorld w({}, kSilence);
-    w.engines.holdFirstWrite(true);
-    auto c = w.acceptedClient(false);
-    c->send(clientRequest("g"));
-    ASSERT_TRUE(w.until([&] { return (c->receive(), c->has(kEvent)); }));
-    const auto attempt = *w.engines.held;
-    const auto event = [&w, attempt] { w.engines.events->onTokens(attempt.id, kEvent, 1, {}); };
-    w.stall(kSilence + 50 * kMillisecond);
+    FrontendWorld world({}, kStallTimeout);
+    world.engines.holdFirstWrite(true);
+    auto client = world.acceptedClient(false);
+    client->send(clientRequest("g"));
+    ASSERT_TRUE(world.until([&] { return (client->receive(), client->has(kEvent)); }));
+    const auto attempt = *world.engines.held;
+    const auto sendEvent = [&world, attempt] { world.engines.events->onTokens(attempt.id, kEvent, 1, {}); };
+    world.stall(kStallTimeout + 50 * kMillisecond);
     if (eventFirst)
-      event();
+      sendEvent();
     else
-      w.loop.after(0, event);
+      world.loop.after(0, sendEvent);
     if (eventFirst) {
-      ASSERT_TRUE(w.until([&] { return (c->receive(), c->count(kEvent) == 2); })) << c->got;
-      w.engines.end(attempt, Outcome::completed);
-      EXPECT_TRUE(w.served(*c, 1)) << c->got;
+      ASSERT_TRUE(world.until([&] { return (client->receive(), client->count(kEvent) == 2); }))
+          << client->got;
+      world.engines.end(attempt, Outcome::completed);
+      EXPECT_TRUE(world.served(*client, 1)) << client->got;
     } else {
-      ASSERT_TRUE(w.ended(*c)) << c->got;
-      EXPECT_EQ(c->count(kEvent), 1u);
-      EXPECT_EQ(c->streams(), 0u);  // no last chunk: the client knows that it is cut
-      EXPECT_EQ(w.engines.cancelled, 1u);
+      ASSERT_TRUE(world.ended(*client)) << client->got;
+      EXPECT_EQ(client->count(kEvent), 1u);
+      EXPECT_EQ(client->streams(), 0u);  // no last chunk, so the client detects the truncation
+      EXPECT_EQ(world.engines.cancelled, 1u);
     }
-    EXPECT_TRUE(w.clean());
+    EXPECT_TRUE(world.clean());
   }
 }
 
-// A connection that is to end waits for a client that goes on reading, longer than for one that does not.
-TEST(StreamEnding, AClientThatReadsSlowlyGetsTheWholeAnswerThoughItsConnectionEnds) {
-  constexpr std::size_t kBytes = 400 * 1024;
+// A closing connection waits longer for a client that keeps reading than for one that does not.
+TEST(StreamEnding, ASlowReaderGetsTheWholeResponseOfAClosingConnection) {
+  constexpr std::size_t kEventBytes = 400 * 1024;
   platform::HttpFrontend::Options options;
   options.lingerTimeout = 150 * kMillisecond;
-  FrontendWorld w(options);
-  w.engines.holdFirstWrite(true);
-  auto c = w.acceptedClient(false);
-  c->narrow();
-  c->send(clientRequest("s", "chat", "Connection: close\r\n"));
-  ASSERT_TRUE(w.until([&] { return w.engines.held.has_value(); }));
-  const auto attempt = *w.engines.held;
-  w.engines.events->onTokens(attempt.id, "data: " + std::string(kBytes, 'x') + "\n\n", 1, {});
-  w.engines.end(attempt, Outcome::completed);
-  for (int i = 0; i < 400 && c->streams() == 0 && !c->wasReset; ++i) {
-    c->receiveSome(16 * 1024);
-    w.pass(10 * kMillisecond);
+  FrontendWorld world(options);
+  world.engines.holdFirstWrite(true);
+  auto client = world.acceptedClient(false);
+  client->narrow();
+  client->send(clientRequest("s", "chat", "Connection: close\r\n"));
+  ASSERT_TRUE(world.until([&] { return world.engines.held.has_value(); }));
+  const auto attempt = *world.engines.held;
+  world.engines.events->onTokens(attempt.id, "data: " + std::string(kEventBytes, 'x') + "\n\n", 1, {});
+  world.engines.end(attempt, Outcome::completed);
+  for (int i = 0; i < 400 && client->streams() == 0 && !client->wasReset; ++i) {
+    client->receiveSome(16 * 1024);
+    world.pass(10 * kMillisecond);
   }
-  EXPECT_EQ(c->streams(), 1u) << c->got.size();
-  EXPECT_FALSE(c->wasReset);
-  EXPECT_GE(c->got.size(), kBytes);
+  EXPECT_EQ(client->streams(), 1u) << client->got.size();
+  EXPECT_FALSE(client->wasReset);
+  EXPECT_GE(client->got.size(), kEventBytes);
 }
 
-TEST(ClientConnectionEnding, AClientThatGoesOnSendingBehindItsEndIsCutOff) {
+TEST(ClientConnectionEnding, AClientThatKeepsSendingToAClosingConnectionIsDisconnected) {
   platform::HttpFrontend::Options options;
   options.maxLingeringInputBytes = 64 * 1024;
   options.lingerTimeout = 5 * kSecond;
-  FrontendWorld w(options);
-  auto c = w.acceptedClient(false);
-  c->send("nonsense\r\n\r\n");
-  ASSERT_TRUE(w.until([&] { return (c->receive(), c->has("HTTP/1.1 400")); }));
-  EXPECT_EQ(w.front->connections(), 1u);  // waits for the client to close
-  c->send(std::string(200 * 1024, 'x'));
-  EXPECT_TRUE(w.until([&] { return w.front->connections() == 0; }, kSecond));
-  EXPECT_TRUE(w.engines.begun.empty());
+  FrontendWorld world(options);
+  auto client = world.acceptedClient(false);
+  client->send("nonsense\r\n\r\n");
+  ASSERT_TRUE(world.until([&] { return (client->receive(), client->has("HTTP/1.1 400")); }));
+  EXPECT_EQ(world.front->connections(), 1u);  // waits for the client to close
+  client->send(std::string(200 * 1024, 'x'));
+  EXPECT_TRUE(world.until([&] { return world.front->connections() == 0; }, kSecond));
+  EXPECT_TRUE(world.engines.begun.empty());
 }
 
-// ---- whole paths ----
+// ---- end to end ----
 
 struct PathEnding : testing::Test {
-  PlatformWorld w;
+  PlatformWorld world;
 };
 
-TEST_F(PathEnding, AClientThatClosesInTheMiddleOfItsStreamEndsTheEnginesWork) {
-  w.writer.script = [](Request& r) {
-    if (!answerCalls(r)) r.stream->send(std::string(kHead) + chunk(kEvent));
+TEST_F(PathEnding, AClientCloseDuringItsStreamCancelsTheAttempt) {
+  world.decodeEngine.script = [](Request& request) {
+    if (!answerCalls(request)) request.stream->send(std::string(kHead) + chunk(kEvent));
   };
-  auto c = w.client();
-  c->ask("m1");
-  ASSERT_TRUE(w.until([&] { return c->has(kEvent); }, 2 * kSecond));
-  c->stream.close();
-  EXPECT_TRUE(w.until([&] { return w.writer.gone() == 1; }, kSecond));
-  EXPECT_EQ(w.writer.count("POST"), 1u);
-  EXPECT_TRUE(w.clean());
+  auto client = world.connectClient();
+  client->ask("m1");
+  ASSERT_TRUE(world.until([&] { return client->has(kEvent); }, 2 * kSecond));
+  client->stream.close();
+  EXPECT_TRUE(world.until([&] { return world.decodeEngine.gone() == 1; }, kSecond));
+  EXPECT_EQ(world.decodeEngine.count("POST"), 1u);
+  EXPECT_TRUE(world.becomesIdle());
 }
 
-// Bytes that make no event keep no stream alive: the client is told within 5 s of the last event.
-TEST_F(PathEnding, AStreamOfBytesWithoutEventsIsBrokenOff) {
-  constexpr net::Micros kTold = 5 * kSecond;
-  std::function<void(net::Stream*)> drip;
-  drip = [&](net::Stream* stream) {
+// Bytes that do not complete an event do not keep a stream alive: the client connection is closed within 5 s
+// of the last event.
+TEST_F(PathEnding, AStreamOfBytesWithoutEventsIsAborted) {
+  constexpr net::Micros kMaxTimeToClose = 5 * kSecond;
+  std::function<void(net::Stream*)> sendIncompleteEvent;
+  sendIncompleteEvent = [&](net::Stream* stream) {
     stream->send(chunk("x"));
-    w.loop.after(100 * kMillisecond, [&, stream] { drip(stream); });
+    world.loop.after(100 * kMillisecond, [&, stream] { sendIncompleteEvent(stream); });
   };
-  w.writer.script = [&](Request& r) {
-    if (answerCalls(r)) return;
-    r.stream->send(std::string(kHead) + chunk(kEvent) + chunk("data: never "));
-    drip(r.stream);
+  world.decodeEngine.script = [&](Request& request) {
+    if (answerCalls(request)) return;
+    request.stream->send(std::string(kHead) + chunk(kEvent) + chunk("data: never "));
+    sendIncompleteEvent(request.stream);
   };
-  auto c = w.client();
-  c->ask("n1");
-  ASSERT_TRUE(w.until([&] { return c->has(kEvent); }, 2 * kSecond));
-  EXPECT_TRUE(w.until([&] { return c->closed; }, kTold));
-  EXPECT_FALSE(c->has(kLast));
-  EXPECT_TRUE(w.clean());
+  auto client = world.connectClient();
+  client->ask("n1");
+  ASSERT_TRUE(world.until([&] { return client->has(kEvent); }, 2 * kSecond));
+  EXPECT_TRUE(world.until([&] { return client->closed; }, kMaxTimeToClose));
+  EXPECT_FALSE(client->has(kLast));
+  EXPECT_TRUE(world.becomesIdle());
 }
 
-TEST_F(PathEnding, AReloadWithTheSameDiscoveryLeavesTheWatchAlone) {
-  const auto begun = w.watches.size();
-  w.node->reload(w.read(w.discovery->address().toString()));
-  w.pass(200 * kMillisecond);
-  EXPECT_EQ(w.watches.size(), begun);
-  EXPECT_TRUE(w.watches.back().second->open());
+TEST_F(PathEnding, AReloadWithTheSameDiscoveryKeepsTheWatch) {
+  const auto watchCountBefore = world.watchRequests.size();
+  world.routerProcess->reload(world.readConfig(world.discovery->address().toString()));
+  world.pass(200 * kMillisecond);
+  EXPECT_EQ(world.watchRequests.size(), watchCountBefore);
+  EXPECT_TRUE(world.watchRequests.back().second->open());
 }
 
-// The process may end with everything open: nothing is called on what has gone.
-TEST_F(PathEnding, ANodeThatGoesWithAllOpenCallsNothingThatHasGone) {
-  w.reader.script = w.writer.script = [](Request& r) { answerCalls(r); };
-  auto waiting = w.client();
-  waiting->ask("p1");
-  ASSERT_TRUE(w.until([&] { return w.reader.count("POST") == 1; }, 2 * kSecond));
-  w.node.reset();
-  EXPECT_TRUE(w.until([&] { return waiting->closed && w.reader.gone() == 1; }, kSecond));
+// The router process may be destroyed with requests open: no callback runs on a destroyed object.
+TEST_F(PathEnding, ARouterDestroyedWithOpenRequestsCallsNoDestroyedObject) {
+  world.prefillEngine.script = world.decodeEngine.script = [](Request& request) { answerCalls(request); };
+  auto waitingClient = world.connectClient();
+  waitingClient->ask("p1");
+  ASSERT_TRUE(world.until([&] { return world.prefillEngine.count("POST") == 1; }, 2 * kSecond));
+  world.routerProcess.reset();
+  EXPECT_TRUE(world.until([&] { return waitingClient->closed && world.prefillEngine.gone() == 1; }, kSecond));
 }
 
 // ---- the watch ----
 
-// A discovery of raw bytes: what it says to each connection is the test's.
+// A discovery server that sends each connection the raw bytes that the test sets.
 struct RawDiscovery {
   explicit RawDiscovery(net::Loop& loop)
       : listener(loop, Poco::Net::SocketAddress("127.0.0.1", 0), [this](Poco::Net::StreamSocket socket) {
           socket.setBlocking(true);
-          if (!says.empty()) socket.sendBytes(says.data(), static_cast<int>(says.size()));
+          if (!response.empty()) socket.sendBytes(response.data(), static_cast<int>(response.size()));
           accepted.push_back(std::move(socket));
         }) {}
   std::string address() const { return listener.address().toString(); }
-  std::string says;
+  std::string response;
   std::vector<Poco::Net::StreamSocket> accepted;
   net::Listener listener;
 };
 
 struct WatchEnding : testing::Test, platform::Watch::Listener {
-  void onListUpdate(const platform::EndpointListUpdate& update) override { lists.push_back(update.version); }
+  void onListUpdate(const platform::EndpointListUpdate& update) override {
+    receivedVersions.push_back(update.version);
+  }
   void onWatchError(const std::string&, const platform::WatchError&) override {}
   std::int64_t currentListVersion() const override { return 0; }
   void onWatchAlive() override {}
-  static std::string stream(const std::string& body) {
+  static std::string streamResponse(const std::string& body) {
     return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(body);
   }
-  LoopRunner w;
-  std::vector<std::int64_t> lists;
+  LoopRunner runner;
+  std::vector<std::int64_t> receivedVersions;
 };
 
-TEST_F(WatchEnding, BadHttpAnotherStatusAndAnEndOfTheAnswerBeginItAnew) {
-  for (const std::string& says :
+TEST_F(WatchEnding, InvalidHttpAnUnexpectedStatusOrTheEndOfTheResponseRestartsIt) {
+  for (const std::string& response :
        {std::string("noise\r\n\r\n"), std::string("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"),
         std::string("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
-        stream(listText(1, true, "")) + "0\r\n\r\n"}) {
-    RawDiscovery discovery(w.loop);
-    discovery.says = says;
-    platform::Watch watch(w.loop, discovery.address(), *this);
-    EXPECT_TRUE(w.until([&] { return discovery.accepted.size() >= 2; }, 3 * kSecond)) << says;
+        streamResponse(listText(1, true, "")) + "0\r\n\r\n"}) {
+    RawDiscovery discovery(runner.loop);
+    discovery.response = response;
+    platform::Watch watch(runner.loop, discovery.address(), *this);
+    EXPECT_TRUE(runner.until([&] { return discovery.accepted.size() >= 2; }, 3 * kSecond)) << response;
     EXPECT_LE(watch.sessionCount(), 2u);
   }
 }
 
-TEST_F(WatchEnding, AMoveIsFollowedAtOnceWhateverTheWatchIsAt) {
-  enum class At { pause, connecting, withinAList };
-  for (const At at : {At::pause, At::connecting, At::withinAList}) {
-    RawDiscovery before(w.loop);
-    RawDiscovery after(w.loop);
-    after.says = stream(listText(7, true, "") + "\n");
-    const std::string old = before.address();
-    if (at == At::pause) before.listener.close();
-    if (at == At::withinAList) before.says = stream(R"({"revision":5,"complete":true,"mem)");
-    lists.clear();
-    platform::Watch watch(w.loop, old, *this);
-    if (at == At::pause) w.pass(80 * kMillisecond);
-    if (at == At::withinAList) {
-      ASSERT_TRUE(w.until([&] { return before.accepted.size() == 1; }, kSecond));
+TEST_F(WatchEnding, AnAddressChangeTakesEffectAtOnceInEveryState) {
+  enum class WatchState { reconnectPause, connecting, receivingList };
+  for (const WatchState state :
+       {WatchState::reconnectPause, WatchState::connecting, WatchState::receivingList}) {
+    RawDiscovery oldDiscovery(runner.loop);
+    RawDiscovery newDiscovery(runner.loop);
+    newDiscovery.response = streamResponse(listText(7, true, "") + "\n");
+    const std::string oldAddress = oldDiscovery.address();
+    if (state == WatchState::reconnectPause) oldDiscovery.listener.close();
+    if (state == WatchState::receivingList)
+      oldDiscovery.response = streamResponse(R"({"revision":5,"complete":true,"mem)");
+    receivedVersions.clear();
+    platform::Watch watch(runner.loop, oldAddress, *this);
+    if (state == WatchState::reconnectPause) runner.pass(80 * kMillisecond);
+    if (state == WatchState::receivingList) {
+      ASSERT_TRUE(runner.until([&] { return oldDiscovery.accepted.size() == 1; }, kSecond));
     }
-    watch.changeAddress(after.address());
-    ASSERT_TRUE(w.until([&] { return !lists.empty(); }, 300 * kMillisecond));
-    EXPECT_EQ(lists, std::vector<std::int64_t>{7});
-    w.pass(200 * kMillisecond);
-    EXPECT_EQ(after.accepted.size(), 1u);
+    watch.changeAddress(newDiscovery.address());
+    ASSERT_TRUE(runner.until([&] { return !receivedVersions.empty(); }, 300 * kMillisecond));
+    EXPECT_EQ(receivedVersions, std::vector<std::int64_t>{7});
+    runner.pass(200 * kMillisecond);
+    EXPECT_EQ(newDiscovery.accepted.size(), 1u);
     EXPECT_EQ(watch.sessionCount(), 1u);
   }
 }
 
-TEST_F(WatchEnding, ADiscoveryThatIsSilentAfterAMoveIsAskedAnewWithinTheBeat) {
-  constexpr net::Micros kBeat = 2'400 * kMillisecond;
-  RawDiscovery before(w.loop);
-  RawDiscovery after(w.loop);
-  before.says = stream(listText(1, true, "") + "\n");
-  platform::Watch watch(w.loop, before.address(), *this);
-  ASSERT_TRUE(w.until([&] { return lists.size() == 1; }, kSecond));
-  watch.changeAddress(after.address());
-  ASSERT_TRUE(w.until([&] { return after.accepted.size() == 1; }, kSecond));
-  after.says = stream(listText(9, true, "") + "\n");
-  EXPECT_TRUE(w.until([&] { return lists.back() == 9; }, kBeat + 500 * kMillisecond));
+TEST_F(WatchEnding, ADiscoveryThatIsSilentAfterAnAddressChangeIsAskedAgainWithinTheHeartbeatTimeout) {
+  constexpr net::Micros kHeartbeatTimeout = 2'400 * kMillisecond;
+  RawDiscovery oldDiscovery(runner.loop);
+  RawDiscovery newDiscovery(runner.loop);
+  oldDiscovery.response = streamResponse(listText(1, true, "") + "\n");
+  platform::Watch watch(runner.loop, oldDiscovery.address(), *this);
+  ASSERT_TRUE(runner.until([&] { return receivedVersions.size() == 1; }, kSecond));
+  watch.changeAddress(newDiscovery.address());
+  ASSERT_TRUE(runner.until([&] { return newDiscovery.accepted.size() == 1; }, kSecond));
+  newDiscovery.response = streamResponse(listText(9, true, "") + "\n");
+  EXPECT_TRUE(
+      runner.until([&] { return receivedVersions.back() == 9; }, kHeartbeatTimeout + 500 * kMillisecond));
 }
 
-// ---- the loop ----
+// ---- the event loop ----
 
-TEST(LoopEnding, WhatTimersAndTasksHoldGoesWhileTheLoopStands) {
+TEST(LoopEnding, ObjectsHeldByTimersAndTasksAreDestroyedWhileTheLoopIsUsable) {
   struct Owner {
-    Owner(net::Loop& l, int& g) : loop(l), gone(g) {}
+    Owner(net::Loop& ownerLoop, int& counter) : loop(ownerLoop), destroyedCount(counter) {}
     ~Owner() {
       loop.after(0, [] {});
       loop.post([] {});
-      ++gone;
+      ++destroyedCount;
     }
     net::Loop& loop;
-    int& gone;
+    int& destroyedCount;
   };
-  int gone = 0;
+  int destroyedCount = 0;
   {
     net::Loop loop;
-    loop.after(10 * kSecond, [own = std::make_shared<Owner>(loop, gone)] {});
-    loop.post([own = std::make_shared<Owner>(loop, gone)] {});
+    loop.after(10 * kSecond, [owner = std::make_shared<Owner>(loop, destroyedCount)] {});
+    loop.post([owner = std::make_shared<Owner>(loop, destroyedCount)] {});
   }
-  EXPECT_EQ(gone, 2);
+  EXPECT_EQ(destroyedCount, 2);
 }
 
 }  // namespace
--- a/tests/path/platform_path_test.cpp
+++ b/tests/path/platform_path_test.cpp
@@ -1,5 +1,5 @@
-// Whole paths on the platform: raw clients, scripted engines and discovery on loopback. Each test causes the
-// trouble that it names.
+// End-to-end tests of the platform router on loopback: raw clients, scripted engines and scripted discovery.
+// Each test injects the fault that it is named after.
 #include <algorithm>
 #include <array>
 #include <iostream>
@@ -12,414 +12,446 @@
 using Request = ScriptedEngine::Request;
 
 struct PlatformPath : testing::Test {
-  PlatformWorld w;
+  PlatformWorld world;
 };
 
-TEST_F(PlatformPath, AReadThenAStreamUnchanged) {
-  auto c = w.client();
-  c->ask("a1");
-  ASSERT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000)) << c->got;
-  EXPECT_TRUE(c->has("HTTP/1.1 200"));
-  EXPECT_TRUE(c->has(kEvent));
-  EXPECT_TRUE(c->has(kDone));
-  ASSERT_EQ(w.reader.count("POST"), 1u);
-  ASSERT_EQ(w.writer.count("POST"), 1u);
-  EXPECT_EQ(w.writer.seen[0].body, R"({"model":"m"})");
-  EXPECT_EQ(http1::find(w.writer.seen[0].head.fields, "x-trace-id"), "a1");
-  EXPECT_TRUE(http1::find(w.writer.seen[0].head.fields, "x-expires-in-ms"));
-  EXPECT_TRUE(w.clean());
-  c->got.clear();  // the connection serves another one
-  c->ask("a2");
-  EXPECT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000));
-}
-
-TEST_F(PlatformPath, ReadinessIsTold) {
-  auto c = w.client();
-  c->stream.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-  EXPECT_TRUE(w.until([&] { return c->has("HTTP/1.1 200 OK"); }, 1'000'000));
-}
-
-TEST_F(PlatformPath, ASpoiltOpeningIsTriedAgainWhereThatDoesNoHarm) {
-  for (const std::string& spoilt :
+TEST_F(PlatformPath, ServesAPrefillThenPassesTheStreamOnUnchanged) {
+  auto client = world.connectClient();
+  client->ask("a1");
+  ASSERT_TRUE(world.until([&] { return client->has(kLast); }, 2'000'000)) << client->got;
+  EXPECT_TRUE(client->has("HTTP/1.1 200"));
+  EXPECT_TRUE(client->has(kEvent));
+  EXPECT_TRUE(client->has(kDone));
+  ASSERT_EQ(world.prefillEngine.count("POST"), 1u);
+  ASSERT_EQ(world.decodeEngine.count("POST"), 1u);
+  EXPECT_EQ(world.decodeEngine.seen[0].body, R"({"model":"m"})");
+  EXPECT_EQ(http1::find(world.decodeEngine.seen[0].head.fields, "x-trace-id"), "a1");
+  EXPECT_TRUE(http1::find(world.decodeEngine.seen[0].head.fields, "x-expires-in-ms"));
+  EXPECT_TRUE(world.becomesIdle());
+  client->got.clear();  // the connection is reused
+  client->ask("a2");
+  EXPECT_TRUE(world.until([&] { return client->has(kLast); }, 2'000'000));
+}
+
+TEST_F(PlatformPath, ReportsReadiness) {
+  auto client = world.connectClient();
+  client->stream.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+  EXPECT_TRUE(world.until([&] { return client->has("HTTP/1.1 200 OK"); }, 1'000'000));
+}
+
+TEST_F(PlatformPath, AMalformedResponseStartIsRetriedWhereARetryIsSafe) {
+  for (const std::string& malformed :
        {std::string("\x01\x02noise\r\n\r\n"), std::string("HTTP/9.9 what\r\n\r\n"),
         "HTTP/1.1 200 OK\r\nX: " + std::string(40'000, 'h'), std::string(kHead) + "zz\r\n",
         std::string(kHead) + "c0000000\r\nxxxx"}) {
-    const auto before = w.writer.count("POST");
+    const auto before = world.decodeEngine.count("POST");
     bool first = true;
-    w.writer.script = [&](Request& r) {
-      if (!PlatformWorld::answerCalls(r)) r.stream->send(std::exchange(first, false) ? spoilt : kWhole);
+    world.decodeEngine.script = [&](Request& request) {
+      if (!PlatformWorld::answerCalls(request))
+        request.stream->send(std::exchange(first, false) ? malformed : kWhole);
     };
-    auto c = w.client();
-    c->ask("s" + std::to_string(before));
-    ASSERT_TRUE(w.until([&] { return c->has(kLast); }, 3'000'000)) << spoilt.substr(0, 20) << c->got;
-    EXPECT_EQ(c->count(kEvent), 1u);
-    EXPECT_GE(w.writer.count("POST"), before + 2);
-    EXPECT_TRUE(w.clean());
+    auto client = world.connectClient();
+    client->ask("s" + std::to_string(before));
+    ASSERT_TRUE(world.until([&] { return client->has(kLast); }, 3'000'000))
+        << malformed.substr(0, 20) << client->got;
+    EXPECT_EQ(client->count(kEvent), 1u);
+    EXPECT_GE(world.decodeEngine.count("POST"), before + 2);
+    EXPECT_TRUE(world.becomesIdle());
   }
 }
 
-TEST_F(PlatformPath, AnUnsafeRequestThatMayHaveRunIsNeitherRepeatedNorRefused) {
-  w.writer.script = [&](Request& r) {
-    if (!PlatformWorld::answerCalls(r)) r.stream->send("noise\r\n\r\n");
+TEST_F(PlatformPath, ANonIdempotentRequestThatPossiblyExecutedIsNeitherRetriedNorRejected) {
+  world.decodeEngine.script = [&](Request& request) {
+    if (!PlatformWorld::answerCalls(request)) request.stream->send("noise\r\n\r\n");
   };
-  auto c = w.client();
-  c->ask("u1", "order");
-  ASSERT_TRUE(w.until([&] { return c->has("\r\n\r\n"); }, 3'000'000));
-  EXPECT_TRUE(c->has("HTTP/1.1 502")) << c->got;
-  EXPECT_EQ(w.writer.count("POST"), 1u);
-  EXPECT_TRUE(w.clean());
-}
-
-TEST_F(PlatformPath, AStreamSpoiltLaterEndsTheClientsConnectionWithoutTheLastChunk) {
-  w.writer.script = [&](Request& r) {
-    if (!PlatformWorld::answerCalls(r)) r.stream->send(std::string(kHead) + chunk(kEvent) + "nosize\r\n");
+  auto client = world.connectClient();
+  client->ask("u1", "order");
+  ASSERT_TRUE(world.until([&] { return client->has("\r\n\r\n"); }, 3'000'000));
+  EXPECT_TRUE(client->has("HTTP/1.1 502")) << client->got;
+  EXPECT_EQ(world.decodeEngine.count("POST"), 1u);
+  EXPECT_TRUE(world.becomesIdle());
+}
+
+TEST_F(PlatformPath, AStreamMalformedAfterItsFirstEventClosesTheClientConnectionWithoutTheLastChunk) {
+  world.decodeEngine.script = [&](Request& request) {
+    if (!PlatformWorld::answerCalls(request))
+      request.stream->send(std::string(kHead) + chunk(kEvent) + "nosize\r\n");
   };
-  auto c = w.client();
-  c->ask("b1");
-  ASSERT_TRUE(w.until([&] { return c->closed; }, 2'000'000));
-  EXPECT_EQ(c->count(kEvent), 1u);
-  EXPECT_FALSE(c->has(kLast));
-  EXPECT_EQ(w.writer.count("POST"), 1u);
-  EXPECT_TRUE(w.clean());
+  auto client = world.connectClient();
+  client->ask("b1");
+  ASSERT_TRUE(world.until([&] { return client->closed; }, 2'000'000));
+  EXPECT_EQ(client->count(kEvent), 1u);
+  EXPECT_FALSE(client->has(kLast));
+  EXPECT_EQ(world.decodeEngine.count("POST"), 1u);
+  EXPECT_TRUE(world.becomesIdle());
 }
 
-TEST_F(PlatformPath, AnAnswerThatNobodyAskedForIsNotTakenForTheNext) {
+TEST_F(PlatformPath, AnUnsolicitedResponseIsNotMatchedToTheNextRequest) {
   for (const bool late : {false, true}) {
-    w.writer.script = [&](Request& r) {
-      if (PlatformWorld::answerCalls(r)) return;
-      const std::string foreign = std::string(kHead) + chunk("data: foreign\n\n") + kLast;
-      r.stream->send("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + kWhole + (late ? "" : foreign));
-      if (late) w.loop.after(5000, [&w = w, s = r.stream, foreign] { s->send(foreign); });
+    world.decodeEngine.script = [&](Request& request) {
+      if (PlatformWorld::answerCalls(request)) return;
+      const std::string unsolicited = std::string(kHead) + chunk("data: foreign\n\n") + kLast;
+      request.stream->send("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + kWhole +
+                           (late ? "" : unsolicited));
+      if (late)
+        world.loop.after(5000, [&world = world, engineStream = request.stream, unsolicited] {
+          engineStream->send(unsolicited);
+        });
     };
     for (int i = 0; i < 3; ++i) {
-      auto c = w.client();
-      c->ask((late ? "l" : "e") + std::to_string(i));
-      ASSERT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000)) << c->got;
-      EXPECT_FALSE(c->has("foreign"));
-      w.pass(10'000);
+      auto client = world.connectClient();
+      client->ask((late ? "l" : "e") + std::to_string(i));
+      ASSERT_TRUE(world.until([&] { return client->has(kLast); }, 2'000'000)) << client->got;
+      EXPECT_FALSE(client->has("foreign"));
+      world.pass(10'000);
     }
   }
-  EXPECT_TRUE(w.clean());
-}
-
-TEST_F(PlatformPath, AClientThatGoesAwayLeavesNothingBehind) {
-  w.writer.script = [](Request& r) { PlatformWorld::answerCalls(r); };  // no answer to writes
-  auto c = w.client();
-  c->ask("g1");
-  ASSERT_TRUE(w.until([&] { return w.writer.count("POST") == 1; }, 2'000'000));
-  c->stream.close();
-  EXPECT_TRUE(w.until([&] { return w.reader.count("DELETE") + w.writer.count("DELETE") == 1; }, 1'000'000));
-  EXPECT_TRUE(w.until([&] { return w.writer.gone() == 1; }, 1'000'000));
-  EXPECT_TRUE(w.clean());
-}
-
-std::string requestText(const std::string& id, const std::string& more = "", std::size_t size = 13) {
-  const std::string body = R"({"model":"m"})" + std::string(size - 13, ' ');
+  EXPECT_TRUE(world.becomesIdle());
+}
+
+TEST_F(PlatformPath, AClientDisconnectReleasesAllResources) {
+  world.decodeEngine.script = [](Request& request) {
+    PlatformWorld::answerCalls(request);
+  };  // no response to decode requests
+  auto client = world.connectClient();
+  client->ask("g1");
+  ASSERT_TRUE(world.until([&] { return world.decodeEngine.count("POST") == 1; }, 2'000'000));
+  client->stream.close();
+  EXPECT_TRUE(world.until(
+      [&] { return world.prefillEngine.count("DELETE") + world.decodeEngine.count("DELETE") == 1; },
+      1'000'000));
+  EXPECT_TRUE(world.until([&] { return world.decodeEngine.gone() == 1; }, 1'000'000));
+  EXPECT_TRUE(world.becomesIdle());
+}
+
+std::string requestText(const std::string& id, const std::string& extraFields = "",
+                        std::size_t bodySize = 13) {
+  const std::string body = R"({"model":"m"})" + std::string(bodySize - 13, ' ');
   return "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + id +
-         "\r\nX-Qos: chat\r\nX-Expires-In-Ms: 3000\r\n" + more +
+         "\r\nX-Qos: chat\r\nX-Expires-In-Ms: 3000\r\n" + extraFields +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// Reads to the connection's end; a reset in place of an orderly one throws.
+// Reads until the connection is closed; throws if it is reset instead.
 std::string readToEnd(Poco::Net::StreamSocket& socket) {
-  std::string out;
-  std::array<char, 4096> piece{};
+  std::string received;
+  std::array<char, 4096> buffer{};
   socket.setReceiveTimeout(Poco::Timespan(2, 0));
-  while (const int n = socket.receiveBytes(piece.data(), static_cast<int>(piece.size())))
-    out.append(piece.data(), static_cast<std::size_t>(n));
-  return out;
-}
-
-// The request and the close are read in one turn: the attempt began before the close was seen.
-TEST_F(PlatformPath, ARequestWhoseClientClosedRightBehindItBeginsNothing) {
-  auto c = w.client();  // leaves a connection to the reader, on which an attempt would be out at once
-  c->ask("first");
-  ASSERT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000));
+  while (const int bytesRead = socket.receiveBytes(buffer.data(), static_cast<int>(buffer.size())))
+    received.append(buffer.data(), static_cast<std::size_t>(bytesRead));
+  return received;
+}
+
+// Prevents an attempt on behalf of a closed client: the request and the close are read in one loop iteration,
+// so the attempt could begin before the close is detected.
+TEST_F(PlatformPath, ARequestFollowedAtOnceByAClientCloseStartsNoAttempt) {
+  // Leaves a pooled connection to the prefill engine, on which an attempt would be sent at once.
+  auto client = world.connectClient();
+  client->ask("first");
+  ASSERT_TRUE(world.until([&] { return client->has(kLast); }, 2'000'000));
   for (int i = 0; i < 5; ++i) {
-    Poco::Net::StreamSocket client(w.node->address());
+    Poco::Net::StreamSocket clientSocket(world.routerProcess->address());
     const auto text = requestText("gone" + std::to_string(i));
-    client.sendBytes(text.data(), static_cast<int>(text.size()));
-    client.close();
+    clientSocket.sendBytes(text.data(), static_cast<int>(text.size()));
+    clientSocket.close();
   }
-  w.pass(300'000);
-  EXPECT_EQ(w.node->frontend().connections(), 1u);
-  EXPECT_EQ(w.reader.count("POST"), 1u);
-  EXPECT_EQ(w.node->router().counters().attempts, 2u);  // those of the first request
-}
-
-// Reading was paused behind an open request, and the close of a client that had sent much went unseen.
-TEST_F(PlatformPath, MuchSentBehindAnOpenRequestDoesNotHideTheClose) {
-  w.writer.script = [](Request& r) { PlatformWorld::answerCalls(r); };  // no answer to writes
-  auto c = w.client();
-  c->ask("much");
-  for (int i = 0; i < 20; ++i) c->stream.send(requestText("behind" + std::to_string(i), "", 20'000));
-  ASSERT_TRUE(w.until([&] { return w.writer.count("POST") == 1 && c->stream.pending() == 0; }, 2'000'000));
-  c->stream.close();
-  EXPECT_TRUE(w.until([&] { return w.writer.gone() == 1; }, 100'000));
-  EXPECT_TRUE(w.clean());
-  EXPECT_EQ(w.reader.count("POST"), 1u);
-}
-
-// What was kept of it was read, and is answered; the rest is thrown away, and the connection ends.
-TEST_F(PlatformPath, AFloodBehindAnOpenRequestIsKeptToABoundAndOthersAreServed) {
-  auto c = w.client();
-  std::vector<net::Stream*> held;
-  w.writer.script = [&](Request& r) {
-    if (PlatformWorld::answerCalls(r)) return;
-    held.size() < 2 ? held.push_back(r.stream) : r.stream->send(kWhole);
+  world.pass(300'000);
+  EXPECT_EQ(world.routerProcess->frontend().connections(), 1u);
+  EXPECT_EQ(world.prefillEngine.count("POST"), 1u);
+  EXPECT_EQ(world.routerProcess->router().counters().attempts, 2u);  // both belong to the first request
+}
+
+// Prevents an undetected client close: if reading were paused while a request is open, the close of a client
+// that has pipelined a lot of data would go unnoticed.
+TEST_F(PlatformPath, PipelinedDataBehindAnOpenRequestDoesNotHideTheClose) {
+  world.decodeEngine.script = [](Request& request) {
+    PlatformWorld::answerCalls(request);
+  };  // no response to decode requests
+  auto client = world.connectClient();
+  client->ask("much");
+  for (int i = 0; i < 20; ++i) client->stream.send(requestText("behind" + std::to_string(i), "", 20'000));
+  ASSERT_TRUE(world.until(
+      [&] { return world.decodeEngine.count("POST") == 1 && client->stream.pending() == 0; }, 2'000'000));
+  client->stream.close();
+  EXPECT_TRUE(world.until([&] { return world.decodeEngine.gone() == 1; }, 100'000));
+  EXPECT_TRUE(world.becomesIdle());
+  EXPECT_EQ(world.prefillEngine.count("POST"), 1u);
+}
+
+// Pipelined requests that were buffered are answered; the rest is discarded and the connection is closed.
+TEST_F(PlatformPath, PipelinedFloodBehindAnOpenRequestIsBoundedAndOtherClientsAreServed) {
+  auto client = world.connectClient();
+  std::vector<net::Stream*> heldStreams;
+  world.decodeEngine.script = [&](Request& request) {
+    if (PlatformWorld::answerCalls(request)) return;
+    heldStreams.size() < 2 ? heldStreams.push_back(request.stream) : request.stream->send(kWhole);
   };
-  c->ask("flood");
-  for (int i = 0; i < 200; ++i) c->stream.send(requestText("more" + std::to_string(i), "", 20'000));
-  auto other = w.client();
+  client->ask("flood");
+  for (int i = 0; i < 200; ++i) client->stream.send(requestText("more" + std::to_string(i), "", 20'000));
+  auto other = world.connectClient();
   other->ask("other");
-  ASSERT_TRUE(w.until([&] { return held.size() == 2 && c->stream.pending() == 0; }, 2'000'000))
-      << held.size() << " " << c->stream.pending() << " " << other->got << w.node->statusSummary();
-  w.pass(50'000);
-  for (auto* s : held) s->send(kWhole);
-  EXPECT_TRUE(w.until([&] { return other->has(kLast) && c->closed; }, 5'000'000)) << other->got;
-  EXPECT_EQ(c->count(kLast) + 1, w.writer.count("POST")) << c->got;
-  EXPECT_GT(c->count(kLast), 40u);  // a mebibyte of 20 kB each
-  EXPECT_LT(c->count(kLast), 60u);
-  EXPECT_TRUE(w.clean());
-}
-
-TEST_F(PlatformPath, AnAnswerIsReadWholeThoughMoreWasSentBehindItsRequest) {
-  Poco::Net::StreamSocket client(w.node->address());
+  ASSERT_TRUE(
+      world.until([&] { return heldStreams.size() == 2 && client->stream.pending() == 0; }, 2'000'000))
+      << heldStreams.size() << " " << client->stream.pending() << " " << other->got
+      << world.routerProcess->statusSummary();
+  world.pass(50'000);
+  for (auto* engineStream : heldStreams) engineStream->send(kWhole);
+  EXPECT_TRUE(world.until([&] { return other->has(kLast) && client->closed; }, 5'000'000)) << other->got;
+  EXPECT_EQ(client->count(kLast) + 1, world.decodeEngine.count("POST")) << client->got;
+  EXPECT_GT(client->count(kLast), 40u);  // 1 MiB of requests of 20 kB each
+  EXPECT_LT(client->count(kLast), 60u);
+  EXPECT_TRUE(world.becomesIdle());
+}
+
+TEST_F(PlatformPath, AResponseArrivesWholeThoughMoreDataFollowedItsRequest) {
+  Poco::Net::StreamSocket clientSocket(world.routerProcess->address());
   const auto text = requestText("last", "Connection: close\r\n") + requestText("extra", "", 100'000);
-  client.sendBytes(text.data(), static_cast<int>(text.size()));
-  w.pass(300'000);
-  const auto got = readToEnd(client);
+  clientSocket.sendBytes(text.data(), static_cast<int>(text.size()));
+  world.pass(300'000);
+  const auto got = readToEnd(clientSocket);
   EXPECT_TRUE(got.ends_with(kLast)) << got;
-  EXPECT_EQ(w.reader.count("POST"), 1u);
+  EXPECT_EQ(world.prefillEngine.count("POST"), 1u);
 }
 
-// The request crosses the end of its connection: it is not read, and no reset takes the answer before it.
-TEST_F(PlatformPath, ARequestBehindTheEndOfARestingConnectionIsNotSentOn) {
-  Poco::Net::StreamSocket client(w.node->address());
+// The request crosses the close of its connection: it is not read, and no reset discards the previous
+// response.
+TEST_F(PlatformPath, ARequestAfterTheCloseOfAnIdleConnectionIsNotForwarded) {
+  Poco::Net::StreamSocket clientSocket(world.routerProcess->address());
   const auto first = requestText("first");
-  client.sendBytes(first.data(), static_cast<int>(first.size()));
-  w.pass(200'000);
-  w.node->shutDown([] {});
-  w.pass(50'000);
+  clientSocket.sendBytes(first.data(), static_cast<int>(first.size()));
+  world.pass(200'000);
+  world.routerProcess->shutDown([] {});
+  world.pass(50'000);
   const auto late = requestText("late");
-  client.sendBytes(late.data(), static_cast<int>(late.size()));
-  w.pass(50'000);
-  const auto got = readToEnd(client);
+  clientSocket.sendBytes(late.data(), static_cast<int>(late.size()));
+  world.pass(50'000);
+  const auto got = readToEnd(clientSocket);
   EXPECT_TRUE(got.ends_with(kLast)) << got;
-  EXPECT_EQ(w.reader.count("POST"), 1u);
-  client.close();
-  EXPECT_TRUE(w.until([&] { return w.node->frontend().connections() == 0; }, 500'000));
+  EXPECT_EQ(world.prefillEngine.count("POST"), 1u);
+  clientSocket.close();
+  EXPECT_TRUE(world.until([&] { return world.routerProcess->frontend().connections() == 0; }, 500'000));
 }
 
-TEST_F(PlatformPath, AReleaseGoesElsewhereWhereTheReaderIsSilent) {
-  w.reader.script = [](Request& r) {
-    if (r.head.method == "POST") r.stream->send(kRead);  // and no word to a release
+TEST_F(PlatformPath, AReleaseIsSentToTheDecodeEngineWhenThePrefillEngineDoesNotRespond) {
+  world.prefillEngine.script = [](Request& request) {
+    if (request.head.method == "POST") request.stream->send(kRead);  // and no response to a release
   };
-  w.writer.script = [](Request& r) { PlatformWorld::answerCalls(r); };
-  auto c = w.client();
-  c->ask("h1");
-  ASSERT_TRUE(w.until([&] { return w.writer.count("POST") == 1; }, 2'000'000));
-  c->stream.close();
-  EXPECT_TRUE(w.until([&] { return w.writer.count("DELETE") == 1; }, 150'000));  // of 500 ms
-  EXPECT_TRUE(w.clean());
-}
-
-TEST_F(PlatformPath, BadRequestsGetAnErrorAndTheirConnectionEnds) {
-  const std::string good = "X-Trace-Id: x1\r\nX-Qos: chat\r\nX-Expires-In-Ms: 3000\r\n";
-  for (const std::string& bad :
+  world.decodeEngine.script = [](Request& request) { PlatformWorld::answerCalls(request); };
+  auto client = world.connectClient();
+  client->ask("h1");
+  ASSERT_TRUE(world.until([&] { return world.decodeEngine.count("POST") == 1; }, 2'000'000));
+  client->stream.close();
+  EXPECT_TRUE(world.until([&] { return world.decodeEngine.count("DELETE") == 1; },
+                          150'000));  // the release limit is 500 ms
+  EXPECT_TRUE(world.becomesIdle());
+}
+
+TEST_F(PlatformPath, InvalidRequestsGetAnErrorAndTheirConnectionIsClosed) {
+  const std::string validFields = "X-Trace-Id: x1\r\nX-Qos: chat\r\nX-Expires-In-Ms: 3000\r\n";
+  for (const std::string& invalidRequest :
        {std::string("\x01\x02\x03\r\n\r\n"),
         std::string("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"),
-        "POST /v1/chat/completions HTTP/1.1\r\n" + good +
+        "POST /v1/chat/completions HTTP/1.1\r\n" + validFields +
             "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n{}",
-        "POST /v1/chat/completions HTTP/1.1\r\n" + good + "Content-Length: -4\r\n\r\n",
-        "POST /v1/chat/completions HTTP/1.1\r\n" + good + "Content-Length: 63000000\r\n\r\n" +
+        "POST /v1/chat/completions HTTP/1.1\r\n" + validFields + "Content-Length: -4\r\n\r\n",
+        "POST /v1/chat/completions HTTP/1.1\r\n" + validFields + "Content-Length: 63000000\r\n\r\n" +
             std::string(5000, 'b'),
-        "POST /v1/chat/completions HTTP/1.1\r\n" + good + "Content-Length: 5\r\n\r\n{\"a\":1}",
+        "POST /v1/chat/completions HTTP/1.1\r\n" + validFields + "Content-Length: 5\r\n\r\n{\"a\":1}",
         "POST /v1/chat/completions HTTP/1.1\r\nX: " + std::string(40'000, 'y')}) {
-    auto c = w.client();
-    c->stream.send(bad);
-    EXPECT_TRUE(w.until([&] { return c->closed; }, 1'000'000)) << bad.substr(0, 40);
-    EXPECT_TRUE(c->has("HTTP/1.1 4")) << c->got;
-    EXPECT_EQ(c->count("HTTP/1.1 "), 1u);
+    auto client = world.connectClient();
+    client->stream.send(invalidRequest);
+    EXPECT_TRUE(world.until([&] { return client->closed; }, 1'000'000)) << invalidRequest.substr(0, 40);
+    EXPECT_TRUE(client->has("HTTP/1.1 4")) << client->got;
+    EXPECT_EQ(client->count("HTTP/1.1 "), 1u);
   }
-  EXPECT_EQ(w.reader.count("POST"), 0u);
+  EXPECT_EQ(world.prefillEngine.count("POST"), 0u);
 }
 
-TEST_F(PlatformPath, TheIdOfAnOpenRequestIsTurnedAwayAndTheFirstGoesOn) {
-  Request* held = nullptr;
-  w.writer.script = [&](Request& r) {
-    if (!PlatformWorld::answerCalls(r)) held = &r;
+TEST_F(PlatformPath, ADuplicateTraceIdIsRejectedAndTheOpenRequestContinues) {
+  Request* heldRequest = nullptr;
+  world.decodeEngine.script = [&](Request& request) {
+    if (!PlatformWorld::answerCalls(request)) heldRequest = &request;
   };
-  auto c = w.client();
-  c->ask("d1");
-  ASSERT_TRUE(w.until([&] { return held != nullptr; }, 2'000'000));
-  auto other = w.client();
+  auto client = world.connectClient();
+  client->ask("d1");
+  ASSERT_TRUE(world.until([&] { return heldRequest != nullptr; }, 2'000'000));
+  auto other = world.connectClient();
   other->ask("d1");
-  EXPECT_TRUE(w.until([&] { return other->has("HTTP/1.1 409"); }, 1'000'000));
-  held->stream->send(kWhole);
-  EXPECT_TRUE(w.until([&] { return c->has(kLast); }, 1'000'000));
-  EXPECT_EQ(w.writer.count("POST"), 1u);
+  EXPECT_TRUE(world.until([&] { return other->has("HTTP/1.1 409"); }, 1'000'000));
+  heldRequest->stream->send(kWhole);
+  EXPECT_TRUE(world.until([&] { return client->has(kLast); }, 1'000'000));
+  EXPECT_EQ(world.decodeEngine.count("POST"), 1u);
 }
 
-TEST_F(PlatformPath, HalfRequestsAndSilenceEndInTime) {
-  auto silent = w.client();
-  auto half = w.client();
-  auto slow = w.client();
+TEST_F(PlatformPath, PartialRequestsAndSilentConnectionsTimeOut) {
+  auto silent = world.connectClient();
+  auto half = world.connectClient();
+  auto slow = world.connectClient();
   half->stream.send("POST /v1/chat/completions HTTP/1.1\r\nHost");
   slow->ask("t1", "chat", "", "");
-  EXPECT_TRUE(w.until([&] { return silent->closed && half->closed; }, 3'000'000));
+  EXPECT_TRUE(world.until([&] { return silent->closed && half->closed; }, 3'000'000));
   EXPECT_TRUE(half->has("HTTP/1.1 408"));
   EXPECT_TRUE(slow->has("HTTP/1.1 400")) << slow->got;  // its body is empty
 }
 
-TEST_F(PlatformPath, AFloodOfSilentConnectionsKeepsNobodyOut) {
+TEST_F(PlatformPath, AFloodOfSilentConnectionsDoesNotBlockNewClients) {
   std::vector<std::unique_ptr<RawClient>> flood;
-  for (int i = 0; i < 300; ++i) flood.push_back(w.client());
-  w.pass(100'000);
-  auto c = w.client();
-  c->ask("f1");
-  EXPECT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000)) << c->got;
-  EXPECT_LE(w.node->frontend().connections(), 128u);
+  for (int i = 0; i < 300; ++i) flood.push_back(world.connectClient());
+  world.pass(100'000);
+  auto client = world.connectClient();
+  client->ask("f1");
+  EXPECT_TRUE(world.until([&] { return client->has(kLast); }, 2'000'000)) << client->got;
+  EXPECT_LE(world.routerProcess->frontend().connections(), 128u);
 }
 
-// Connections that asked once and stay take no room from those that come.
-TEST_F(PlatformPath, ACrowdOfRestingConnectionsKeepsNobodyOut) {
-  std::vector<std::unique_ptr<RawClient>> crowd;
+// Idle connections that have already had a response do not use up the capacity for new ones.
+TEST_F(PlatformPath, ManyIdleConnectionsDoNotBlockNewClients) {
+  std::vector<std::unique_ptr<RawClient>> idleClients;
   for (int i = 0; i < 400; ++i) {
-    crowd.push_back(w.client());
-    crowd.back()->stream.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+    idleClients.push_back(world.connectClient());
+    idleClients.back()->stream.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
   }
-  EXPECT_TRUE(w.until(
-      [&] { return std::all_of(crowd.begin(), crowd.end(), [](auto& c) { return c->has("200 OK"); }); },
+  EXPECT_TRUE(world.until(
+      [&] {
+        return std::all_of(idleClients.begin(), idleClients.end(),
+                           [](auto& client) { return client->has("200 OK"); });
+      },
       1'500'000));
-  auto c = w.client();
-  c->ask("f2");
-  EXPECT_TRUE(w.until([&] { return c->has(kLast); }, 1'000'000)) << c->got;
+  auto client = world.connectClient();
+  client->ask("f2");
+  EXPECT_TRUE(world.until([&] { return client->has(kLast); }, 1'000'000)) << client->got;
 }
 
-TEST_F(PlatformPath, ATrickledRequestIsServed) {
-  auto c = w.client();
+TEST_F(PlatformPath, ARequestSentByteByByteIsServed) {
+  auto client = world.connectClient();
   const std::string body = R"({"model":"m"})";
   const std::string text =
       "POST /v1/chat/completions HTTP/1.1\r\nX-Trace-Id: k1\r\nX-Qos: chat\r\nX-Expires-In-Ms: 3000\r\n"
       "Content-Length: 13\r\n\r\n" +
       body;
-  std::size_t at = 0;
-  std::function<void()> next = [&] {
-    c->stream.send(text.substr(at++, 1));
-    if (at < text.size()) w.loop.after(1000, next);
+  std::size_t offset = 0;
+  std::function<void()> sendNextByte = [&] {
+    client->stream.send(text.substr(offset++, 1));
+    if (offset < text.size()) world.loop.after(1000, sendNextByte);
   };
-  next();
-  EXPECT_TRUE(w.until([&] { return c->has(kLast); }, 3'000'000)) << c->got;
+  sendNextByte();
+  EXPECT_TRUE(world.until([&] { return client->has(kLast); }, 3'000'000)) << client->got;
 }
 
 TEST_F(PlatformPath, PipelinedRequestsAreAnsweredInOrder) {
-  auto c = w.client();
-  c->ask("p1");
-  c->ask("p2");
-  c->ask("p3");
-  EXPECT_TRUE(w.until([&] { return c->count(kLast) == 3; }, 3'000'000)) << c->got;
-  EXPECT_EQ(w.writer.count("POST"), 3u);
-}
-
-// Engines that reset a kept connection at its next request: reads are sent again, unsafe requests go on new
-// connections once that is known.
-TEST_F(PlatformPath, KeptConnectionsThatDieCostNoUnsafeRequest) {
-  std::vector<std::size_t> used;
-  const auto resetting = [&](std::string_view answer) {
-    return [&used, answer](Request& r) {
-      if (PlatformWorld::answerCalls(r)) return;
-      const bool again = std::count(used.begin(), used.end(), reinterpret_cast<std::size_t>(r.stream)) > 0;
-      used.push_back(reinterpret_cast<std::size_t>(r.stream));
-      again ? r.stream->close(true) : r.stream->send(answer);
+  auto client = world.connectClient();
+  client->ask("p1");
+  client->ask("p2");
+  client->ask("p3");
+  EXPECT_TRUE(world.until([&] { return client->count(kLast) == 3; }, 3'000'000)) << client->got;
+  EXPECT_EQ(world.decodeEngine.count("POST"), 3u);
+}
+
+// Engines reset a pooled connection at its next request: prefills are retried, and non-idempotent requests
+// use new connections once this has been observed.
+TEST_F(PlatformPath, ResetPooledConnectionsFailNoNonIdempotentRequest) {
+  std::vector<std::size_t> usedStreams;
+  const auto resetting = [&](std::string_view response) {
+    return [&usedStreams, response](Request& request) {
+      if (PlatformWorld::answerCalls(request)) return;
+      const bool isReused = std::count(usedStreams.begin(), usedStreams.end(),
+                                       reinterpret_cast<std::size_t>(request.stream)) > 0;
+      usedStreams.push_back(reinterpret_cast<std::size_t>(request.stream));
+      isReused ? request.stream->close(true) : request.stream->send(response);
     };
   };
-  w.reader.script = resetting(kRead);
-  w.writer.script = resetting(kWhole);
+  world.prefillEngine.script = resetting(kRead);
+  world.decodeEngine.script = resetting(kWhole);
   for (int i = 0; i < 4; ++i) {
-    auto c = w.client();
-    c->ask("k" + std::to_string(i));
-    ASSERT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000)) << c->got;
-    w.pass(30'000);  // until the connections may be used again
+    auto client = world.connectClient();
+    client->ask("k" + std::to_string(i));
+    ASSERT_TRUE(world.until([&] { return client->has(kLast); }, 2'000'000)) << client->got;
+    world.pass(30'000);  // until the connections may be reused
   }
   for (int i = 0; i < 8; ++i) {
-    auto c = w.client();
-    c->ask("m" + std::to_string(i), "order");
-    ASSERT_TRUE(w.until([&] { return c->has(kLast) || c->has("HTTP/1.1 5"); }, 2'000'000));
-    EXPECT_TRUE(c->has(kLast)) << i << c->got;
+    auto client = world.connectClient();
+    client->ask("m" + std::to_string(i), "order");
+    ASSERT_TRUE(world.until([&] { return client->has(kLast) || client->has("HTTP/1.1 5"); }, 2'000'000));
+    EXPECT_TRUE(client->has(kLast)) << i << client->got;
   }
-  EXPECT_TRUE(w.clean());
-}
-
-TEST_F(PlatformPath, ARefusedEngineIsGivenUpAndTheClientToldWhenToComeBack) {
-  w.watches.at(0).second->piece(R"({"revision":2,"complete":false,"members":[)" +
-                                w.member("w", w.writer, "m2", "draining") + "]}\n");
-  ASSERT_TRUE(w.until([&] { return w.node->endpointList().version() == 2; }, 1'000'000));
-  w.pass(300'000);
-  auto c = w.client();
-  c->ask("n1");
-  ASSERT_TRUE(w.until([&] { return c->has("\r\n\r\n"); }, 3'500'000));
-  EXPECT_TRUE(c->has("HTTP/1.1 429") || c->has("HTTP/1.1 503")) << c->got;
-  EXPECT_TRUE(c->has("Retry-After: 0.")) << c->got;
-  EXPECT_EQ(w.writer.count("POST"), 0u);
-}
-
-TEST_F(PlatformPath, TheWatchIsBegunAnewFromTheVersionThatIsHeld) {
-  ASSERT_EQ(w.watches.size(), 1u);
-  EXPECT_NE(w.watches[0].first.find("index=0"), std::string::npos);
-  w.watches[0].second->cut();
-  ASSERT_TRUE(w.until([&] { return w.watches.size() == 2; }, 2'000'000));
-  EXPECT_NE(w.watches[1].first.find("stream=1&index=1"), std::string::npos);
-}
-
-// What a spoilt list told would be passed over with the next change: it is asked for from the version held.
-TEST_F(PlatformPath, AListThatCantBeUsedIsAskedForAgain) {
-  ASSERT_EQ(w.watches.size(), 1u);
-  w.firstList = R"({"revision":3,"complete":false,"members":[)" + w.member("w2", w.otherWriter, "m2") + "]}";
-  w.watches[0].second->piece("{\"revision\":2,\"members\":7}\n" + w.firstList + "\n");
-  ASSERT_TRUE(w.until([&] { return w.watches.size() == 2; }, 2'000'000));
-  EXPECT_NE(w.watches[1].first.find("index=1"), std::string::npos) << w.watches[1].first;
-  EXPECT_TRUE(w.until([&] { return w.node->endpointList().version() == 3; }, 1'000'000));
-}
-
-// A list that is cut short by the end of its watch is asked for again.
-TEST_F(PlatformPath, AListThatIsCutShortIsAskedForAgain) {
-  ASSERT_EQ(w.watches.size(), 1u);
-  w.firstList = R"({"revision":2,"complete":false,"members":[)" + w.member("w2", w.otherWriter, "m2") + "]}";
-  w.watches[0].second->piece(w.firstList.substr(0, w.firstList.size() / 2));
-  w.pass(20'000);
-  w.watches[0].second->cut();
-  ASSERT_TRUE(w.until([&] { return w.watches.size() == 2; }, 2'000'000));
-  EXPECT_NE(w.watches[1].first.find("index=1"), std::string::npos);
-  EXPECT_TRUE(w.until([&] { return w.node->endpointList().version() == 2; }, 1'000'000));
-}
-
-// An answer is bounded like any message; its client must not wait for an end that never comes.
-TEST_F(PlatformPath, AStreamThatNeverEndsIsEndedAtTheBoundOfAnAnswer) {
-  constexpr std::size_t kMost = 256 * 1024;
-  std::size_t sent = 0;
-  std::function<void(net::Stream*)> goOn = [&](net::Stream* stream) {
+  EXPECT_TRUE(world.becomesIdle());
+}
+
+TEST_F(PlatformPath, ADrainingEngineIsNotUsedAndTheClientGetsRetryAfter) {
+  world.watchRequests.at(0).second->piece(R"({"revision":2,"complete":false,"members":[)" +
+                                          world.memberJson("w", world.decodeEngine, "m2", "draining") +
+                                          "]}\n");
+  ASSERT_TRUE(world.until([&] { return world.routerProcess->endpointList().version() == 2; }, 1'000'000));
+  world.pass(300'000);
+  auto client = world.connectClient();
+  client->ask("n1");
+  ASSERT_TRUE(world.until([&] { return client->has("\r\n\r\n"); }, 3'500'000));
+  EXPECT_TRUE(client->has("HTTP/1.1 429") || client->has("HTTP/1.1 503")) << client->got;
+  EXPECT_TRUE(client->has("Retry-After: 0.")) << client->got;
+  EXPECT_EQ(world.decodeEngine.count("POST"), 0u);
+}
+
+TEST_F(PlatformPath, TheWatchIsRestartedFromTheCurrentVersion) {
+  ASSERT_EQ(world.watchRequests.size(), 1u);
+  EXPECT_NE(world.watchRequests[0].first.find("index=0"), std::string::npos);
+  world.watchRequests[0].second->cut();
+  ASSERT_TRUE(world.until([&] { return world.watchRequests.size() == 2; }, 2'000'000));
+  EXPECT_NE(world.watchRequests[1].first.find("stream=1&index=1"), std::string::npos);
+}
+
+// Prevents a lost update: the changes in an invalid list would be skipped by the next delta, so they are
+// requested again from the current version.
+TEST_F(PlatformPath, AnInvalidListIsRequestedAgain) {
+  ASSERT_EQ(world.watchRequests.size(), 1u);
+  world.initialEndpointList = R"({"revision":3,"complete":false,"members":[)" +
+                              world.memberJson("w2", world.otherDecodeEngine, "m2") + "]}";
+  world.watchRequests[0].second->piece("{\"revision\":2,\"members\":7}\n" + world.initialEndpointList + "\n");
+  ASSERT_TRUE(world.until([&] { return world.watchRequests.size() == 2; }, 2'000'000));
+  EXPECT_NE(world.watchRequests[1].first.find("index=1"), std::string::npos) << world.watchRequests[1].first;
+  EXPECT_TRUE(world.until([&] { return world.routerProcess->endpointList().version() == 3; }, 1'000'000));
+}
+
+// A list that is truncated by the end of its watch is requested again.
+TEST_F(PlatformPath, ATruncatedListIsRequestedAgain) {
+  ASSERT_EQ(world.watchRequests.size(), 1u);
+  world.initialEndpointList = R"({"revision":2,"complete":false,"members":[)" +
+                              world.memberJson("w2", world.otherDecodeEngine, "m2") + "]}";
+  world.watchRequests[0].second->piece(
+      world.initialEndpointList.substr(0, world.initialEndpointList.size() / 2));
+  world.pass(20'000);
+  world.watchRequests[0].second->cut();
+  ASSERT_TRUE(world.until([&] { return world.watchRequests.size() == 2; }, 2'000'000));
+  EXPECT_NE(world.watchRequests[1].first.find("index=1"), std::string::npos);
+  EXPECT_TRUE(world.until([&] { return world.routerProcess->endpointList().version() == 2; }, 1'000'000));
+}
+
+// The size of a response is bounded like that of any message, so that its client does not wait for an end
+// that never comes.
+TEST_F(PlatformPath, AnEndlessStreamIsClosedAtTheResponseSizeLimit) {
+  constexpr std::size_t kMaxResponseBytes = 256 * 1024;
+  std::size_t sentBytes = 0;
+  std::function<void(net::Stream*)> sendNextEvent = [&](net::Stream* stream) {
     const std::string event = chunk("data: " + std::string(20'000, 'x') + "\n\n");
-    sent += event.size();
-    if (!stream->open() || sent > 4 * kMost) return;
+    sentBytes += event.size();
+    if (!stream->open() || sentBytes > 4 * kMaxResponseBytes) return;
     stream->send(event);
-    w.loop.after(1'000, [&goOn, stream] { goOn(stream); });
+    world.loop.after(1'000, [&sendNextEvent, stream] { sendNextEvent(stream); });
   };
-  w.writer.script = [&](Request& r) {
-    if (PlatformWorld::answerCalls(r)) return;
-    r.stream->send(kHead);
-    goOn(r.stream);
+  world.decodeEngine.script = [&](Request& request) {
+    if (PlatformWorld::answerCalls(request)) return;
+    request.stream->send(kHead);
+    sendNextEvent(request.stream);
   };
-  auto c = w.client();
-  c->ask("endless");
-  EXPECT_TRUE(w.until([&] { return c->closed; }, 5'000'000));
-  EXPECT_LE(c->got.size(), kMost + 4096);
-  EXPECT_GT(c->got.size(), kMost / 2);
-  EXPECT_FALSE(c->has("\r\n" + std::string(kLast)));
-  EXPECT_TRUE(w.clean());
+  auto client = world.connectClient();
+  client->ask("endless");
+  EXPECT_TRUE(world.until([&] { return client->closed; }, 5'000'000));
+  EXPECT_LE(client->got.size(), kMaxResponseBytes + 4096);
+  EXPECT_GT(client->got.size(), kMaxResponseBytes / 2);
+  EXPECT_FALSE(client->has("\r\n" + std::string(kLast)));
+  EXPECT_TRUE(world.becomesIdle());
 }
 
-// A client that notes how long each event of its stream took from the engine's write, whose time it tells.
+// Records the delay of each event of its stream from the engine's write, whose time the event contains.
 class TimingClient final : public net::StreamEvents {
  public:
   TimingClient(net::Loop& loop, const Poco::Net::SocketAddress& to, const std::string& id)
@@ -428,12 +460,14 @@
   }
   void onBytes(std::string_view bytes) override {
     text_ += bytes;
-    constexpr std::string_view kTime = "data: {\"at\":";
-    for (auto at = text_.find(kTime, read_); at != std::string::npos; at = text_.find(kTime, read_)) {
-      const auto end = text_.find('}', at);
+    constexpr std::string_view kTimestampPrefix = "data: {\"at\":";
+    for (auto offset = text_.find(kTimestampPrefix, parsedBytes_); offset != std::string::npos;
+         offset = text_.find(kTimestampPrefix, parsedBytes_)) {
+      const auto end = text_.find('}', offset);
       if (end == std::string::npos) return;
-      delays.push_back(loop_.now() - std::stoll(text_.substr(at + kTime.size(), end - at - kTime.size())));
-      read_ = end;
+      delays.push_back(loop_.now() - std::stoll(text_.substr(offset + kTimestampPrefix.size(),
+                                                             end - offset - kTimestampPrefix.size())));
+      parsedBytes_ = end;
     }
   }
   void onClosed(net::CloseCause) override {}
@@ -442,163 +476,174 @@
  private:
   net::Loop& loop_;
   std::string text_;
-  std::size_t read_ = 0;
+  std::size_t parsedBytes_ = 0;
   net::Stream stream_;
 };
 
-// Events go on as they come, beside lists of a hundred engines, a flood and a neighbour that reads nothing.
-TEST_F(PlatformPath, EventsAreNotHeldBackByListsFloodsOrSlowNeighbours) {
-  constexpr std::size_t kStreams = 20;
-  constexpr int kEvents = 100;
-  constexpr Micros kApart = 5'000;
-  constexpr Micros kWithin = 300'000;
+// Events are forwarded as they arrive, in spite of lists of 100 engines, a flood of requests and another
+// client that does not read.
+TEST_F(PlatformPath, EventsAreNotDelayedByListsFloodsOrSlowClients) {
+  constexpr std::size_t kStreamCount = 20;
+  constexpr int kEventsPerStream = 100;
+  constexpr Micros kEventInterval = 5'000;
+  constexpr Micros kMaxEventDelay = 300'000;
   std::vector<net::Stream*> streams;
-  w.writer.script = [&](Request& r) {
-    if (PlatformWorld::answerCalls(r)) return;
-    r.stream->send(kHead);
-    streams.push_back(r.stream);
+  world.decodeEngine.script = [&](Request& request) {
+    if (PlatformWorld::answerCalls(request)) return;
+    request.stream->send(kHead);
+    streams.push_back(request.stream);
   };
-  auto slow = w.client();
+  auto slow = world.connectClient();
   slow->ask("slow");
-  ASSERT_TRUE(w.until([&] { return streams.size() == 1; }, 2'000'000));
+  ASSERT_TRUE(world.until([&] { return streams.size() == 1; }, 2'000'000));
   slow->stream.pauseReading(true);
   streams[0]->send(chunk("data: " + std::string(60'000, 'x') + "\n\n"));
   std::vector<std::unique_ptr<TimingClient>> clients;
-  for (std::size_t i = 0; i < kStreams; ++i)
-    clients.push_back(std::make_unique<TimingClient>(w.loop, w.node->address(), "e" + std::to_string(i)));
-  ASSERT_TRUE(w.until([&] { return streams.size() == kStreams + 1; }, 3'000'000));
-  int sent = 0;
-  std::function<void()> goOn = [&] {
+  for (std::size_t i = 0; i < kStreamCount; ++i)
+    clients.push_back(
+        std::make_unique<TimingClient>(world.loop, world.routerProcess->address(), "e" + std::to_string(i)));
+  ASSERT_TRUE(world.until([&] { return streams.size() == kStreamCount + 1; }, 3'000'000));
+  int sentRounds = 0;
+  std::function<void()> sendNextRound = [&] {
     for (std::size_t i = 1; i < streams.size(); ++i)
-      streams[i]->send(chunk("data: {\"at\":" + std::to_string(w.loop.now()) + "}\n\n"));
-    if (sent % 10 == 0) {
-      std::string list = R"({"revision":)" + std::to_string(sent + 2) + R"(,"complete":true,"members":[)" +
-                         w.member("r", w.reader, "m1") + "," + w.member("w", w.writer, "m2");
-      for (int e = 0; e < 100; ++e) list += "," + w.member("x" + std::to_string(e), w.otherWriter, "m2");
-      w.watches[0].second->piece(list + "]}\n");
+      streams[i]->send(chunk("data: {\"at\":" + std::to_string(world.loop.now()) + "}\n\n"));
+    if (sentRounds % 10 == 0) {
+      std::string listJson = R"({"revision":)" + std::to_string(sentRounds + 2) +
+                             R"(,"complete":true,"members":[)" +
+                             world.memberJson("r", world.prefillEngine, "m1") + "," +
+                             world.memberJson("w", world.decodeEngine, "m2");
+      for (int engineNumber = 0; engineNumber < 100; ++engineNumber)
+        listJson += "," + world.memberJson("x" + std::to_string(engineNumber), world.otherDecodeEngine, "m2");
+      world.watchRequests[0].second->piece(listJson + "]}\n");
     }
-    if (++sent < kEvents) w.loop.after(kApart, goOn);
+    if (++sentRounds < kEventsPerStream) world.loop.after(kEventInterval, sendNextRound);
   };
-  auto flood = w.client();
+  auto flood = world.connectClient();
   for (int i = 0; i < 500; ++i) flood->stream.send("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-  goOn();
-  ASSERT_TRUE(w.until([&] { return clients.back()->delays.size() == kEvents; }, 10'000'000));
+  sendNextRound();
+  ASSERT_TRUE(world.until([&] { return clients.back()->delays.size() == kEventsPerStream; }, 10'000'000));
   std::vector<Micros> delays;
-  for (const auto& c : clients) delays.insert(delays.end(), c->delays.begin(), c->delays.end());
-  ASSERT_EQ(delays.size(), kStreams * kEvents);
+  for (const auto& client : clients)
+    delays.insert(delays.end(), client->delays.begin(), client->delays.end());
+  ASSERT_EQ(delays.size(), kStreamCount * kEventsPerStream);
   std::sort(delays.begin(), delays.end());
   std::cout << "delay of an event, ms: p50 " << delays[delays.size() / 2] / 1000 << ", p99 "
             << delays[delays.size() * 99 / 100] / 1000 << ", most " << delays.back() / 1000 << "\n";
-  EXPECT_LE(delays.back(), kWithin);
-  for (auto* s : streams) s->send(chunk(kDone) + kLast);
+  EXPECT_LE(delays.back(), kMaxEventDelay);
+  for (auto* engineStream : streams) engineStream->send(chunk(kDone) + kLast);
   slow->stream.pauseReading(false);
-  EXPECT_TRUE(w.clean());
+  EXPECT_TRUE(world.becomesIdle());
 }
 
-// What an engine does in the midst of its answer, and what is owed then.
-struct BrokenAnswer {
+// The part of a response that an engine sends before it closes the connection.
+struct PartialResponse {
   const char* name;
   std::string bytes;
-  bool begun;  // the client has had an event
+  bool hasEvent;  // the client has received an event
 };
-class AnswerThatBreaksOff : public testing::TestWithParam<std::tuple<BrokenAnswer, std::string, bool>> {};
+class InterruptedResponse : public testing::TestWithParam<std::tuple<PartialResponse, std::string, bool>> {};
 INSTANTIATE_TEST_SUITE_P(
-    Everywhere, AnswerThatBreaksOff,
+    Everywhere, InterruptedResponse,
     testing::Combine(
-        testing::Values(BrokenAnswer{"nothing", "", false}, BrokenAnswer{"half a line", "HTTP/1.1 20", false},
-                        BrokenAnswer{"half a head", std::string(kHead).substr(0, 40), false},
-                        BrokenAnswer{"a head", std::string(kHead), false},
-                        BrokenAnswer{"half an event", std::string(kHead) + "21\r\ndata: {", false},
-                        BrokenAnswer{"an event", std::string(kHead) + chunk(kEvent), true},
-                        BrokenAnswer{"all events", std::string(kHead) + chunk(kEvent) + chunk(kDone), true},
-                        BrokenAnswer{"half a last chunk",
-                                     std::string(kHead) + chunk(kEvent) + chunk(kDone) + "0\r\n", true}),
+        testing::Values(
+            PartialResponse{"nothing", "", false}, PartialResponse{"half a line", "HTTP/1.1 20", false},
+            PartialResponse{"half a head", std::string(kHead).substr(0, 40), false},
+            PartialResponse{"a head", std::string(kHead), false},
+            PartialResponse{"half an event", std::string(kHead) + "21\r\ndata: {", false},
+            PartialResponse{"an event", std::string(kHead) + chunk(kEvent), true},
+            PartialResponse{"all events", std::string(kHead) + chunk(kEvent) + chunk(kDone), true},
+            PartialResponse{"half a last chunk", std::string(kHead) + chunk(kEvent) + chunk(kDone) + "0\r\n",
+                            true}),
         testing::Values("chat", "order"), testing::Bool()),
-    [](const auto& about) {
-      std::string name = std::string(std::get<0>(about.param).name) + " " + std::get<1>(about.param) +
-                         (std::get<2>(about.param) ? " reset" : " closed");
+    [](const auto& testInfo) {
+      std::string name = std::string(std::get<0>(testInfo.param).name) + " " + std::get<1>(testInfo.param) +
+                         (std::get<2>(testInfo.param) ? " reset" : " closed");
       std::replace(name.begin(), name.end(), ' ', '_');
       return name;
     });
 
-TEST_P(AnswerThatBreaksOff, TheClientGetsOneEndAndUnsafeWorkNoSecondAttempt) {
-  const auto& [answer, kind, reset] = GetParam();
-  PlatformWorld w;
+TEST_P(InterruptedResponse, TheClientGetsOneFinalResponseAndNonIdempotentRequestsOneAttempt) {
+  const auto& [partialResponse, requestClass, reset] = GetParam();
+  PlatformWorld world;
   bool first = true;
-  w.writer.script = [&, reset = reset, answer = answer](Request& r) {
-    if (PlatformWorld::answerCalls(r)) return;
-    if (!std::exchange(first, false)) return r.stream->send(kWhole);
-    r.stream->send(answer.bytes);
-    // In turns of their own, so that a reset does not take the bytes before it.
-    w.loop.after(20'000, [s = r.stream, reset] { s->close(reset); });
+  world.decodeEngine.script = [&, reset = reset, partialResponse = partialResponse](Request& request) {
+    if (PlatformWorld::answerCalls(request)) return;
+    if (!std::exchange(first, false)) return request.stream->send(kWhole);
+    request.stream->send(partialResponse.bytes);
+    // In a later loop iteration, so that a reset does not discard the bytes before it.
+    world.loop.after(20'000, [engineStream = request.stream, reset] { engineStream->close(reset); });
   };
-  auto c = w.client();
-  c->ask("b", kind);
-  const bool again = !answer.begun && kind == "chat";  // no effect, and nothing passed on yet
-  ASSERT_TRUE(w.until(
-      [&] { return c->closed || c->has("\r\n" + std::string(kLast)) || c->has("HTTP/1.1 5"); }, 3'000'000));
-  EXPECT_EQ(w.writer.count("POST"), again ? 2u : 1u);
-  EXPECT_EQ(c->count("\r\n" + std::string(kLast)), again ? 1u : 0u) << c->got;
-  EXPECT_EQ(c->count("HTTP/1.1 "), 1u) << c->got;
-  EXPECT_TRUE(!answer.begun || c->closed);
-  EXPECT_EQ(c->has("HTTP/1.1 502"), !again && !answer.begun) << c->got;
-  EXPECT_TRUE(w.clean());
-}
-
-// The test's discovery has no beat, as one whose connection died in silence.
-TEST_F(PlatformPath, AWatchThatMissesItsBeatIsBegunAnew) {
-  ASSERT_EQ(w.watches.size(), 1u);
-  EXPECT_TRUE(w.until([&] { return w.watches.size() >= 2; }, 3'000'000));
-  EXPECT_EQ(w.node->endpointList().endpoints().size(), 2u);
-}
-
-TEST_F(PlatformPath, AReloadMovesTheWatchAndKeepsWhatIsServed) {
+  auto client = world.connectClient();
+  client->ask("b", requestClass);
+  const bool isRetried =
+      !partialResponse.hasEvent && requestClass == "chat";  // idempotent, and nothing forwarded yet
+  ASSERT_TRUE(world.until(
+      [&] { return client->closed || client->has("\r\n" + std::string(kLast)) || client->has("HTTP/1.1 5"); },
+      3'000'000));
+  EXPECT_EQ(world.decodeEngine.count("POST"), isRetried ? 2u : 1u);
+  EXPECT_EQ(client->count("\r\n" + std::string(kLast)), isRetried ? 1u : 0u) << client->got;
+  EXPECT_EQ(client->count("HTTP/1.1 "), 1u) << client->got;
+  EXPECT_TRUE(!partialResponse.hasEvent || client->closed);
+  EXPECT_EQ(client->has("HTTP/1.1 502"), !isRetried && !partialResponse.hasEvent) << client->got;
+  EXPECT_TRUE(world.becomesIdle());
+}
+
+// The test's discovery sends no heartbeat, like one whose connection was lost without a close.
+TEST_F(PlatformPath, AWatchWithoutHeartbeatIsRestarted) {
+  ASSERT_EQ(world.watchRequests.size(), 1u);
+  EXPECT_TRUE(world.until([&] { return world.watchRequests.size() >= 2; }, 3'000'000));
+  EXPECT_EQ(world.routerProcess->endpointList().endpoints().size(), 2u);
+}
+
+TEST_F(PlatformPath, AReloadMovesTheWatchAndKeepsTheEndpoints) {
   std::vector<std::pair<std::string, std::shared_ptr<fake_engine::HttpReply>>> others;
-  auto other = w.makeDiscovery(others);
-  w.firstList = R"({"revision":9,"complete":false,"members":[)" + w.member("w2", w.otherWriter, "m2") + "]}";
-  w.node->reload(w.read(other->address().toString()));
-  ASSERT_TRUE(w.until([&] { return w.node->endpointList().version() == 9; }, 1'000'000));
-  EXPECT_EQ(w.node->endpointList().endpoints().size(), 3u);
-  EXPECT_FALSE(w.watches[0].second->open());
-  auto c = w.client();
-  c->ask("r1");
-  EXPECT_TRUE(w.until([&] { return c->has(kLast); }, 2'000'000));
-  w.watches.clear();
+  auto other = world.makeDiscovery(others);
+  world.initialEndpointList = R"({"revision":9,"complete":false,"members":[)" +
+                              world.memberJson("w2", world.otherDecodeEngine, "m2") + "]}";
+  world.routerProcess->reload(world.readConfig(other->address().toString()));
+  ASSERT_TRUE(world.until([&] { return world.routerProcess->endpointList().version() == 9; }, 1'000'000));
+  EXPECT_EQ(world.routerProcess->endpointList().endpoints().size(), 3u);
+  EXPECT_FALSE(world.watchRequests[0].second->open());
+  auto client = world.connectClient();
+  client->ask("r1");
+  EXPECT_TRUE(world.until([&] { return client->has(kLast); }, 2'000'000));
+  world.watchRequests.clear();
   others.clear();
 }
 
-TEST_F(PlatformPath, DrainingTakesRequestsForAWhileAndFinishesAll) {
-  Request* held = nullptr;
-  w.writer.script = [&](Request& r) {
-    if (PlatformWorld::answerCalls(r)) return;
-    if (held == nullptr) {
-      held = &r;
-      r.stream->send(std::string(kHead) + chunk(kEvent));
+TEST_F(PlatformPath, DrainingAcceptsRequestsForAWhileAndCompletesAll) {
+  Request* heldRequest = nullptr;
+  world.decodeEngine.script = [&](Request& request) {
+    if (PlatformWorld::answerCalls(request)) return;
+    if (heldRequest == nullptr) {
+      heldRequest = &request;
+      request.stream->send(std::string(kHead) + chunk(kEvent));
     } else {
-      r.stream->send(kWhole);
+      request.stream->send(kWhole);
     }
   };
-  auto running = w.client();
-  running->ask("x1");
-  ASSERT_TRUE(w.until([&] { return running->has(kEvent); }, 2'000'000));
-  auto idle = w.client();
-  idle->ask("x2");
-  ASSERT_TRUE(w.until([&] { return idle->has(kLast); }, 2'000'000));
-  const auto address = w.node->address();
-  bool done = false;
-  w.node->shutDown([&] { done = true; });
-  EXPECT_TRUE(w.until([&] { return idle->closed; }, 500'000));
-  auto late = w.client();  // the platform's front does not know yet
-  late->ask("x3");
-  EXPECT_TRUE(w.until([&] { return late->has(kLast) && late->closed; }, 500'000)) << late->got;
-  EXPECT_TRUE(late->has("Connection: close"));
-  w.pass(700'000);
-  EXPECT_FALSE(done);
-  held->stream->send(chunk(kDone) + kLast);
-  EXPECT_TRUE(w.until([&] { return done; }, 1'000'000));
-  EXPECT_TRUE(running->has(kLast));
-  RawClient after(w.loop, address);
-  EXPECT_TRUE(w.until([&] { return after.closed; }, 1'000'000));
+  auto runningClient = world.connectClient();
+  runningClient->ask("x1");
+  ASSERT_TRUE(world.until([&] { return runningClient->has(kEvent); }, 2'000'000));
+  auto idleClient = world.connectClient();
+  idleClient->ask("x2");
+  ASSERT_TRUE(world.until([&] { return idleClient->has(kLast); }, 2'000'000));
+  const auto address = world.routerProcess->address();
+  bool drained = false;
+  world.routerProcess->shutDown([&] { drained = true; });
+  EXPECT_TRUE(world.until([&] { return idleClient->closed; }, 500'000));
+  auto lateClient = world.connectClient();  // the platform's load balancer has not been updated yet
+  lateClient->ask("x3");
+  EXPECT_TRUE(world.until([&] { return lateClient->has(kLast) && lateClient->closed; }, 500'000))
+      << lateClient->got;
+  EXPECT_TRUE(lateClient->has("Connection: close"));
+  world.pass(700'000);
+  EXPECT_FALSE(drained);
+  heldRequest->stream->send(chunk(kDone) + kLast);
+  EXPECT_TRUE(world.until([&] { return drained; }, 1'000'000));
+  EXPECT_TRUE(runningClient->has(kLast));
+  RawClient afterShutdown(world.loop, address);
+  EXPECT_TRUE(world.until([&] { return afterShutdown.closed; }, 1'000'000));
 }
 
 }  // namespace
--- a/tests/path/platform_world.h
+++ b/tests/path/platform_world.h
@@ -1,4 +1,4 @@
-// A router of the platform on loopback, with peers that say exactly what the test tells them to.
+// Test environment: a platform router on loopback, with engines, clients and discovery scripted by the test.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,69 +16,75 @@
 
 class PlatformWorld : public LoopRunner {
  public:
-  PlatformWorld() : reader(loop), writer(loop), otherWriter(loop) {
-    reader.script = [](ScriptedEngine::Request& r) { answerCalls(r) || (r.stream->send(kRead), true); };
-    writer.script = otherWriter.script = [](ScriptedEngine::Request& r) {
-      answerCalls(r) || (r.stream->send(kWhole), true);
+  PlatformWorld() : prefillEngine(loop), decodeEngine(loop), otherDecodeEngine(loop) {
+    prefillEngine.script = [](ScriptedEngine::Request& engineRequest) {
+      answerCalls(engineRequest) || (engineRequest.stream->send(kRead), true);
     };
-    discovery = makeDiscovery(watches);
-    start();
+    decodeEngine.script = otherDecodeEngine.script = [](ScriptedEngine::Request& engineRequest) {
+      answerCalls(engineRequest) || (engineRequest.stream->send(kWhole), true);
+    };
+    discovery = makeDiscovery(watchRequests);
+    startRouter();
   }
   ~PlatformWorld() { stopLoop(); }
 
-  static bool answerCalls(ScriptedEngine::Request& r) { return test::answerCalls(r); }
+  static bool answerCalls(ScriptedEngine::Request& engineRequest) { return test::answerCalls(engineRequest); }
   std::unique_ptr<fake_engine::HttpServer> makeDiscovery(
-      std::vector<std::pair<std::string, std::shared_ptr<fake_engine::HttpReply>>>& to) {
+      std::vector<std::pair<std::string, std::shared_ptr<fake_engine::HttpReply>>>& receivedRequests) {
     return std::make_unique<fake_engine::HttpServer>(
         loop, Poco::Net::SocketAddress("127.0.0.1", 0),
-        [&to, this](fake_engine::HttpRequest request, std::shared_ptr<fake_engine::HttpReply> reply) {
+        [&receivedRequests, this](fake_engine::HttpRequest request,
+                                  std::shared_ptr<fake_engine::HttpReply> reply) {
           reply->begin(200, {});
-          reply->piece(firstList + "\n");
-          to.emplace_back(request.head.target, reply);
+          reply->piece(initialEndpointList + "\n");
+          receivedRequests.emplace_back(request.head.target, reply);
         });
   }
-  std::string member(const std::string& id, const ScriptedEngine& e, const std::string& flavor,
-                     const std::string& phase = "ready") const {
-    return memberText(id, e, flavor, phase);
+  std::string memberJson(const std::string& id, const ScriptedEngine& engine, const std::string& flavor,
+                         const std::string& phase = "ready") const {
+    return memberText(id, engine, flavor, phase);
   }
-  std::string config(const std::string& discoveryAddress) const {
+  std::string configText(const std::string& discoveryAddress) const {
     return platformConfigText(discoveryAddress);
   }
-  platform::PlatformConfig read(const std::string& discoveryAddress) const {
-    return platform::readPlatformConfig(config::JsonFile::parse("config.json", config(discoveryAddress)),
+  platform::PlatformConfig readConfig(const std::string& discoveryAddress) const {
+    return platform::readPlatformConfig(config::JsonFile::parse("config.json", configText(discoveryAddress)),
                                         [](const char*) { return std::nullopt; });
   }
-  void start() {
-    firstList = R"({"revision":1,"complete":true,"members":[)" + member("r", reader, "m1") + "," +
-                member("w", writer, "m2") + "]}";
-    node = std::make_unique<platform::RouterProcess>(loop, read(discovery->address().toString()),
-                                                     log::Log::none());
-    EXPECT_TRUE(until([&] { return node->endpointList().endpoints().size() == 2; }));
+  void startRouter() {
+    initialEndpointList = R"({"revision":1,"complete":true,"members":[)" +
+                          memberJson("r", prefillEngine, "m1") + "," + memberJson("w", decodeEngine, "m2") +
+                          "]}";
+    routerProcess = std::make_unique<platform::RouterProcess>(
+        loop, readConfig(discovery->address().toString()), log::Log::none());
+    EXPECT_TRUE(until([&] { return routerProcess->endpointList().endpoints().size() == 2; }));
+  }
+  std::unique_ptr<RawClient> connectClient() {
+    return std::make_unique<RawClient>(loop, routerProcess->address());
   }
-  std::unique_ptr<RawClient> client() { return std::make_unique<RawClient>(loop, node->address()); }
-  // No request, no attempt, nothing held.
-  bool clean() {
-    const auto& reservations = node->router().kvReservations();
+  // Waits until the router has no request, attempt, KV reservation or unconfirmed release left.
+  bool becomesIdle() {
+    const auto& reservations = routerProcess->router().kvReservations();
     const bool isIdle = until(
         [&] {
-          const auto& r = node->router();
-          return r.pendingRequests() == 0 && r.activeRequests() == 0 &&
+          const auto& currentRouter = routerProcess->router();
+          return currentRouter.pendingRequests() == 0 && currentRouter.activeRequests() == 0 &&
                  reservations.reservationCount() + reservations.unconfirmedReleaseCount() == 0 &&
-                 node->frontend().openRequests() == 0;
+                 routerProcess->frontend().openRequests() == 0;
         },
         2'000'000);
-    // Confirmed releases are repeated while an attempt that was given up may go on at its engine.
+    // Confirmed releases are repeated while an abandoned attempt may still be running on its engine.
     return isIdle && until([&] { return reservations.pendingReleaseCount() == 0; },
                            routing::KvReservationTracker::kMaxAbandonedWork);
   }
 
-  std::string firstList;
-  ScriptedEngine reader;
-  ScriptedEngine writer;
-  ScriptedEngine otherWriter;
-  std::vector<std::pair<std::string, std::shared_ptr<fake_engine::HttpReply>>> watches;
+  std::string initialEndpointList;
+  ScriptedEngine prefillEngine;
+  ScriptedEngine decodeEngine;
+  ScriptedEngine otherDecodeEngine;
+  std::vector<std::pair<std::string, std::shared_ptr<fake_engine::HttpReply>>> watchRequests;
   std::unique_ptr<fake_engine::HttpServer> discovery;
-  std::unique_ptr<platform::RouterProcess> node;
+  std::unique_ptr<platform::RouterProcess> routerProcess;
 };
 
 }  // namespace garnethook::test
