--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -1,5 +1,5 @@
-// Crossings at the front: a client's bytes, half-close, close or reset, and an end or timer of the router's,
-// within one turn of the loop and in both orders. The loop stands still between the two.
+// Races at the HTTP frontend: a client's bytes, half-close, close or reset, and a close or timer of the
+// router, occur within one loop iteration, in both orders. The event loop does not run between the two.
 #include "support/frontend_world.h"
 
 namespace garnethook::test {
@@ -10,130 +10,135 @@
 
 constexpr std::string_view kClose = "Connection: close";
 
-// ---- a connection ends as a request arrives ----
+// ---- a connection is closed as a request arrives ----
 
-// How the request that crosses the end is written.
-enum class Written { whole, inHalves, pipelined };
+// How the client writes the request that races with the close.
+enum class WriteMode { whole, twoHalves, pipelined };
 
-struct DrainCrossing : testing::TestWithParam<std::tuple<bool, Written>> {
-  bool rested() const { return std::get<0>(GetParam()); }
-  Written written() const { return std::get<1>(GetParam()); }
+struct DrainRace : testing::TestWithParam<std::tuple<bool, WriteMode>> {
+  bool isIdleConnection() const { return std::get<0>(GetParam()); }
+  WriteMode writeMode() const { return std::get<1>(GetParam()); }
 };
-INSTANTIATE_TEST_SUITE_P(All, DrainCrossing,
-                         testing::Combine(testing::Bool(), testing::Values(Written::whole, Written::inHalves,
-                                                                           Written::pipelined)));
-
-TEST_P(DrainCrossing, WhatTheClientWroteBeforeTheDrainIsAnsweredAndTheEndAnnounced) {
-  FrontendWorld w;
-  auto c = w.acceptedClient(rested());
+INSTANTIATE_TEST_SUITE_P(All, DrainRace,
+                         testing::Combine(testing::Bool(),
+                                          testing::Values(WriteMode::whole, WriteMode::twoHalves,
+                                                          WriteMode::pipelined)));
+
+TEST_P(DrainRace, RequestsWrittenBeforeTheDrainAreAnsweredAndTheCloseIsAnnounced) {
+  FrontendWorld world;
+  auto blockingClient = world.acceptedClient(isIdleConnection());
   const std::string first = clientRequest("a");
-  const std::size_t cut = written() == Written::inHalves ? first.size() / 2 : first.size();
-  c->send(first.substr(0, cut));
+  const std::size_t firstPartSize = writeMode() == WriteMode::twoHalves ? first.size() / 2 : first.size();
+  blockingClient->send(first.substr(0, firstPartSize));
   std::size_t requests = 1;
-  if (written() == Written::pipelined) {
-    c->send(clientRequest("b") + clientRequest("c"));
+  if (writeMode() == WriteMode::pipelined) {
+    blockingClient->send(clientRequest("b") + clientRequest("c"));
     requests = 3;
   }
-  w.front->drain();  // the bytes are there, unread
-  c->send(first.substr(cut));
-  ASSERT_TRUE(w.ended(*c)) << c->got;
-  EXPECT_FALSE(c->wasReset);
-  EXPECT_EQ(c->streams(), requests) << c->got;
-  EXPECT_EQ(c->count(kClose), 1u) << c->got;
-  EXPECT_GT(c->got.find(kClose), c->got.rfind("HTTP/1.1 200"));  // in the last head
-  EXPECT_EQ(w.engines.count(Phase::decode), requests);
-  EXPECT_TRUE(w.clean());
+  world.front->drain();  // the bytes have arrived but have not been read
+  blockingClient->send(first.substr(firstPartSize));
+  ASSERT_TRUE(world.ended(*blockingClient)) << blockingClient->got;
+  EXPECT_FALSE(blockingClient->wasReset);
+  EXPECT_EQ(blockingClient->streams(), requests) << blockingClient->got;
+  EXPECT_EQ(blockingClient->count(kClose), 1u) << blockingClient->got;
+  EXPECT_GT(blockingClient->got.find(kClose),
+            blockingClient->got.rfind("HTTP/1.1 200"));  // in the last response head
+  EXPECT_EQ(world.engines.count(Phase::decode), requests);
+  EXPECT_TRUE(world.clean());
 }
 
-TEST_P(DrainCrossing, WhatTheClientWritesBehindTheEndStaysUnread) {
+TEST_P(DrainRace, RequestsWrittenAfterTheCloseStayUnread) {
   Options options;
   options.lingerTimeout = 200'000;
-  FrontendWorld w(options);
-  auto c = w.acceptedClient(rested());
-  rested() ? w.front->drain() : w.front->close();
+  FrontendWorld world(options);
+  auto blockingClient = world.acceptedClient(isIdleConnection());
+  isIdleConnection() ? world.front->drain() : world.front->close();
   const std::string first = clientRequest("a");
-  const std::size_t cut = written() == Written::inHalves ? first.size() / 2 : first.size();
-  c->send(first.substr(0, cut));
-  if (written() == Written::inHalves) w.turn();
-  c->send(first.substr(cut) + (written() == Written::pipelined ? clientRequest("b") : ""));
-  ASSERT_TRUE(w.ended(*c));
-  EXPECT_EQ(c->got, "");
-  // The router's close over unread bytes is a reset: nothing of them was read.
-  EXPECT_TRUE(w.until([&] { return c->resetSeen(); }, 1'000'000));
-  EXPECT_TRUE(w.engines.begun.empty());
-  EXPECT_EQ(w.router->counters().accepted, 0u);
-  EXPECT_TRUE(w.until([&] { return w.front->connections() == 0; }, 1'000'000));
+  const std::size_t firstPartSize = writeMode() == WriteMode::twoHalves ? first.size() / 2 : first.size();
+  blockingClient->send(first.substr(0, firstPartSize));
+  if (writeMode() == WriteMode::twoHalves) world.turn();
+  blockingClient->send(first.substr(firstPartSize) +
+                       (writeMode() == WriteMode::pipelined ? clientRequest("b") : ""));
+  ASSERT_TRUE(world.ended(*blockingClient));
+  EXPECT_EQ(blockingClient->got, "");
+  // Closing a socket with unread bytes sends a reset, which shows that none of them was read.
+  EXPECT_TRUE(world.until([&] { return blockingClient->resetSeen(); }, 1'000'000));
+  EXPECT_TRUE(world.engines.begun.empty());
+  EXPECT_EQ(world.router->counters().accepted, 0u);
+  EXPECT_TRUE(world.until([&] { return world.front->connections() == 0; }, 1'000'000));
 }
 
-TEST(Crossing, AConnectionInTheSystemsQueueIsAnsweredWhenTheListenerCloses) {
-  FrontendWorld w;
-  auto c = w.client();
-  c->send(clientRequest("queued"));
-  w.front->drain();
-  w.front->close();  // it was never accepted
-  ASSERT_TRUE(w.ended(*c));
-  EXPECT_FALSE(c->wasReset);
-  EXPECT_TRUE(c->has("HTTP/1.1 503")) << c->got;
-  EXPECT_TRUE(c->has("Retry-After: 0.250"));
-  EXPECT_TRUE(w.engines.begun.empty());
+TEST(FrontendRace, AConnectionInTheAcceptQueueIsAnsweredWhenTheListenerCloses) {
+  FrontendWorld world;
+  auto blockingClient = world.client();
+  blockingClient->send(clientRequest("queued"));
+  world.front->drain();
+  world.front->close();  // the connection has not been accepted
+  ASSERT_TRUE(world.ended(*blockingClient));
+  EXPECT_FALSE(blockingClient->wasReset);
+  EXPECT_TRUE(blockingClient->has("HTTP/1.1 503")) << blockingClient->got;
+  EXPECT_TRUE(blockingClient->has("Retry-After: 0.250"));
+  EXPECT_TRUE(world.engines.begun.empty());
 }
 
-// The process may be killed before an answer to it; a refusal at once lets its client go elsewhere in time.
-TEST(Crossing, ARequestThatComesWholeAfterTheLastAcceptIsRefusedAtOnce) {
-  for (const bool rested : {true, false}) {
-    FrontendWorld w;
-    auto c = w.acceptedClient(rested);
+// The process may be killed before it can respond; an immediate rejection lets the client retry elsewhere in
+// time.
+TEST(FrontendRace, ARequestCompletedAfterTheListenerClosedIsRejectedAtOnce) {
+  for (const bool isIdleConnection : {true, false}) {
+    FrontendWorld world;
+    auto blockingClient = world.acceptedClient(isIdleConnection);
     const std::string text = clientRequest("late");
-    c->send(text.substr(0, 50));
-    w.turn();
-    w.front->drain();
-    w.front->close();
-    c->send(text.substr(50));
-    ASSERT_TRUE(w.ended(*c));
-    EXPECT_TRUE(c->has("HTTP/1.1 503")) << c->got;
-    EXPECT_TRUE(c->has(kClose));
-    EXPECT_TRUE(w.engines.begun.empty());
-    EXPECT_TRUE(w.clean());
+    blockingClient->send(text.substr(0, 50));
+    world.turn();
+    world.front->drain();
+    world.front->close();
+    blockingClient->send(text.substr(50));
+    ASSERT_TRUE(world.ended(*blockingClient));
+    EXPECT_TRUE(blockingClient->has("HTTP/1.1 503")) << blockingClient->got;
+    EXPECT_TRUE(blockingClient->has(kClose));
+    EXPECT_TRUE(world.engines.begun.empty());
+    EXPECT_TRUE(world.clean());
   }
 }
 
-TEST(Crossing, RequestsReadBehindARunningStreamAreAnsweredThoughTheRouterDrains) {
+TEST(FrontendRace, PipelinedRequestsBehindAnOpenStreamAreAnsweredDuringTheDrain) {
   for (const bool closed : {false, true}) {
-    FrontendWorld w;
-    w.engines.holdFirstWrite(true);
-    auto c = w.acceptedClient(false);
-    c->send(clientRequest("first") + clientRequest("second") + clientRequest("third"));
-    ASSERT_TRUE(w.until([&] { return w.engines.held.has_value(); }));
-    w.front->drain();
-    if (closed) w.front->close();
-    w.engines.end(*w.engines.held, Outcome::completed);
-    ASSERT_TRUE(w.ended(*c)) << c->got;
-    EXPECT_FALSE(c->wasReset);
-    EXPECT_EQ(c->streams(), closed ? 1u : 3u) << c->got;
-    EXPECT_EQ(c->count("HTTP/1.1 503"), closed ? 2u : 0u) << c->got;
-    EXPECT_EQ(c->count(kClose), 1u);
-    EXPECT_TRUE(w.clean());
+    FrontendWorld world;
+    world.engines.holdFirstWrite(true);
+    auto blockingClient = world.acceptedClient(false);
+    blockingClient->send(clientRequest("first") + clientRequest("second") + clientRequest("third"));
+    ASSERT_TRUE(world.until([&] { return world.engines.held.has_value(); }));
+    world.front->drain();
+    if (closed) world.front->close();
+    world.engines.end(*world.engines.held, Outcome::completed);
+    ASSERT_TRUE(world.ended(*blockingClient)) << blockingClient->got;
+    EXPECT_FALSE(blockingClient->wasReset);
+    EXPECT_EQ(blockingClient->streams(), closed ? 1u : 3u) << blockingClient->got;
+    EXPECT_EQ(blockingClient->count("HTTP/1.1 503"), closed ? 2u : 0u) << blockingClient->got;
+    EXPECT_EQ(blockingClient->count(kClose), 1u);
+    EXPECT_TRUE(world.clean());
   }
 }
 
-TEST(Crossing, ManyConnectionsThatEndTogetherAreAllWaitedFor) {
-  constexpr std::size_t kMany = 100;
-  FrontendWorld w;
+TEST(FrontendRace, ManyConnectionsClosedTogetherAllLinger) {
+  constexpr std::size_t kConnectionCount = 100;
+  FrontendWorld world;
   std::vector<std::unique_ptr<BlockingClient>> clients;
-  for (std::size_t i = 0; i < kMany; ++i) clients.push_back(w.acceptedClient(true));
-  w.front->drain();
-  EXPECT_EQ(w.front->connections(), kMany);  // a close at once would reset those that send now
-  for (auto& c : clients) c->send(clientRequest("late"));
-  for (auto& c : clients) {
-    ASSERT_TRUE(w.ended(*c));
-    EXPECT_FALSE(c->wasReset);
-    c->close();
+  for (std::size_t i = 0; i < kConnectionCount; ++i) clients.push_back(world.acceptedClient(true));
+  world.front->drain();
+  // An immediate close would reset clients that are sending.
+  EXPECT_EQ(world.front->connections(), kConnectionCount);
+  for (auto& blockingClient : clients) blockingClient->send(clientRequest("late"));
+  for (auto& blockingClient : clients) {
+    ASSERT_TRUE(world.ended(*blockingClient));
+    EXPECT_FALSE(blockingClient->wasReset);
+    blockingClient->close();
   }
-  EXPECT_TRUE(w.until([&] { return w.front->connections() == 0; }, 1'000'000));
-  EXPECT_TRUE(w.engines.begun.empty());
+  EXPECT_TRUE(world.until([&] { return world.front->connections() == 0; }, 1'000'000));
+  EXPECT_TRUE(world.engines.begun.empty());
 }
 
-Options shortTimes() {
+Options shortTimeouts() {
   Options options;
   options.connections.maxIdleTimeout = options.connections.minIdleTimeout = 100'000;
   options.connections.requestTimeout = 100'000;
@@ -141,291 +146,300 @@
   return options;
 }
 
-TEST(Crossing, ARequestThatIsThereWhenTheIdleTimeEndsIsServed) {
-  FrontendWorld w(shortTimes());
-  auto c = w.acceptedClient(true);
-  c->send(clientRequest("a"));
-  w.stall(150'000);  // the timer is due and the request unread
-  EXPECT_TRUE(w.served(*c, 1)) << c->got;
-  EXPECT_EQ(w.front->counters().idled, 0u);
+TEST(FrontendRace, ARequestThatHasArrivedWhenTheIdleTimeoutExpiresIsServed) {
+  FrontendWorld world(shortTimeouts());
+  auto blockingClient = world.acceptedClient(true);
+  blockingClient->send(clientRequest("a"));
+  world.stall(150'000);  // the timer has expired and the request is unread
+  EXPECT_TRUE(world.served(*blockingClient, 1)) << blockingClient->got;
+  EXPECT_EQ(world.front->counters().idled, 0u);
 }
 
-TEST(Crossing, ARequestBehindTheEndOfTheIdleTimeStaysUnread) {
-  FrontendWorld w(shortTimes());
-  auto c = w.acceptedClient(true);
-  ASSERT_TRUE(w.until([&] { return w.front->counters().idled == 1; }, 1'000'000));
-  c->send(clientRequest("a"));
-  ASSERT_TRUE(w.ended(*c));
-  EXPECT_TRUE(w.until([&] { return c->resetSeen(); }, 1'000'000));
-  EXPECT_EQ(c->got, "");
-  EXPECT_TRUE(w.engines.begun.empty());
+TEST(FrontendRace, ARequestAfterTheIdleTimeoutStaysUnread) {
+  FrontendWorld world(shortTimeouts());
+  auto blockingClient = world.acceptedClient(true);
+  ASSERT_TRUE(world.until([&] { return world.front->counters().idled == 1; }, 1'000'000));
+  blockingClient->send(clientRequest("a"));
+  ASSERT_TRUE(world.ended(*blockingClient));
+  EXPECT_TRUE(world.until([&] { return blockingClient->resetSeen(); }, 1'000'000));
+  EXPECT_EQ(blockingClient->got, "");
+  EXPECT_TRUE(world.engines.begun.empty());
 }
 
-TEST(Crossing, ARequestWhoseLastBytesAreThereWhenItsTimeEndsIsServed) {
-  FrontendWorld w(shortTimes());
-  auto c = w.acceptedClient(false);
+TEST(FrontendRace, ARequestWhoseLastBytesHaveArrivedWhenItsTimeoutExpiresIsServed) {
+  FrontendWorld world(shortTimeouts());
+  auto blockingClient = world.acceptedClient(false);
   const std::string text = clientRequest("a");
-  c->send(text.substr(0, 40));
-  w.turn();
-  c->send(text.substr(40));
-  w.stall(150'000);
-  EXPECT_TRUE(w.served(*c, 1)) << c->got;
-  EXPECT_EQ(w.front->counters().timedOut, 0u);
+  blockingClient->send(text.substr(0, 40));
+  world.turn();
+  blockingClient->send(text.substr(40));
+  world.stall(150'000);
+  EXPECT_TRUE(world.served(*blockingClient, 1)) << blockingClient->got;
+  EXPECT_EQ(world.front->counters().timedOut, 0u);
 }
 
-TEST(Crossing, ARequestWhoseLastBytesComeBehindItsTimeIsAnsweredOnceAndNotSentOn) {
-  FrontendWorld w(shortTimes());
-  auto c = w.acceptedClient(false);
+TEST(FrontendRace, ARequestWhoseLastBytesArriveAfterItsTimeoutIsAnsweredOnceAndNotForwarded) {
+  FrontendWorld world(shortTimeouts());
+  auto blockingClient = world.acceptedClient(false);
   const std::string text = clientRequest("a");
-  c->send(text.substr(0, 40));
-  ASSERT_TRUE(w.until([&] { return w.front->counters().timedOut == 1; }, 1'000'000));
-  c->send(text.substr(40));
-  ASSERT_TRUE(w.ended(*c));
-  EXPECT_FALSE(c->wasReset);
-  EXPECT_TRUE(c->has("HTTP/1.1 408")) << c->got;
-  EXPECT_EQ(c->count("HTTP/1.1"), 1u);
-  EXPECT_TRUE(w.engines.begun.empty());
+  blockingClient->send(text.substr(0, 40));
+  ASSERT_TRUE(world.until([&] { return world.front->counters().timedOut == 1; }, 1'000'000));
+  blockingClient->send(text.substr(40));
+  ASSERT_TRUE(world.ended(*blockingClient));
+  EXPECT_FALSE(blockingClient->wasReset);
+  EXPECT_TRUE(blockingClient->has("HTTP/1.1 408")) << blockingClient->got;
+  EXPECT_EQ(blockingClient->count("HTTP/1.1"), 1u);
+  EXPECT_TRUE(world.engines.begun.empty());
 }
 
-TEST(Crossing, AConnectionWithAnUnreadRequestIsNotClosedForANewOne) {
+TEST(FrontendRace, AConnectionWithAnUnreadRequestIsNotEvictedForANewOne) {
   Options options;
   options.connections.maxConnections = 4;
-  FrontendWorld w(options);
+  FrontendWorld world(options);
   std::vector<std::unique_ptr<BlockingClient>> clients;
-  for (int i = 0; i < 3; ++i) clients.push_back(w.acceptedClient(true));
-  w.stall(2 * options.connections.minIdleBeforeEviction);
+  for (int i = 0; i < 3; ++i) clients.push_back(world.acceptedClient(true));
+  world.stall(2 * options.connections.minIdleBeforeEviction);
   for (std::size_t i = 0; i < clients.size(); ++i) clients[i]->send(clientRequest("r" + std::to_string(i)));
-  clients.push_back(w.client());  // the fourth and the fifth make it full
-  clients.push_back(w.client());
-  for (std::size_t i = 0; i < 3; ++i) EXPECT_TRUE(w.served(*clients[i], 1)) << i << clients[i]->got;
-  EXPECT_EQ(w.engines.count(Phase::decode), 3u);
+  clients.push_back(world.client());  // the fourth and fifth connections bring the frontend to its limit
+  clients.push_back(world.client());
+  for (std::size_t i = 0; i < 3; ++i) EXPECT_TRUE(world.served(*clients[i], 1)) << i << clients[i]->got;
+  EXPECT_EQ(world.engines.count(Phase::decode), 3u);
 }
 
-// ---- a client leaves ----
+// ---- a client disconnects ----
 
-enum class Leaving { close, halfClose, reset };
-void leave(BlockingClient& c, Leaving how) {
-  if (how == Leaving::close) return c.close();
-  if (how == Leaving::halfClose) return c.halfClose();
-  c.reset();
+enum class Disconnect { close, halfClose, reset };
+void disconnect(BlockingClient& blockingClient, Disconnect manner) {
+  if (manner == Disconnect::close) return blockingClient.close();
+  if (manner == Disconnect::halfClose) return blockingClient.halfClose();
+  blockingClient.reset();
 }
 
-// Whether requests wait behind the one that is open, unread or read.
-struct LeavingCrossing : testing::TestWithParam<std::tuple<Leaving, bool>> {
-  Leaving how() const { return std::get<0>(GetParam()); }
-  std::string behind() const { return std::get<1>(GetParam()) ? clientRequest("behind") : std::string(); }
+// With or without a pipelined request, read or unread, behind the open one.
+struct DisconnectRace : testing::TestWithParam<std::tuple<Disconnect, bool>> {
+  Disconnect disconnectMode() const { return std::get<0>(GetParam()); }
+  std::string pipelinedRequest() const {
+    return std::get<1>(GetParam()) ? clientRequest("behind") : std::string();
+  }
 };
-INSTANTIATE_TEST_SUITE_P(All, LeavingCrossing,
-                         testing::Combine(testing::Values(Leaving::close, Leaving::halfClose, Leaving::reset),
+INSTANTIATE_TEST_SUITE_P(All, DisconnectRace,
+                         testing::Combine(testing::Values(Disconnect::close, Disconnect::halfClose,
+                                                          Disconnect::reset),
                                           testing::Bool()));
 
-TEST_P(LeavingCrossing, NoFurtherAttemptBeginsWhereTheFailureIsSeenBeforeTheClose) {
-  FrontendWorld w;
-  auto c = w.acceptedClient(false);
-  w.engines.script = [&](const StubEngines::Attempt& a) {
-    if (!behind().empty()) c->send(behind());
-    leave(*c, how());
-    w.engines.end(a, Outcome::error);
+TEST_P(DisconnectRace, NoFurtherAttemptStartsWhenTheFailureIsProcessedBeforeTheClose) {
+  FrontendWorld world;
+  auto blockingClient = world.acceptedClient(false);
+  world.engines.script = [&](const StubEngines::Attempt& attempt) {
+    if (!pipelinedRequest().empty()) blockingClient->send(pipelinedRequest());
+    disconnect(*blockingClient, disconnectMode());
+    world.engines.end(attempt, Outcome::error);
   };
-  c->send(clientRequest("a"));
-  ASSERT_TRUE(w.until([&] { return w.front->connections() == 0; }, 1'000'000));
-  w.pass(50'000);
-  EXPECT_EQ(w.engines.begun.size(), 1u);
-  EXPECT_TRUE(w.clean());
+  blockingClient->send(clientRequest("a"));
+  ASSERT_TRUE(world.until([&] { return world.front->connections() == 0; }, 1'000'000));
+  world.pass(50'000);
+  EXPECT_EQ(world.engines.begun.size(), 1u);
+  EXPECT_TRUE(world.clean());
 }
 
-TEST_P(LeavingCrossing, NoFurtherAttemptBeginsWhereTheCloseIsSeenBeforeTheFailure) {
-  FrontendWorld w;
-  auto c = w.acceptedClient(false);
-  std::optional<StubEngines::Attempt> out;
-  w.engines.script = [&](const StubEngines::Attempt& a) { out = a; };
-  c->send(clientRequest("a") + behind());
-  ASSERT_TRUE(w.until([&] { return out.has_value(); }, 1'000'000));
-  leave(*c, how());
-  ASSERT_TRUE(w.until([&] { return w.front->connections() == 0; }, 1'000'000));
-  EXPECT_EQ(w.engines.cancelled, 1u);
-  w.engines.end(*out, Outcome::error);
-  w.pass(50'000);
-  EXPECT_EQ(w.engines.begun.size(), 1u);
-  EXPECT_TRUE(w.clean());
+TEST_P(DisconnectRace, NoFurtherAttemptStartsWhenTheCloseIsProcessedBeforeTheFailure) {
+  FrontendWorld world;
+  auto blockingClient = world.acceptedClient(false);
+  std::optional<StubEngines::Attempt> openAttempt;
+  world.engines.script = [&](const StubEngines::Attempt& attempt) { openAttempt = attempt; };
+  blockingClient->send(clientRequest("a") + pipelinedRequest());
+  ASSERT_TRUE(world.until([&] { return openAttempt.has_value(); }, 1'000'000));
+  disconnect(*blockingClient, disconnectMode());
+  ASSERT_TRUE(world.until([&] { return world.front->connections() == 0; }, 1'000'000));
+  EXPECT_EQ(world.engines.cancelled, 1u);
+  world.engines.end(*openAttempt, Outcome::error);
+  world.pass(50'000);
+  EXPECT_EQ(world.engines.begun.size(), 1u);
+  EXPECT_TRUE(world.clean());
 }
 
-TEST_P(LeavingCrossing, NothingBeginsWhereTheTimeToTryAgainComesWithTheClose) {
-  FrontendWorld w;
-  auto c = w.acceptedClient(false);
-  w.engines.script = [&](const StubEngines::Attempt& a) { w.engines.end(a, Outcome::rejected); };
-  c->send(clientRequest("a") + behind());
-  ASSERT_TRUE(w.until([&] { return !w.engines.begun.empty(); }, 1'000'000));
-  const std::size_t begun = w.engines.begun.size();
-  leave(*c, how());
-  w.stall(100'000);  // any pause before another try is over, and the close unread
-  ASSERT_TRUE(w.until([&] { return w.front->connections() == 0; }, 1'000'000));
-  w.pass(50'000);
-  EXPECT_EQ(w.engines.begun.size(), begun);
-  EXPECT_TRUE(w.clean());
+TEST_P(DisconnectRace, NoAttemptStartsWhenTheRetryIsDueTogetherWithTheClose) {
+  FrontendWorld world;
+  auto blockingClient = world.acceptedClient(false);
+  world.engines.script = [&](const StubEngines::Attempt& attempt) {
+    world.engines.end(attempt, Outcome::rejected);
+  };
+  blockingClient->send(clientRequest("a") + pipelinedRequest());
+  ASSERT_TRUE(world.until([&] { return !world.engines.begun.empty(); }, 1'000'000));
+  const std::size_t attemptCount = world.engines.begun.size();
+  disconnect(*blockingClient, disconnectMode());
+  world.stall(100'000);  // every retry delay has expired, and the close is unread
+  ASSERT_TRUE(world.until([&] { return world.front->connections() == 0; }, 1'000'000));
+  world.pass(50'000);
+  EXPECT_EQ(world.engines.begun.size(), attemptCount);
+  EXPECT_TRUE(world.clean());
 }
 
-TEST_P(LeavingCrossing, ARequestThatComesWithItsClientsCloseBeginsNothing) {
-  FrontendWorld w;
-  auto c = w.client();  // not accepted yet
-  c->send(clientRequest("a") + behind());
-  leave(*c, how());
-  ASSERT_TRUE(w.until([&] { return w.front->counters().accepted == 1; }, 1'000'000));
-  EXPECT_TRUE(w.until([&] { return w.front->connections() == 0; }, 1'000'000));
-  EXPECT_TRUE(w.engines.begun.empty());
-  EXPECT_TRUE(w.clean());
+TEST_P(DisconnectRace, ARequestThatArrivesWithItsClientsCloseStartsNoAttempt) {
+  FrontendWorld world;
+  auto blockingClient = world.client();  // not accepted yet
+  blockingClient->send(clientRequest("a") + pipelinedRequest());
+  disconnect(*blockingClient, disconnectMode());
+  ASSERT_TRUE(world.until([&] { return world.front->counters().accepted == 1; }, 1'000'000));
+  EXPECT_TRUE(world.until([&] { return world.front->connections() == 0; }, 1'000'000));
+  EXPECT_TRUE(world.engines.begun.empty());
+  EXPECT_TRUE(world.clean());
 }
 
-// ---- time that passes here ----
-
-TEST(Crossing, TheTimeThatARequestWaitsBehindAnotherIsTakenOffItsDeadline) {
-  constexpr Micros kWait = 300'000;
-  FrontendWorld w;
-  w.engines.holdFirstWrite(true);
-  auto c = w.acceptedClient(false);
-  c->send(clientRequest("first") + clientRequest("second", "chat", "", 1000) +
-          clientRequest("third", "chat", "", 200));
-  ASSERT_TRUE(w.until([&] { return w.engines.held.has_value(); }));
-  const std::size_t before = w.engines.begun.size();
-  w.pass(kWait);
-  w.engines.end(*w.engines.held, Outcome::completed);
-  ASSERT_TRUE(w.until([&] { return (c->receive(), c->has("HTTP/1.1 429")); }, 2'000'000)) << c->got;
-  EXPECT_EQ(c->streams(), 2u);  // the third one's time was over
-  ASSERT_EQ(w.engines.begun.size(), before + 2);
-  for (std::size_t i = before; i < w.engines.begun.size(); ++i) {
-    EXPECT_EQ(w.engines.begun[i].traceId, "second");
-    EXPECT_LE(w.engines.begun[i].timeout, 1'000'000 - kWait + 50'000);
+// ---- time spent waiting in the router ----
+
+TEST(FrontendRace, TheTimeARequestWaitsBehindAnotherCountsAgainstItsDeadline) {
+  constexpr Micros kWaitTime = 300'000;
+  FrontendWorld world;
+  world.engines.holdFirstWrite(true);
+  auto blockingClient = world.acceptedClient(false);
+  blockingClient->send(clientRequest("first") + clientRequest("second", "chat", "", 1000) +
+                       clientRequest("third", "chat", "", 200));
+  ASSERT_TRUE(world.until([&] { return world.engines.held.has_value(); }));
+  const std::size_t attemptsBefore = world.engines.begun.size();
+  world.pass(kWaitTime);
+  world.engines.end(*world.engines.held, Outcome::completed);
+  ASSERT_TRUE(world.until([&] { return (blockingClient->receive(), blockingClient->has("HTTP/1.1 429")); },
+                          2'000'000))
+      << blockingClient->got;
+  EXPECT_EQ(blockingClient->streams(), 2u);  // the third request's deadline had passed
+  ASSERT_EQ(world.engines.begun.size(), attemptsBefore + 2);
+  for (std::size_t i = attemptsBefore; i < world.engines.begun.size(); ++i) {
+    EXPECT_EQ(world.engines.begun[i].traceId, "second");
+    EXPECT_LE(world.engines.begun[i].timeout, 1'000'000 - kWaitTime + 50'000);
   }
-  EXPECT_TRUE(w.clean());
+  EXPECT_TRUE(world.clean());
 }
 
-// The one connection that the front may have is taken, by a request that the first write holds.
-void fill(FrontendWorld& w, std::unique_ptr<BlockingClient>& by) {
-  w.engines.holdFirstWrite(true);
-  by = w.acceptedClient(false);
-  by->send(clientRequest("first"));
-  ASSERT_TRUE(w.until([&] { return w.engines.held.has_value(); }));
+// Uses the only connection that the frontend may have, for a request whose decode attempt stays open.
+void occupyOnlyConnection(FrontendWorld& world, std::unique_ptr<BlockingClient>& openClient) {
+  world.engines.holdFirstWrite(true);
+  openClient = world.acceptedClient(false);
+  openClient->send(clientRequest("first"));
+  ASSERT_TRUE(world.until([&] { return world.engines.held.has_value(); }));
 }
 
-// A full router leaves new connections in the system's queue: their clients' time runs there too.
-TEST(Crossing, TheTimeThatARequestWaitsToBeAcceptedIsTakenOffItsDeadline) {
-  constexpr Micros kWait = 300'000;
+// At its connection limit the router leaves new connections in the kernel's accept queue; the time there
+// counts against the clients' deadlines too.
+TEST(FrontendRace, TheTimeARequestWaitsToBeAcceptedCountsAgainstItsDeadline) {
+  constexpr Micros kWaitTime = 300'000;
   Options options;
   options.connections.maxConnections = 1;
-  FrontendWorld w(options);
+  FrontendWorld world(options);
   std::unique_ptr<BlockingClient> first;
-  ASSERT_NO_FATAL_FAILURE(fill(w, first));
-  auto second = w.client();
+  ASSERT_NO_FATAL_FAILURE(occupyOnlyConnection(world, first));
+  auto second = world.client();
   second->send(clientRequest("second", "chat", "", 1000));
-  w.pass(kWait);
-  ASSERT_EQ(w.front->counters().accepted, 1u);
-  const std::size_t before = w.engines.begun.size();
-  w.engines.end(*w.engines.held, Outcome::completed);
+  world.pass(kWaitTime);
+  ASSERT_EQ(world.front->counters().accepted, 1u);
+  const std::size_t attemptsBefore = world.engines.begun.size();
+  world.engines.end(*world.engines.held, Outcome::completed);
   first->close();
-  ASSERT_TRUE(w.served(*second, 1)) << second->got;
-  ASSERT_EQ(w.engines.begun.size(), before + 2);
-  for (std::size_t i = before; i < w.engines.begun.size(); ++i) {
-    EXPECT_EQ(w.engines.begun[i].traceId, "second");
-    EXPECT_LE(w.engines.begun[i].timeout, 1'000'000 - kWait + 50'000);
+  ASSERT_TRUE(world.served(*second, 1)) << second->got;
+  ASSERT_EQ(world.engines.begun.size(), attemptsBefore + 2);
+  for (std::size_t i = attemptsBefore; i < world.engines.begun.size(); ++i) {
+    EXPECT_EQ(world.engines.begun[i].traceId, "second");
+    EXPECT_LE(world.engines.begun[i].timeout, 1'000'000 - kWaitTime + 50'000);
   }
-  EXPECT_TRUE(w.clean());
+  EXPECT_TRUE(world.clean());
 }
 
-// A full router looks for room again and again: none of these looks may take a connection beyond its bound.
-TEST(Crossing, AFullRouterTakesNobodyHoweverOftenItLooksForRoom) {
+// A router at its connection limit checks for free capacity periodically; none of these checks may accept a
+// connection beyond the limit.
+TEST(FrontendRace, ARouterAtItsConnectionLimitAcceptsNobodyHoweverOftenItChecks) {
   Options options;
   options.connections.maxConnections = 1;
   options.connections.capacityRetryInterval = 1'000;
-  FrontendWorld w(options);
+  FrontendWorld world(options);
   std::unique_ptr<BlockingClient> first;
-  ASSERT_NO_FATAL_FAILURE(fill(w, first));
-  auto second = w.client();
+  ASSERT_NO_FATAL_FAILURE(occupyOnlyConnection(world, first));
+  auto second = world.client();
   second->send(clientRequest("second"));
-  w.pass(1'000'000);
-  EXPECT_EQ(w.front->counters().accepted, 1u);
-  EXPECT_GT(w.front->counters().overfull, 100u);  // it did look
-  w.engines.end(*w.engines.held, Outcome::completed);
+  world.pass(1'000'000);
+  EXPECT_EQ(world.front->counters().accepted, 1u);
+  EXPECT_GT(world.front->counters().overfull, 100u);  // it did check
+  world.engines.end(*world.engines.held, Outcome::completed);
   first->close();
-  EXPECT_TRUE(w.served(*second, 1)) << second->got;
-  EXPECT_TRUE(w.clean());
+  EXPECT_TRUE(world.served(*second, 1)) << second->got;
+  EXPECT_TRUE(world.clean());
 }
 
 // ---- floods ----
 
-TEST(Crossing, WhatWasKeptOfAFloodIsAnsweredBeforeTheConnectionEnds) {
+TEST(FrontendRace, BufferedRequestsOfAFloodAreAnsweredBeforeTheConnectionCloses) {
   Options options;
   options.maxPipelinedBytes = 16 * 1024;
-  FrontendWorld w(options);
-  w.engines.holdFirstWrite(false);
-  auto c = w.acceptedClient(false);
-  c->send(clientRequest("first"));
-  ASSERT_TRUE(w.until([&] { return w.engines.held.has_value(); }));
+  FrontendWorld world(options);
+  world.engines.holdFirstWrite(false);
+  auto blockingClient = world.acceptedClient(false);
+  blockingClient->send(clientRequest("first"));
+  ASSERT_TRUE(world.until([&] { return world.engines.held.has_value(); }));
   for (int i = 0; i < 200; ++i) {
-    c->send(clientRequest("more" + std::to_string(i)));
-    if (i % 10 == 0) w.turn();
+    blockingClient->send(clientRequest("more" + std::to_string(i)));
+    if (i % 10 == 0) world.turn();
   }
-  w.turn();
-  EXPECT_LE(w.front->bufferedBytes(), options.maxPipelinedBytes + clientRequest("first").size());
-  w.engines.succeed(*w.engines.held);
-  ASSERT_TRUE(w.ended(*c, 10'000'000));
-  EXPECT_FALSE(c->wasReset);
-  EXPECT_EQ(c->streams(), w.engines.count(Phase::decode));
-  EXPECT_GT(c->streams(), 50u);
-  EXPECT_LT(c->streams(), 201u);
-  EXPECT_TRUE(w.clean());
+  world.turn();
+  EXPECT_LE(world.front->bufferedBytes(), options.maxPipelinedBytes + clientRequest("first").size());
+  world.engines.succeed(*world.engines.held);
+  ASSERT_TRUE(world.ended(*blockingClient, 10'000'000));
+  EXPECT_FALSE(blockingClient->wasReset);
+  EXPECT_EQ(blockingClient->streams(), world.engines.count(Phase::decode));
+  EXPECT_GT(blockingClient->streams(), 50u);
+  EXPECT_LT(blockingClient->streams(), 201u);
+  EXPECT_TRUE(world.clean());
 }
 
-// Answers to what a peer sends without reading would pile up here without a bound.
-TEST(Crossing, AClientThatAsksWithoutReadingItsAnswersIsCutOff) {
+// Prevents unbounded memory use: responses to a peer that sends requests without reading would accumulate.
+TEST(FrontendRace, AClientThatDoesNotReadItsResponsesIsDisconnected) {
   constexpr int kRequests = 200;
-  constexpr std::size_t kAnswerBytes = 60'000;  // more in all than the system takes for a client
+  constexpr std::size_t kResponseBytes = 60'000;  // more in total than the kernel buffers for a client
   Options options;
   options.maxUnreadResponseBytes = 64u << 20;
   options.connections.requestTimeout = 300'000;
-  FrontendWorld w(options);
-  const std::string event = "data: " + std::string(kAnswerBytes, 'x') + "\n\n";
-  w.engines.script = [&](const StubEngines::Attempt& a) {
-    if (a.phase == Phase::prefill) return w.engines.succeed(a);
-    w.engines.events->onTokens(a.id, event, 1, {});
-    w.engines.end(a, Outcome::completed);
+  FrontendWorld world(options);
+  const std::string event = "data: " + std::string(kResponseBytes, 'x') + "\n\n";
+  world.engines.script = [&](const StubEngines::Attempt& attempt) {
+    if (attempt.phase == Phase::prefill) return world.engines.succeed(attempt);
+    world.engines.events->onTokens(attempt.id, event, 1, {});
+    world.engines.end(attempt, Outcome::completed);
   };
-  auto flooding = w.acceptedClient(false);
+  auto flooding = world.acceptedClient(false);
   for (int i = 0; i < kRequests; ++i) flooding->send(clientRequest("f" + std::to_string(i)));
-  EXPECT_TRUE(w.until([&] { return w.front->connections() == 0; }, 10'000'000));
-  EXPECT_LT(w.engines.count(Phase::decode), static_cast<std::size_t>(kRequests));
-  EXPECT_GT(w.engines.count(Phase::decode), 10u);
-  auto other = w.acceptedClient(false);
+  EXPECT_TRUE(world.until([&] { return world.front->connections() == 0; }, 10'000'000));
+  EXPECT_LT(world.engines.count(Phase::decode), static_cast<std::size_t>(kRequests));
+  EXPECT_GT(world.engines.count(Phase::decode), 10u);
+  auto other = world.acceptedClient(false);
   other->send(clientRequest("other"));
-  EXPECT_TRUE(w.served(*other, 1));
+  EXPECT_TRUE(world.served(*other, 1));
 }
 
-// A head that tells a body of `length` bytes, and as many of them as `sent` tells.
-std::string unfinishedRequest(const std::string& id, std::size_t length, std::size_t sent) {
+// A request head that announces a body of `contentLength` bytes, followed by the first `sentBytes` of them.
+std::string incompleteRequest(const std::string& id, std::size_t contentLength, std::size_t sentBytes) {
   return "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Trace-Id: " + id +
-         "\r\nX-Qos: chat\r\nX-Expires-In-Ms: 3000\r\nContent-Length: " + std::to_string(length) +
-         "\r\n\r\n" + std::string(sent, ' ');
+         "\r\nX-Qos: chat\r\nX-Expires-In-Ms: 3000\r\nContent-Length: " + std::to_string(contentLength) +
+         "\r\n\r\n" + std::string(sentBytes, ' ');
 }
 
-// Many clients that each send most of a large body and wait would fill the process's memory.
-TEST(Crossing, BodiesThatAreStillComingCountAsThoseOfOpenRequestsDo) {
-  constexpr std::size_t kBody = 20'000;
+// Prevents memory exhaustion by many clients that each send most of a large body and then wait.
+TEST(FrontendRace, IncompleteBodiesCountTowardsTheBufferLimitLikeThoseOfOpenRequests) {
+  constexpr std::size_t kBodyBytes = 20'000;
   Options options;
-  options.maxBufferedBytes = 2 * kBody + 10'000;
-  FrontendWorld w(options);
-  auto first = w.acceptedClient(false);
-  auto second = w.acceptedClient(false);
-  auto third = w.acceptedClient(false);
-  first->send(unfinishedRequest("a", kBody, kBody - 1));
-  second->send(unfinishedRequest("b", kBody, kBody - 1));
-  ASSERT_TRUE(w.until([&] { return w.front->bufferedBytes() == 2 * (kBody - 1); }, 1'000'000));
-  third->send(unfinishedRequest("c", kBody, kBody - 1));
-  ASSERT_TRUE(w.ended(*third));
+  options.maxBufferedBytes = 2 * kBodyBytes + 10'000;
+  FrontendWorld world(options);
+  auto first = world.acceptedClient(false);
+  auto second = world.acceptedClient(false);
+  auto third = world.acceptedClient(false);
+  first->send(incompleteRequest("a", kBodyBytes, kBodyBytes - 1));
+  second->send(incompleteRequest("b", kBodyBytes, kBodyBytes - 1));
+  ASSERT_TRUE(world.until([&] { return world.front->bufferedBytes() == 2 * (kBodyBytes - 1); }, 1'000'000));
+  third->send(incompleteRequest("c", kBodyBytes, kBodyBytes - 1));
+  ASSERT_TRUE(world.ended(*third));
   EXPECT_TRUE(third->has("HTTP/1.1 503")) << third->got;
   EXPECT_TRUE(third->has("Retry-After: "));
-  EXPECT_LE(w.front->bufferedBytes(), options.maxBufferedBytes);
+  EXPECT_LE(world.front->bufferedBytes(), options.maxBufferedBytes);
   first->close();
   second->close();
-  EXPECT_TRUE(w.clean());  // and all of it is given back
+  EXPECT_TRUE(world.clean());  // and all buffered bytes are released
 }
 
 }  // namespace
