--- a/tests/path/platform_path_test.cpp
+++ b/tests/path/platform_path_test.cpp
@@ -110,9 +110,8 @@
 }
 
 TEST_F(PlatformPath, AClientDisconnectReleasesAllResources) {
-  world.decodeEngine.script = [](Request& request) {
-    PlatformWorld::answerCalls(request);
-  };  // no response to decode requests
+  // No response to decode requests.
+  world.decodeEngine.script = [](Request& request) { PlatformWorld::answerCalls(request); };
   auto client = world.connectClient();
   client->ask("g1");
   ASSERT_TRUE(world.until([&] { return world.decodeEngine.count("POST") == 1; }, 2'000'000));
@@ -164,9 +163,8 @@
 // Prevents an undetected client close: if reading were paused while a request is open, the close of a client
 // that has pipelined a lot of data would go unnoticed.
 TEST_F(PlatformPath, PipelinedDataBehindAnOpenRequestDoesNotHideTheClose) {
-  world.decodeEngine.script = [](Request& request) {
-    PlatformWorld::answerCalls(request);
-  };  // no response to decode requests
+  // No response to decode requests.
+  world.decodeEngine.script = [](Request& request) { PlatformWorld::answerCalls(request); };
   auto client = world.connectClient();
   client->ask("much");
   for (int i = 0; i < 20; ++i) client->stream.send(requestText("behind" + std::to_string(i), "", 20'000));
@@ -241,8 +239,8 @@
   client->ask("h1");
   ASSERT_TRUE(world.until([&] { return world.decodeEngine.count("POST") == 1; }, 2'000'000));
   client->stream.close();
-  EXPECT_TRUE(world.until([&] { return world.decodeEngine.count("DELETE") == 1; },
-                          150'000));  // the release limit is 500 ms
+  // The release limit is 500 ms.
+  EXPECT_TRUE(world.until([&] { return world.decodeEngine.count("DELETE") == 1; }, 150'000));
   EXPECT_TRUE(world.becomesIdle());
 }
 
