--- a/tests/path/hard_cases_test.cpp
+++ b/tests/path/hard_cases_test.cpp
@@ -1,4 +1,4 @@
-// The hard cases, each caused on the whole path: gRPC client, router on sockets, stand-in engines.
+// Fault cases end to end: a gRPC client, a router on sockets and fake engines.
 #include <signal.h>
 
 #include <array>
@@ -11,390 +11,405 @@
 
 using grpc::Code;
 
-TEST(Path, AnAnswerIsStreamedAndIsWhatTheEngineWrote) {
-  World w;
-  Reply r;
-  w.ask(r, "tell me of the north hall #m1");
-  ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
-  EXPECT_EQ(r.status->code, Code::ok);
+TEST(Path, TheStreamedResponseEqualsTheEnginesOutput) {
+  World world;
+  Reply reply;
+  world.ask(reply, "tell me of the north hall #m1");
+  ASSERT_TRUE(world.until([&] { return reply.finals > 0; }));
+  EXPECT_EQ(reply.status->code, Code::ok);
   const fake_engine::Answer answer("tell me of the north hall #m1", 40);
-  EXPECT_EQ(r.text, answer.text());
-  EXPECT_EQ(r.finish.usage().output_tokens(), answer.tokens());
-  EXPECT_EQ(r.finish.usage().attempts(), 2u);
-  EXPECT_EQ(w.count("state.fetched"), 1u);
-  w.expectClean();
+  EXPECT_EQ(reply.text, answer.text());
+  EXPECT_EQ(reply.finish.usage().output_tokens(), answer.tokens());
+  EXPECT_EQ(reply.finish.usage().attempts(), 2u);
+  EXPECT_EQ(world.count("state.fetched"), 1u);
+  world.expectClean();
 }
 
-TEST(Path, TheUnaryFormGivesTheSameAnswerInOneMessage) {
-  struct Whole final : client::CallEvents {
-    void onMessage(std::string_view m) override {
-      EXPECT_TRUE(response.ParseFromArray(m.data(), static_cast<int>(m.size())));
+TEST(Path, TheUnaryCallReturnsTheSameResponseInOneMessage) {
+  struct UnaryCall final : client::CallEvents {
+    void onMessage(std::string_view messageBytes) override {
+      EXPECT_TRUE(response.ParseFromArray(messageBytes.data(), static_cast<int>(messageBytes.size())));
     }
-    void onStatus(const grpc::Status& s, const http2::Headers&, bool) override { status = s; }
+    void onStatus(const grpc::Status& newStatus, const http2::Headers&, bool) override { status = newStatus; }
     v1::GenerateResponse response;
     std::optional<grpc::Status> status;
-  } whole;
-  World w;
-  v1::GenerateRequest r;
-  r.set_prompt("x #m1");
-  r.set_max_output_tokens(5);
-  w.channel->call("/garnethook.v1.Generation/GenerateOnce", r.SerializeAsString(), 3'000'000, whole);
-  ASSERT_TRUE(w.until([&] { return whole.status.has_value(); }));
-  EXPECT_EQ(whole.response.text(), fake_engine::Answer("x #m1", 5).text());
-  EXPECT_EQ(whole.response.finish().reason(), v1::Finish::LENGTH);
+  } unaryCall;
+  World world;
+  v1::GenerateRequest generateRequest;
+  generateRequest.set_prompt("x #m1");
+  generateRequest.set_max_output_tokens(5);
+  world.channel->call("/garnethook.v1.Generation/GenerateOnce", generateRequest.SerializeAsString(),
+                      3'000'000, unaryCall);
+  ASSERT_TRUE(world.until([&] { return unaryCall.status.has_value(); }));
+  EXPECT_EQ(unaryCall.response.text(), fake_engine::Answer("x #m1", 5).text());
+  EXPECT_EQ(unaryCall.response.finish().reason(), v1::Finish::LENGTH);
 }
 
-TEST(Path, ACancelWhileTheStateIsInTransferReleasesItWithin500Ms) {
-  World w;
-  w.eachEngine("prefill", [](auto& e) { e.faults.link = 1e7; });  // the transfer takes minutes
-  Reply r;
-  const auto id = w.ask(r);
-  ASSERT_TRUE(w.until([&] { return w.count("engine.request") == 2; }));
-  w.pass(50'000);
-  EXPECT_EQ(w.fleet.held(), 1u);
-  const Micros cancelled = w.loop.now();
-  w.channel->cancel(id);
-  ASSERT_TRUE(w.until([&] { return w.fleet.held() == 0; }, 1'000'000));
-  EXPECT_LT(w.when("state.released") - cancelled, 500'000);
-  EXPECT_EQ(r.finals, 0);
-  w.expectClean();
+TEST(Path, ACancelDuringTheKvTransferReleasesTheKvStateWithin500Ms) {
+  World world;
+  // The transfer takes minutes.
+  world.eachEngine("prefill", [](auto& fakeEngine) { fakeEngine.faults.link = 1e7; });
+  Reply reply;
+  const auto id = world.ask(reply);
+  ASSERT_TRUE(world.until([&] { return world.count("engine.request") == 2; }));
+  world.pass(50'000);
+  EXPECT_EQ(world.fleet.held(), 1u);
+  const Micros cancelTime = world.loop.now();
+  world.channel->cancel(id);
+  ASSERT_TRUE(world.until([&] { return world.fleet.held() == 0; }, 1'000'000));
+  EXPECT_LT(world.when("state.released") - cancelTime, 500'000);
+  EXPECT_EQ(reply.finals, 0);
+  world.expectClean();
 }
 
-TEST(Path, ACancelDuringTheReadReleasesTheStateThatItLeaves) {
-  World w(
+TEST(Path, ACancelDuringThePrefillReleasesItsKvState) {
+  World world(
       R"({ "engines": [ { "name": "read", "kind": "prefill", "role": "reader", "read_base_ms": 300, "cancel_stops": false },
                             { "name": "write", "kind": "decode", "role": "writer" } ] })");
-  Reply r;
-  const auto id = w.ask(r);
-  ASSERT_TRUE(w.until([&] { return w.count("engine.request") == 1; }));
-  w.pass(30'000);
-  w.channel->cancel(id);
-  w.pass(600'000);  // the read goes on, and is over by now
-  EXPECT_EQ(w.count("engine.request"), 1u);
-  w.expectClean();
+  Reply reply;
+  const auto id = world.ask(reply);
+  ASSERT_TRUE(world.until([&] { return world.count("engine.request") == 1; }));
+  world.pass(30'000);
+  world.channel->cancel(id);
+  world.pass(600'000);  // the prefill continues after the cancel and has completed by now
+  EXPECT_EQ(world.count("engine.request"), 1u);
+  world.expectClean();
 }
 
-TEST(Path, AWriterThatAcceptsAndNeverAnswersCostsNobodyTheFinalAnswer) {
-  World w;
-  w.eachEngine("decode", [](auto& e) { e.faults.silent = true; });
-  Reply r;
-  const Micros sent = w.loop.now();
-  w.ask(r, "p #m1", 2'000'000);
-  ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
-  EXPECT_TRUE(r.overWire);
-  EXPECT_LT(w.loop.now() - sent, 2'000'000);
-  EXPECT_NE(r.status->code, Code::ok);
-  w.pass(200'000);
-  EXPECT_EQ(r.finals, 1);
-  w.expectClean();
+TEST(Path, ASilentDecodeEngineStillYieldsOneFinalStatusInTime) {
+  World world;
+  world.eachEngine("decode", [](auto& fakeEngine) { fakeEngine.faults.silent = true; });
+  Reply reply;
+  const Micros sendTime = world.loop.now();
+  world.ask(reply, "p #m1", 2'000'000);
+  ASSERT_TRUE(world.until([&] { return reply.finals > 0; }));
+  EXPECT_TRUE(reply.overWire);
+  EXPECT_LT(world.loop.now() - sendTime, 2'000'000);
+  EXPECT_NE(reply.status->code, Code::ok);
+  world.pass(200'000);
+  EXPECT_EQ(reply.finals, 1);
+  world.expectClean();
 }
 
-TEST(Path, AWriterThatGoesQuietAfterSixTokensEndsInOneStatusBeforeTheDeadline) {
+TEST(Path, ADecodeEngineThatStallsAfterSixTokensYieldsOneStatusBeforeTheDeadline) {
   for (const bool longDeadline : {false, true}) {
-    World w(kSplitFleet, R"(, "streams": { "silence_ms": 700 })");
-    w.eachEngine("decode", [](auto& e) { e.faults.stallAfter = 6; });
-    Reply r;
-    const Micros sent = w.loop.now();
+    World world(kSplitFleet, R"(, "streams": { "silence_ms": 700 })");
+    world.eachEngine("decode", [](auto& fakeEngine) { fakeEngine.faults.stallAfter = 6; });
+    Reply reply;
+    const Micros sendTime = world.loop.now();
     const Micros timeout = longDeadline ? 4'000'000 : 500'000;
-    w.ask(r, "p #m1", timeout);
-    ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
-    EXPECT_EQ(r.status->code, longDeadline ? Code::aborted : Code::deadlineExceeded);
-    EXPECT_EQ(r.tokens, 6u);
-    EXPECT_LT(w.loop.now() - sent, longDeadline ? 1'500'000 : 500'000);
-    w.pass(100'000);
-    EXPECT_EQ(r.finals, 1);
-    w.expectClean();
+    world.ask(reply, "p #m1", timeout);
+    ASSERT_TRUE(world.until([&] { return reply.finals > 0; }));
+    EXPECT_EQ(reply.status->code, longDeadline ? Code::aborted : Code::deadlineExceeded);
+    EXPECT_EQ(reply.tokens, 6u);
+    EXPECT_LT(world.loop.now() - sendTime, longDeadline ? 1'500'000 : 500'000);
+    world.pass(100'000);
+    EXPECT_EQ(reply.finals, 1);
+    world.expectClean();
   }
 }
 
-TEST(Path, AClientWhoseWindowStaysShutGetsItsStatusBeforeTheDeadline) {
-  World w(R"({ "engines": [ { "name": "read", "kind": "prefill", "role": "reader" },
+TEST(Path, AClientWithAZeroFlowControlWindowGetsItsStatusBeforeTheDeadline) {
+  World world(R"({ "engines": [ { "name": "read", "kind": "prefill", "role": "reader" },
                             { "name": "write", "kind": "decode", "role": "writer", "token_ms": 1 } ] })");
-  client::Channel narrow(w.loop, w.router->address(), {.streamWindow = 0});
-  Reply r;
+  client::Channel zeroWindowChannel(world.loop, world.router->address(), {.streamWindow = 0});
+  Reply reply;
   v1::GenerateRequest request;
   request.set_prompt("p #m1");
-  const Micros sent = w.loop.now();
-  narrow.call("/garnethook.v1.Generation/Generate", request.SerializeAsString(), 800'000, r);
-  ASSERT_TRUE(w.until([&] { return r.finals > 0; }, 1'000'000));
-  EXPECT_TRUE(r.overWire);
-  EXPECT_EQ(r.status->code, Code::deadlineExceeded);
-  EXPECT_LT(w.loop.now() - sent, 800'000);
-  EXPECT_EQ(r.tokens, 0u);
-  w.expectClean();
+  const Micros sendTime = world.loop.now();
+  zeroWindowChannel.call("/garnethook.v1.Generation/Generate", request.SerializeAsString(), 800'000, reply);
+  ASSERT_TRUE(world.until([&] { return reply.finals > 0; }, 1'000'000));
+  EXPECT_TRUE(reply.overWire);
+  EXPECT_EQ(reply.status->code, Code::deadlineExceeded);
+  EXPECT_LT(world.loop.now() - sendTime, 800'000);
+  EXPECT_EQ(reply.tokens, 0u);
+  world.expectClean();
 }
 
-TEST(Path, HundredsOfIdleStreamsEachGetOneFinalAnswerWhenTheRouterGoes) {
-  World w(kSplitFleet, R"(, "stop_within_ms": 200, "open_requests": 1000)");
-  w.eachEngine("decode", [](auto& e) { e.faults.stallAfter = 1; });
+TEST(Path, HundredsOfStalledStreamsEachGetOneFinalStatusWhenTheRouterDrains) {
+  World world(kSplitFleet, R"(, "stop_within_ms": 200, "open_requests": 1000)");
+  world.eachEngine("decode", [](auto& fakeEngine) { fakeEngine.faults.stallAfter = 1; });
   std::array<Reply, 300> replies;
-  std::size_t asked = 0;
-  // A few at a time: engines have few slots, and stalled answers keep theirs.
-  while (asked < 16) w.ask(replies[asked], "p #m" + std::to_string(asked), 60'000'000), ++asked;
-  ASSERT_TRUE(w.until([&] {
+  std::size_t requestCount = 0;
+  // Starts with 16 requests: engines have few slots, and stalled responses keep theirs.
+  while (requestCount < 16)
+    world.ask(replies[requestCount], "p #m" + std::to_string(requestCount), 60'000'000), ++requestCount;
+  ASSERT_TRUE(world.until([&] {
     return std::all_of(replies.begin(), replies.begin() + 16,
-                       [](auto& r) { return r.tokens == 1 || r.finals == 1; });
+                       [](auto& reply) { return reply.tokens == 1 || reply.finals == 1; });
   }));
-  while (asked < replies.size()) w.ask(replies[asked], "p #m" + std::to_string(asked), 60'000'000), ++asked;
-  // All have reached the router, however busy the machine: what it never took is not its to answer.
-  ASSERT_TRUE(w.until([&] { return w.router->router().counters().accepted == replies.size(); }));
+  while (requestCount < replies.size())
+    world.ask(replies[requestCount], "p #m" + std::to_string(requestCount), 60'000'000), ++requestCount;
+  // Waits until the router has accepted all requests, also on a busy machine: it answers only those that it
+  // accepted.
+  ASSERT_TRUE(world.until([&] { return world.router->router().counters().accepted == replies.size(); }));
   bool drained = false;
-  w.router->drain([&] { drained = true; });
-  ASSERT_TRUE(w.until([&] { return drained; }, 5'000'000));
-  for (const auto& r : replies) {
-    EXPECT_EQ(r.finals, 1);
-    EXPECT_TRUE(r.overWire);
+  world.router->drain([&] { drained = true; });
+  ASSERT_TRUE(world.until([&] { return drained; }, 5'000'000));
+  for (const auto& reply : replies) {
+    EXPECT_EQ(reply.finals, 1);
+    EXPECT_TRUE(reply.overWire);
   }
-  EXPECT_EQ(w.router->router().pendingRequests(), 0u);
+  EXPECT_EQ(world.router->router().pendingRequests(), 0u);
 }
 
-TEST(Path, ADrainWhileAStateIsHeldStillServesAndSendsNothingNew) {
-  World w;
-  w.eachEngine("decode", [](auto& e) { e.faults.full = true; });  // the state waits at its reader
-  Reply r;
-  w.ask(r);
-  ASSERT_TRUE(w.until([&] { return w.fleet.held() == 1; }));
-  w.fleet.setListed("read-1", fake_engine::Fleet::Listed::draining);
-  w.fleet.setListed("write-1", fake_engine::Fleet::Listed::draining);
-  w.fleet.writeList(w.list(), 0);
-  w.pass(100'000);
-  const auto before = w.count("engine.request", "write-1") + w.count("engine.request", "read-1");
-  w.eachEngine("decode", [](auto& e) { e.faults.full = false; });
-  w.until([&] { return r.finals > 0; });
-  EXPECT_EQ(r.finals, 1);
+TEST(Path, DrainingEnginesWithAHeldKvStateStillServeItAndGetNoNewRequests) {
+  World world;
+  // The KV state stays at its prefill engine.
+  world.eachEngine("decode", [](auto& fakeEngine) { fakeEngine.faults.full = true; });
+  Reply reply;
+  world.ask(reply);
+  ASSERT_TRUE(world.until([&] { return world.fleet.held() == 1; }));
+  world.fleet.setListed("read-1", fake_engine::Fleet::Listed::draining);
+  world.fleet.setListed("write-1", fake_engine::Fleet::Listed::draining);
+  world.fleet.writeList(world.list(), 0);
+  world.pass(100'000);
+  const auto requestsBefore =
+      world.count("engine.request", "write-1") + world.count("engine.request", "read-1");
+  world.eachEngine("decode", [](auto& fakeEngine) { fakeEngine.faults.full = false; });
+  world.until([&] { return reply.finals > 0; });
+  EXPECT_EQ(reply.finals, 1);
   for (int i = 0; i < 10; ++i) {
-    Reply more;
-    w.ask(more, "q " + std::to_string(i) + " #m" + std::to_string(i + 2));
-    ASSERT_TRUE(w.until([&] { return more.finals > 0; }));
+    Reply nextReply;
+    world.ask(nextReply, "q " + std::to_string(i) + " #m" + std::to_string(i + 2));
+    ASSERT_TRUE(world.until([&] { return nextReply.finals > 0; }));
   }
-  EXPECT_EQ(w.count("engine.request", "write-1") + w.count("engine.request", "read-1"), before);
-  w.expectClean();
+  EXPECT_EQ(world.count("engine.request", "write-1") + world.count("engine.request", "read-1"),
+            requestsBefore);
+  world.expectClean();
 }
 
-TEST(Path, AClientsLostConnectionInEveryStageLeavesNothing) {
-  for (const bool abort : {false, true})
+TEST(Path, AClientConnectionLostInAnyStageReleasesAllResources) {
+  for (const bool isReset : {false, true})
     for (const std::string stage : {"read", "transfer", "answer"}) {
-      World w(
+      World world(
           R"({ "engines": [ { "name": "read", "kind": "prefill", "role": "reader", "read_base_ms": 60, "cancel_stops": false },
                                 { "name": "write", "kind": "decode", "role": "writer", "token_ms": 20 } ] })");
-      if (stage == "transfer") w.eachEngine("prefill", [](auto& e) { e.faults.link = 1e7; });
-      Reply r;
-      w.ask(r);
-      ASSERT_TRUE(w.until([&] {
-        return stage == "read"       ? w.count("engine.request") == 1
-               : stage == "transfer" ? w.count("engine.request") == 2
-                                     : r.tokens > 2;
+      if (stage == "transfer")
+        world.eachEngine("prefill", [](auto& fakeEngine) { fakeEngine.faults.link = 1e7; });
+      Reply reply;
+      world.ask(reply);
+      ASSERT_TRUE(world.until([&] {
+        return stage == "read"       ? world.count("engine.request") == 1
+               : stage == "transfer" ? world.count("engine.request") == 2
+                                     : reply.tokens > 2;
       })) << stage;
-      w.channel->close(abort);
-      const Micros closed = w.loop.now();
-      w.pass(200'000);
-      w.expectClean();
-      EXPECT_LT(w.when("state.released") - closed, 500'000) << stage;
-      EXPECT_EQ(w.router->router().counters().cancelled, 1u) << stage;
-      EXPECT_LE(w.count("engine.request"), 2u);
+      world.channel->close(isReset);
+      const Micros closeTime = world.loop.now();
+      world.pass(200'000);
+      world.expectClean();
+      EXPECT_LT(world.when("state.released") - closeTime, 500'000) << stage;
+      EXPECT_EQ(world.router->router().counters().cancelled, 1u) << stage;
+      EXPECT_LE(world.count("engine.request"), 2u);
     }
 }
 
-TEST(Engine, AnswersNestedTooDeepAreNoAnswers) {
-  const std::string deep =
+TEST(Engine, TooDeeplyNestedResponsesAreRejected) {
+  const std::string deeplyNested =
       "{\"kv_transfer_params\":" + std::string(500'000, '[') + std::string(500'000, ']') + "}";
-  EXPECT_FALSE(engine::parsePrefillResponse(deep));
-  EXPECT_FALSE(engine::parseChunk(deep));
-  EXPECT_EQ(engine::parseErrorResponse(500, deep).outcome, Outcome::error);
-  EXPECT_FALSE(engine::parseLoadMetrics("JSON " + deep));
+  EXPECT_FALSE(engine::parsePrefillResponse(deeplyNested));
+  EXPECT_FALSE(engine::parseChunk(deeplyNested));
+  EXPECT_EQ(engine::parseErrorResponse(500, deeplyNested).outcome, Outcome::error);
+  EXPECT_FALSE(engine::parseLoadMetrics("JSON " + deeplyNested));
   EXPECT_TRUE(engine::parsePrefillResponse(R"({"kv_transfer_params":{"a":"[[[[{{{{\"["}})"));
 }
 
-TEST(Path, AnEmptyListRefusesAtOnceWithAHint) {
-  World w;
-  std::ofstream(w.list()) << R"({ "engines": [] })";
-  w.pass(100'000);
-  Reply r;
-  const Micros sent = w.loop.now();
-  w.ask(r);
-  ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
-  EXPECT_EQ(r.status->code, Code::unavailable);
-  EXPECT_GT(r.status->retryAfterMs.value_or(0), 0);
-  EXPECT_TRUE(http2::find(r.trailers, "grpc-status-details-bin"));
-  EXPECT_LT(w.loop.now() - sent, 300'000);
+TEST(Path, AnEmptyListRejectsAtOnceWithRetryAfter) {
+  World world;
+  std::ofstream(world.list()) << R"({ "engines": [] })";
+  world.pass(100'000);
+  Reply reply;
+  const Micros sendTime = world.loop.now();
+  world.ask(reply);
+  ASSERT_TRUE(world.until([&] { return reply.finals > 0; }));
+  EXPECT_EQ(reply.status->code, Code::unavailable);
+  EXPECT_GT(reply.status->retryAfterMs.value_or(0), 0);
+  EXPECT_TRUE(http2::find(reply.trailers, "grpc-status-details-bin"));
+  EXPECT_LT(world.loop.now() - sendTime, 300'000);
 }
 
-TEST(Path, EveryReaderGoneEndsEachRequestOnceAndServiceComesBack) {
-  World w;
-  w.eachEngine("prefill", [](auto& e) { e.stop(); });
+TEST(Path, TheLossOfAllPrefillEnginesEndsEachRequestOnceAndServiceRecovers) {
+  World world;
+  world.eachEngine("prefill", [](auto& fakeEngine) { fakeEngine.stop(); });
   std::array<Reply, 20> replies;
-  for (std::size_t i = 0; i < replies.size(); ++i) w.ask(replies[i], "p #m" + std::to_string(i), 1'500'000);
-  ASSERT_TRUE(w.until(
-      [&] { return std::all_of(replies.begin(), replies.end(), [](auto& r) { return r.finals == 1; }); },
+  for (std::size_t i = 0; i < replies.size(); ++i)
+    world.ask(replies[i], "p #m" + std::to_string(i), 1'500'000);
+  ASSERT_TRUE(world.until(
+      [&] {
+        return std::all_of(replies.begin(), replies.end(), [](auto& reply) { return reply.finals == 1; });
+      },
       1'500'000));
-  for (const auto& r : replies) EXPECT_TRUE(r.overWire);
-  w.eachEngine("prefill", [](auto& e) { e.start(); });
-  w.fleet.writeList(w.list(), 0);
-  bool back = false;
-  for (int i = 0; i < 8 && !back; ++i) {
-    Reply r;
-    w.ask(r, "p #back", 1'000'000);
-    ASSERT_TRUE(w.until([&] { return r.finals > 0; }, 2'000'000));
-    back = r.status->code == Code::ok;
-    w.pass(300'000);
+  for (const auto& reply : replies) EXPECT_TRUE(reply.overWire);
+  world.eachEngine("prefill", [](auto& fakeEngine) { fakeEngine.start(); });
+  world.fleet.writeList(world.list(), 0);
+  bool isRecovered = false;
+  for (int i = 0; i < 8 && !isRecovered; ++i) {
+    Reply reply;
+    world.ask(reply, "p #back", 1'000'000);
+    ASSERT_TRUE(world.until([&] { return reply.finals > 0; }, 2'000'000));
+    isRecovered = reply.status->code == Code::ok;
+    world.pass(300'000);
   }
-  EXPECT_TRUE(back);
+  EXPECT_TRUE(isRecovered);
 }
 
-TEST(Path, AnEngineThatDiesInEveryStageCostsNoFinalAnswer) {
+TEST(Path, AnEngineFailureInAnyStageYieldsOneFinalStatus) {
   for (const int stage : {0, 1, 2, 3}) {
-    World w;
-    Reply r;
-    if (stage == 0) w.eachEngine("prefill", [](auto& e) { e.faults.reset = true; });
-    if (stage == 1) w.eachEngine("decode", [](auto& e) { e.faults.reset = true; });
-    if (stage == 2) w.eachEngine("decode", [](auto& e) { e.faults.dieAfter = 0; });
-    if (stage == 3) w.eachEngine("decode", [](auto& e) { e.faults.dieAfter = 5; });
-    w.ask(r, "p #m1", 2'000'000, "order");
-    ASSERT_TRUE(w.until([&] { return r.finals > 0; })) << stage;
-    EXPECT_TRUE(r.overWire);
-    EXPECT_NE(r.status->code, Code::ok);
-    // An unsafe request that may have run is neither tried again nor called refused.
+    World world;
+    Reply reply;
+    if (stage == 0) world.eachEngine("prefill", [](auto& fakeEngine) { fakeEngine.faults.reset = true; });
+    if (stage == 1) world.eachEngine("decode", [](auto& fakeEngine) { fakeEngine.faults.reset = true; });
+    if (stage == 2) world.eachEngine("decode", [](auto& fakeEngine) { fakeEngine.faults.dieAfter = 0; });
+    if (stage == 3) world.eachEngine("decode", [](auto& fakeEngine) { fakeEngine.faults.dieAfter = 5; });
+    world.ask(reply, "p #m1", 2'000'000, "order");
+    ASSERT_TRUE(world.until([&] { return reply.finals > 0; })) << stage;
+    EXPECT_TRUE(reply.overWire);
+    EXPECT_NE(reply.status->code, Code::ok);
+    // A possibly executed non-idempotent request is neither retried nor reported as rejected.
     if (stage >= 1) {
-      EXPECT_EQ(w.count("engine.request", "write-1") + w.count("engine.request", "write-2"),
+      EXPECT_EQ(world.count("engine.request", "write-1") + world.count("engine.request", "write-2"),
                 stage == 1 ? 0u : 1u);
-      EXPECT_LT(r.status->retryAfterMs.value_or(-1), 0);
+      EXPECT_LT(reply.status->retryAfterMs.value_or(-1), 0);
     }
-    w.pass(100'000);
-    EXPECT_EQ(r.finals, 1);
-    w.eachEngine("prefill", [](auto& e) { e.faults.reset = false; });  // a release can be told again
-    w.expectClean();
+    world.pass(100'000);
+    EXPECT_EQ(reply.finals, 1);
+    // Releases can be sent again.
+    world.eachEngine("prefill", [](auto& fakeEngine) { fakeEngine.faults.reset = false; });
+    world.expectClean();
   }
 }
 
-TEST(Path, AStateThatIsGoneIsReadAnewAndTheWriterIsNotBlamed) {
-  World w;
-  w.eachEngine("decode", [](auto& e) { e.faults.full = true; });
-  Reply r;
-  w.ask(r);
-  ASSERT_TRUE(w.until([&] { return w.fleet.held() == 1; }));
-  // The reader restarts while the state waits there.
-  w.eachEngine("prefill", [](auto& e) {
-    e.stop();
-    e.start();
+TEST(Path, ALostKvStateIsPrefilledAgainAndTheDecodeEngineIsNotBlamed) {
+  World world;
+  world.eachEngine("decode", [](auto& fakeEngine) { fakeEngine.faults.full = true; });
+  Reply reply;
+  world.ask(reply);
+  ASSERT_TRUE(world.until([&] { return world.fleet.held() == 1; }));
+  // The prefill engine restarts while it holds the KV state.
+  world.eachEngine("prefill", [](auto& fakeEngine) {
+    fakeEngine.stop();
+    fakeEngine.start();
   });
-  w.eachEngine("decode", [](auto& e) { e.faults.full = false; });
-  ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
-  EXPECT_EQ(r.status->code, Code::ok);
-  EXPECT_EQ(w.count("engine.refused") >= 1, true);
-  w.expectClean();
+  world.eachEngine("decode", [](auto& fakeEngine) { fakeEngine.faults.full = false; });
+  ASSERT_TRUE(world.until([&] { return reply.finals > 0; }));
+  EXPECT_EQ(reply.status->code, Code::ok);
+  EXPECT_EQ(world.count("engine.refused") >= 1, true);
+  world.expectClean();
 }
 
-TEST(Path, LyingEnginesEndInOneFinalAnswer) {
-  const auto lie = [](auto how, const std::string& kind) {
-    World w;
-    w.eachEngine(kind, how);
-    Reply r;
-    w.ask(r, "p #m1", 2'000'000);
-    ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
-    EXPECT_TRUE(r.overWire);
-    EXPECT_NE(r.status->code, Code::ok);
-    w.expectClean();
+TEST(Path, InvalidEngineResponsesYieldOneFinalStatus) {
+  const auto expectOneFailure = [](auto injectFault, const std::string& kind) {
+    World world;
+    world.eachEngine(kind, injectFault);
+    Reply reply;
+    world.ask(reply, "p #m1", 2'000'000);
+    ASSERT_TRUE(world.until([&] { return reply.finals > 0; }));
+    EXPECT_TRUE(reply.overWire);
+    EXPECT_NE(reply.status->code, Code::ok);
+    world.expectClean();
   };
   for (const std::string kind : {"prefill", "decode"}) {
-    lie([](auto& e) { e.faults.badHttp = true; }, kind);
-    lie([](auto& e) { e.faults.error = true; }, kind);
+    expectOneFailure([](auto& fakeEngine) { fakeEngine.faults.badHttp = true; }, kind);
+    expectOneFailure([](auto& fakeEngine) { fakeEngine.faults.error = true; }, kind);
   }
-  lie([](auto& e) { e.faults.hugeEvent = true; }, "decode");
-  lie([](auto& e) { e.setTrickle(100'000); }, "decode");
+  expectOneFailure([](auto& fakeEngine) { fakeEngine.faults.hugeEvent = true; }, "decode");
+  expectOneFailure([](auto& fakeEngine) { fakeEngine.setTrickle(100'000); }, "decode");
 }
 
-TEST(Path, AKilledRouterComesBackWithItsLastListAndServesRetries) {
-  World w;
-  Reply lost;
-  w.eachEngine("decode", [](auto& e) { e.faults.silent = true; });
-  w.ask(lost);
-  ASSERT_TRUE(w.until([&] { return w.count("engine.request") == 2; }));
-  const auto port = w.router->address().port();
-  w.router.reset();
-  ASSERT_TRUE(w.until([&] { return lost.finals == 1; }));
-  EXPECT_FALSE(lost.overWire);
-  w.eachEngine("decode", [](auto& e) { e.faults.silent = false; });
-  std::filesystem::remove(w.list());
-  w.startRouter(port);
-  Reply r;
-  w.ask(r);
-  ASSERT_TRUE(w.until([&] { return r.finals > 0; }));
-  EXPECT_EQ(r.status->code, Code::ok);
+TEST(Path, ARestartedRouterUsesItsStoredListAndServesRetries) {
+  World world;
+  Reply lostReply;
+  world.eachEngine("decode", [](auto& fakeEngine) { fakeEngine.faults.silent = true; });
+  world.ask(lostReply);
+  ASSERT_TRUE(world.until([&] { return world.count("engine.request") == 2; }));
+  const auto port = world.router->address().port();
+  world.router.reset();
+  ASSERT_TRUE(world.until([&] { return lostReply.finals == 1; }));
+  EXPECT_FALSE(lostReply.overWire);
+  world.eachEngine("decode", [](auto& fakeEngine) { fakeEngine.faults.silent = false; });
+  std::filesystem::remove(world.list());
+  world.startRouter(port);
+  Reply reply;
+  world.ask(reply);
+  ASSERT_TRUE(world.until([&] { return reply.finals > 0; }));
+  EXPECT_EQ(reply.status->code, Code::ok);
 }
 
-TEST(Path, SigtermsDrainGivesEveryRequestItsFinalAnswer) {
-  World w(kSplitFleet, R"(, "stop_within_ms": 300)");
-  w.eachEngine("decode", [](auto& e) { e.faults.stallAfter = 3; });
+TEST(Path, TheSigtermDrainGivesEveryRequestItsFinalStatus) {
+  World world(kSplitFleet, R"(, "stop_within_ms": 300)");
+  world.eachEngine("decode", [](auto& fakeEngine) { fakeEngine.faults.stallAfter = 3; });
   std::array<Reply, 10> replies;
   for (std::size_t i = 0; i < replies.size(); ++i)
-    w.ask(replies[i], "p #m" + std::to_string(i), 5'000'000, i % 2 ? "order" : "chat");
-  ASSERT_TRUE(w.until(
-      [&] { return std::all_of(replies.begin(), replies.end(), [](auto& r) { return r.tokens == 3; }); }));
+    world.ask(replies[i], "p #m" + std::to_string(i), 5'000'000, i % 2 ? "order" : "chat");
+  ASSERT_TRUE(world.until([&] {
+    return std::all_of(replies.begin(), replies.end(), [](auto& reply) { return reply.tokens == 3; });
+  }));
   bool drained = false;
-  w.router->drain([&] { drained = true; });
-  ASSERT_TRUE(w.until([&] { return drained; }, 3'000'000));
-  for (const auto& r : replies) {
-    EXPECT_EQ(r.finals, 1);
-    EXPECT_TRUE(r.overWire);
-    EXPECT_EQ(r.status->code, Code::aborted);
+  world.router->drain([&] { drained = true; });
+  ASSERT_TRUE(world.until([&] { return drained; }, 3'000'000));
+  for (const auto& reply : replies) {
+    EXPECT_EQ(reply.finals, 1);
+    EXPECT_TRUE(reply.overWire);
+    EXPECT_EQ(reply.status->code, Code::aborted);
   }
 }
 
-TEST(Path, MalformedRequestsAreRefusedByField) {
-  World w;
-  const auto code = [&](const std::function<void(v1::GenerateRequest&)>& set) {
+TEST(Path, InvalidRequestsAreRejectedWithTheFieldName) {
+  World world;
+  const auto statusText = [&](const std::function<void(v1::GenerateRequest&)>& fillRequest) {
     v1::GenerateRequest request;
-    set(request);
-    Reply r;
-    w.channel->call("/garnethook.v1.Generation/Generate", request.SerializeAsString(), 2'000'000, r);
-    EXPECT_TRUE(w.until([&] { return r.finals > 0; }));
-    return std::string(grpc::name(r.status->code)) + " " + r.status->message;
+    fillRequest(request);
+    Reply reply;
+    world.channel->call("/garnethook.v1.Generation/Generate", request.SerializeAsString(), 2'000'000, reply);
+    EXPECT_TRUE(world.until([&] { return reply.finals > 0; }));
+    return std::string(grpc::name(reply.status->code)) + " " + reply.status->message;
   };
-  EXPECT_EQ(code([](auto&) {}), "INVALID_ARGUMENT prompt: is empty");
-  EXPECT_TRUE(code([](auto& r) {
-                r.set_prompt("x");
-                r.set_request_class("no");
+  EXPECT_EQ(statusText([](auto&) {}), "INVALID_ARGUMENT prompt: is empty");
+  EXPECT_TRUE(statusText([](auto& generateRequest) {
+                generateRequest.set_prompt("x");
+                generateRequest.set_request_class("no");
               }).starts_with("INVALID_ARGUMENT request_class"));
-  EXPECT_TRUE(code([](auto& r) {
-                r.set_prompt("x");
-                r.mutable_prompt_tokens()->add_ids(1);
+  EXPECT_TRUE(statusText([](auto& generateRequest) {
+                generateRequest.set_prompt("x");
+                generateRequest.mutable_prompt_tokens()->add_ids(1);
               }).starts_with("INVALID_ARGUMENT prompt and prompt_tokens"));
-  EXPECT_TRUE(code([](auto& r) {
-                r.set_prompt("x");
-                r.set_max_output_tokens(1 << 30);
+  EXPECT_TRUE(statusText([](auto& generateRequest) {
+                generateRequest.set_prompt("x");
+                generateRequest.set_max_output_tokens(1 << 30);
               }).starts_with("INVALID_ARGUMENT max_output_tokens"));
   Reply garbage;
-  w.channel->call("/garnethook.v1.Generation/Generate", "\xff\xff\xff", 2'000'000, garbage);
+  world.channel->call("/garnethook.v1.Generation/Generate", "\xff\xff\xff", 2'000'000, garbage);
   Reply unknown;
-  w.channel->call("/garnethook.v1.Generation/No", "", 2'000'000, unknown);
-  ASSERT_TRUE(w.until([&] { return garbage.finals + unknown.finals == 2; }));
+  world.channel->call("/garnethook.v1.Generation/No", "", 2'000'000, unknown);
+  ASSERT_TRUE(world.until([&] { return garbage.finals + unknown.finals == 2; }));
   EXPECT_EQ(garbage.status->code, Code::invalidArgument);
   EXPECT_EQ(unknown.status->code, Code::unimplemented);
-  EXPECT_EQ(w.count("engine.request"), 0u);
+  EXPECT_EQ(world.count("engine.request"), 0u);
 }
 
-TEST(Path, MalformedFramesEndTheirConnectionAndNoOther) {
-  World w;
-  Reply good;
-  w.ask(good);
-  struct Raw final : net::StreamEvents {
-    void onBytes(std::string_view o) override { bytes.append(o); }
+TEST(Path, InvalidFramesCloseOnlyTheirOwnConnection) {
+  World world;
+  Reply validReply;
+  world.ask(validReply);
+  struct RawConnection final : net::StreamEvents {
+    void onBytes(std::string_view received) override { bytes.append(received); }
     void onClosed(net::CloseCause) override { closed = true; }
     std::string bytes;
     bool closed = false;
   };
-  const std::string hello = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + std::string("\0\0\0\4\0\0\0\0\0", 9);
-  for (const std::string& bad :
-       {std::string("GET / HTTP/1.1\r\n\r\n"), hello + std::string("\0\0\1\0\0\0\0\0\0x", 10),
-        hello + std::string("\xff\xff\xff\0\0\0\0\0\1", 9), std::string(1000, '\0')}) {
-    Raw raw;
-    net::Stream stream(w.loop, w.router->address(), "", 1'000'000, raw);
-    stream.send(bad);
-    EXPECT_TRUE(w.until([&] { return raw.closed; }, 2'000'000));
-    EXPECT_NE(raw.bytes.find('\x07'), std::string::npos);  // a GOAWAY
+  const std::string connectionPreface =
+      "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + std::string("\0\0\0\4\0\0\0\0\0", 9);
+  for (const std::string& invalidBytes :
+       {std::string("GET / HTTP/1.1\r\n\r\n"), connectionPreface + std::string("\0\0\1\0\0\0\0\0\0x", 10),
+        connectionPreface + std::string("\xff\xff\xff\0\0\0\0\0\1", 9), std::string(1000, '\0')}) {
+    RawConnection rawConnection;
+    net::Stream stream(world.loop, world.router->address(), "", 1'000'000, rawConnection);
+    stream.send(invalidBytes);
+    EXPECT_TRUE(world.until([&] { return rawConnection.closed; }, 2'000'000));
+    EXPECT_NE(rawConnection.bytes.find('\x07'), std::string::npos);  // a GOAWAY
   }
-  ASSERT_TRUE(w.until([&] { return good.finals > 0; }));
-  EXPECT_EQ(good.status->code, Code::ok);
+  ASSERT_TRUE(world.until([&] { return validReply.finals > 0; }));
+  EXPECT_EQ(validReply.status->code, Code::ok);
 }
 
 }  // namespace
