--- a/src/sentencepiece_helper/main.cpp
+++ b/src/sentencepiece_helper/main.cpp
@@ -1,11 +1,11 @@
-// garnethook-sentencepiece MODEL: encodes texts with the SentencePiece library, asked over standard input and
-// output.
+// garnethook-sentencepiece MODEL: encodes texts with the SentencePiece library, serving requests over
+// standard input and output.
 //
-// A process of its own since the library carries a protobuf whose symbols meet those of the system's, which
-// the router uses; and a text or model that ends it does not end the router. Messages, numbers in this
-// machine's order: in, a uint32 length and the text; out, a uint32 count and as many uint32 ids, or
-// 0xffffffff, a uint32 length and an error. The first message out tells the number of tokens in the model as
-// a count of 1 and that id.
+// Runs as a separate process because the library bundles a protobuf whose symbols conflict with those of the
+// system's protobuf, which the router uses, and so that a text or model that crashes it does not crash the
+// router. Messages use host byte order. Request: a uint32 length and the text. Response: a uint32 count and
+// that many uint32 ids, or 0xffffffff, a uint32 length and an error text. The first message, sent without a
+// request, reports the number of tokens in the model as a count of 1 followed by that number.
 #include <sentencepiece_processor.h>
 
 #include <cstdint>
--- a/src/tokeniser/added_tokens.h
+++ b/src/tokeniser/added_tokens.h
@@ -1,5 +1,5 @@
-// Tokens that are found in a text as they stand, before it is cut into pieces: the longest at the leftmost
-// place.
+// Added tokens, matched literally in a text before it is split into pieces: leftmost match first, the
+// longest of those.
 #pragma once
 
 #include <cstdint>
@@ -18,8 +18,8 @@
   static constexpr std::size_t kMost = 65'536;
   static constexpr std::size_t kLongest = 1'024;  // bytes
 
-  // `special`: found only where a request asks for it.
-  // Throws std::invalid_argument: empty, too long, too many, or told twice with another id.
+  // `special`: matched only where a request asks for special tokens.
+  // Throws std::invalid_argument for an empty or too long text, too many tokens or a duplicate text.
   void add(std::string_view text, TokenId id, bool special);
 
   struct Found {
@@ -27,12 +27,13 @@
     std::size_t end = 0;
     TokenId id = kNoToken;
   };
-  // The first that begins in [from, reach). All bytes up to text.size() are looked at. Linear in the bytes
-  // times the longest token; bytes that begin no token cost one look.
+  // Returns the first match that begins in [from, reach); it may extend up to text.size(). The time is
+  // proportional to the number of bytes times the longest token; a byte that begins no token costs one
+  // lookup.
   std::optional<Found> find(std::string_view text, std::size_t from, std::size_t reach, bool special) const;
-  // Bytes of the longest one that is looked for; 0: none is.
+  // Length in bytes of the longest token that find() can match; 0 if there is none.
   std::size_t longest(bool special) const { return special ? longestAny_ : longestPlain_; }
-  std::string_view bytes(TokenId id) const;  // empty: not one of these
+  std::string_view bytes(TokenId id) const;  // empty if the id is not an added token
   std::optional<TokenId> id(std::string_view text) const;
   std::size_t size() const { return byText_.size(); }
   std::size_t memory() const;
@@ -44,7 +45,7 @@
   };
   std::map<std::string, Entry, std::less<>> byText_;
   std::map<TokenId, std::string> byId_;
-  // By the first byte: lengths that occur, longest first.
+  // Indexed by first byte: the distinct token lengths, longest first.
   struct Start {
     std::vector<std::uint16_t> any;
     std::vector<std::uint16_t> plain;
--- a/src/tokeniser/byte_level.cpp
+++ b/src/tokeniser/byte_level.cpp
@@ -16,8 +16,8 @@
     longest_ = std::max(longest_, parts_->vocabulary.bytes(id).size());
 }
 
-// Added tokens are found in the text as it came, and each stretch between them is composed by itself. They
-// are ASCII (the reader of the file sees to it), so composing makes none and breaks none.
+// Added tokens are matched in the original text, and each segment between them is normalised on its own. They
+// are ASCII (readHuggingFace() rejects others with NFC), so normalising neither creates nor destroys one.
 std::optional<std::string> ByteLevel::normalised(std::string_view text, const TextOptions& options) const {
   if (!parts_->composed) return std::nullopt;
   std::string out;
@@ -45,7 +45,7 @@
   const std::size_t before = out.size();
   const bool whole = limit >= text.size();
   const std::string_view seen = text.substr(0, whole ? text.size() : characterStart(text, limit));
-  // An added token that begins before `reach` ends within what is seen, and so does any longer one there.
+  // An added token that begins before `reach` ends within the visible text, and so does any longer candidate.
   const std::size_t longest = parts_->added.longest(options.specialTokens);
   std::size_t reach = seen.size();
   if (!whole && longest > 1) reach = characterStart(text, reach - std::min(reach, longest - 1));
@@ -62,7 +62,7 @@
   return at;
 }
 
-// A stretch without added tokens. Not `certain`: other text may follow at `to`.
+// Encodes a segment without added tokens. If not `certain`, further text may follow at `to`.
 std::size_t ByteLevel::segment(std::string_view text, std::size_t from, std::size_t to, bool certain,
                                Workspace& workspace, std::vector<TokenId>& ids) const {
   const std::string_view stretch = text.substr(from, to - from);
@@ -103,7 +103,7 @@
 void ByteLevel::piece(std::string_view piece, Workspace& workspace, std::vector<TokenId>& ids) const {
   if (piece.size() <= longest_) {
     const TokenId id = parts_->vocabulary.find(piece);
-    // A token that merging its own bytes gives is the encoding of them in any case.
+    // A reachable token is the encoding of its own bytes, so merging would yield the same result.
     if (id != kNoToken && (parts_->wholePieces || encoder_.reachable(id))) {
       ids.push_back(id);
       return;
@@ -129,8 +129,8 @@
 }
 
 std::optional<std::string> composed(std::string_view text) {
-  // Characters below U+0300 are composed already and stay so beside each other; their first bytes are below
-  // 0xcc.
+  // Characters below U+0300, whose first bytes are below 0xcc, are in NFC already, and so are their
+  // sequences.
   if (std::all_of(text.begin(), text.end(), [](char c) { return static_cast<std::uint8_t>(c) < 0xcc; }))
     return std::nullopt;
   utf8proc_uint8_t* made = nullptr;
--- a/src/tokeniser/byte_level.h
+++ b/src/tokeniser/byte_level.h
@@ -1,4 +1,4 @@
-// Byte-level BPE: added tokens, pieces by patterns, merging.
+// Byte-level BPE: matches added tokens, splits the rest into pieces by patterns and merges each piece.
 #pragma once
 
 #include <memory>
@@ -13,12 +13,12 @@
 struct ByteLevelParts {
   std::string name;  // for describe()
   Vocabulary vocabulary;
-  std::unique_ptr<const PlainMerger> merger;  // of this vocabulary's address
-  // Cut the text one after the other: each piece of the first is a text for the second.
+  std::unique_ptr<const PlainMerger> merger;  // refers to `vocabulary` by address
+  // Applied in order: each pattern splits the pieces of the previous one.
   std::vector<Pattern> patterns;
-  bool keepGaps = true;      // text that no match covers is a piece too; else it is dropped
-  bool wholePieces = false;  // a piece that is a token is that token, however merging would go
-  bool composed = false;     // NFC first
+  bool keepGaps = true;      // text between matches is a piece too; otherwise it is dropped
+  bool wholePieces = false;  // a piece that equals a token is encoded as it without merging
+  bool composed = false;     // normalise to NFC first
   AddedTokens added;
   std::vector<TokenId> before;
   std::vector<TokenId> behind;
@@ -46,10 +46,11 @@
 
   std::unique_ptr<ByteLevelParts> parts_;
   PieceEncoder encoder_;
-  std::size_t longest_ = 0;  // bytes of the vocabulary's longest token
+  std::size_t longest_ = 0;  // length in bytes of the vocabulary's longest token
 };
 
-// The text in Unicode's composed form (NFC, Unicode 15 section 3.11); none where it is already.
+// Returns the text in Unicode's composed form (NFC, Unicode 15 section 3.11); nullopt if it is in NFC
+// already.
 std::optional<std::string> composed(std::string_view text);
 
 }  // namespace garnethook::tokeniser
--- a/src/tokeniser/huggingface_file.cpp
+++ b/src/tokeniser/huggingface_file.cpp
@@ -1,5 +1,5 @@
-// tokenizer.json of Hugging Face's tokenizers library, byte-level BPE. What is not understood is an error
-// naming the field: an engine would count otherwise.
+// Reads tokenizer.json of Hugging Face's tokenizers library for byte-level BPE. Anything unsupported is an
+// error that names the field, since ignoring it would yield other token counts than the engine's.
 #include <array>
 #include <nlohmann/json.hpp>
 #include <set>
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-// The alphabet that stands for bytes in the file (GPT-2's bytes_to_unicode).
+// The characters that represent bytes in the file (GPT-2's bytes_to_unicode).
 class Alphabet {
  public:
   Alphabet() {
@@ -24,7 +24,7 @@
       known_[c] = true;
     }
   }
-  // False where a character is not of the alphabet.
+  // Decodes the text to bytes; returns false if a character is not in the alphabet.
   bool read(std::string_view text, std::string& bytes) const {
     bytes.clear();
     for (std::size_t at = 0; at < text.size();) {
@@ -66,8 +66,8 @@
     throw FileError(name_ + ": " + (field.empty() ? "" : field + ": ") + trouble);
   }
 
-  // Vocabulary and merges are taken as they come and never stand in the document: it would take ten times the
-  // file.
+  // Processes vocabulary and merges during parsing instead of storing them in the document, which would take
+  // ten times the file's size.
   void parse(std::string_view bytes) {
     std::vector<std::string> keys;
     std::string left;
@@ -129,7 +129,7 @@
       fail(field, "is no token id");
     const auto number = id.get<TokenId>();
     std::string bytes;
-    if (!alphabet_.read(text, bytes)) return;  // can't come of bytes; an added token maybe
+    if (!alphabet_.read(text, bytes)) return;  // no byte sequence encodes to it; it may be an added token
     try {
       parts_->vocabulary.add(number, bytes);
     } catch (const std::invalid_argument& e) { fail(field, e.what()); }
@@ -164,7 +164,7 @@
     if (!t.is_string()) fail(field + ".type", "is missing");
     return t.get<std::string>();
   }
-  // A field that must be false, absent or null.
+  // Requires a field to be false, absent or null.
   void off(const json& object, const std::string& field, const char* key) const {
     const json v = member(object, key);
     if (!v.is_null() && v != false) fail(field + "." + key, "only false is supported");
@@ -175,7 +175,7 @@
     known(m, "model",
           {"type", "dropout", "unk_token", "continuing_subword_prefix", "end_of_word_suffix", "fuse_unk",
            "byte_fallback", "ignore_merges", "vocab", "merges"});
-    const json kind = member(m, "type");  // old files don't tell it
+    const json kind = member(m, "type");  // absent in old files
     if (!kind.is_null() && kind != "BPE") fail("model.type", kind.dump() + " is not supported; BPE is");
     const json dropout = member(m, "dropout");
     if (!dropout.is_null() && dropout != 0) fail("model.dropout", "is not supported");
@@ -326,7 +326,7 @@
     if (p.is_null()) return;
     const std::string t = type(p, field);
     if (t == "ByteLevel") {
-      known(p, field, {"type", "add_prefix_space", "trim_offsets", "use_regex"});  // no matter for ids
+      known(p, field, {"type", "add_prefix_space", "trim_offsets", "use_regex"});  // does not affect ids
     } else if (t == "Sequence") {
       known(p, field, {"type", "processors"});
       const json list = member(p, "processors");
--- a/src/tokeniser/merges.cpp
+++ b/src/tokeniser/merges.cpp
@@ -55,17 +55,17 @@
   return token == kNoToken ? Merge{} : Merge{token, token};
 }
 
-// Parts are a list in arrays by the place of their first byte. The heap may hold pairs that are gone; they
-// are known by their rank, which is no longer the place's.
+// The parts form a linked list in an array indexed by the position of their first byte. The heap may contain
+// stale pairs; their rank differs from the current rank at their position.
 template <typename Merged>
 void PlainMerger::run(std::string_view piece, std::vector<TokenId>& ids, Merged merged) const {
   const auto n = static_cast<std::uint32_t>(piece.size());
   constexpr std::uint32_t kNone = 0xffffffff;
   struct Part {
     TokenId id;
-    std::uint32_t next;  // place of the next part; n: none
+    std::uint32_t next;  // position of the next part; `length` if there is none
     std::uint32_t before;
-    std::uint32_t rank;  // of merging with the next
+    std::uint32_t rank;  // of the merge with the next part
   };
   std::vector<Part> parts(n);
   std::vector<std::uint64_t> heap;
--- a/src/tokeniser/merges.h
+++ b/src/tokeniser/merges.h
@@ -1,6 +1,7 @@
-// Merging by the definition: of all neighbours that may merge, the pair of the lowest rank first, the
-// leftmost of equals. n log n in the piece's length. It is the measure for the faster PieceEncoder, gives it
-// its merges, and takes its place for vocabularies whose merges are not in order (piece_encoder.h).
+// Reference implementation of BPE merging: repeatedly merges the adjacent pair of the lowest rank, the
+// leftmost among equals. Takes O(n log n) in the piece's length. The faster PieceEncoder is verified against
+// it, obtains its merges from it, and falls back to it for vocabularies whose merges are not in order
+// (piece_encoder.h).
 #pragma once
 
 #include <cstdint>
@@ -13,15 +14,15 @@
 namespace garnethook::tokeniser {
 
 struct Merge {
-  TokenId token = kNoToken;  // none: the two don't merge
+  TokenId token = kNoToken;  // kNoToken: the two do not merge
   std::uint32_t rank = 0xffffffff;
 };
 
-// (left, right) -> merged token and rank; open addressing.
+// Hash table from (left, right) to the merged token and its rank, with open addressing.
 class PairTable {
  public:
   PairTable();
-  // The first of two equal pairs stays; false for the second.
+  // Returns false and keeps the existing entry if the pair is present already.
   bool add(TokenId left, TokenId right, Merge merge);
   Merge find(TokenId left, TokenId right) const {
     const std::uint64_t key = std::uint64_t{left} << 32 | right;
@@ -51,15 +52,15 @@
 
 class PlainMerger {
  public:
-  // By ranks: two tokens merge where their bytes together are a token, and its id is the rank.
-  // The vocabulary must outlive the merger. Throws std::invalid_argument: no token for an byte.
+  // Merges by ranks: two tokens merge if their concatenated bytes are a token, whose id is the rank.
+  // The vocabulary must outlive the merger. Throws std::invalid_argument if a byte has no token.
   explicit PlainMerger(const Vocabulary& vocabulary);
-  // By a list of merges.
+  // Merges by an explicit list of merges.
   PlainMerger(const Vocabulary& vocabulary, PairTable merges);
 
   TokenId byte(std::uint8_t value) const { return bytes_[value]; }
-  // Appends the ids of the piece. Memory: 24 bytes and more for each of the piece's. Piece: at most 2^31
-  // bytes.
+  // Appends the token ids of the piece, which has at most 2^31 bytes. Takes at least 24 bytes of memory for
+  // each byte of the piece.
   void encode(std::string_view piece, std::vector<TokenId>& ids) const;
 
   struct Last {
@@ -67,9 +68,10 @@
     TokenId right = kNoToken;
     std::uint32_t rank = 0;
   };
-  // The merge that completes this token when its own bytes are merged; none where they end otherwise.
+  // Returns the final merge when the token's own bytes are encoded; nullopt if they do not encode to this
+  // token.
   std::optional<Last> last(TokenId token) const;
-  // What a list of merges takes, bytes.
+  // Memory of the list of merges in bytes.
   std::size_t memory() const { return merges_ ? merges_->memory() : 0; }
 
  private:
--- a/src/tokeniser/pattern.cpp
+++ b/src/tokeniser/pattern.cpp
@@ -10,7 +10,7 @@
 namespace garnethook::tokeniser {
 namespace {
 
-// Unicode's White_Space as members of a class.
+// Unicode's White_Space as the content of a character class.
 constexpr std::string_view kSpace =
     R"(\x{9}-\x{d}\x{20}\x{85}\x{a0}\x{1680}\x{2000}-\x{200a}\x{2028}\x{2029}\x{202f}\x{205f}\x{3000})";
 
@@ -20,7 +20,7 @@
 
   std::string run() {
     int depth = 0;
-    bool atom = false;  // something that a quantifier may follow
+    bool atom = false;  // the last element can take a quantifier
     while (at_ < in_.size()) {
       const char c = in_[at_];
       switch (c) {
@@ -81,7 +81,7 @@
         return;
       }
     if (follows("(?")) fail("the group " + std::string(in_.substr(at_, 4)) + " is not supported");
-    out_ += "(?:";  // nothing refers to groups
+    out_ += "(?:";  // non-capturing, since back references are not supported
     ++at_;
   }
 
@@ -194,7 +194,7 @@
     if (std::find(known.begin(), known.end(), name) != known.end())
       out_ += "{" + std::string(name) + "}";
     else if (name == "Han")
-      out_ += "{sc:Han}";  // the script; PCRE2's plain name means its extensions too
+      out_ += "{sc:Han}";  // PCRE2's plain name also matches script extensions
     else
       fail("\\p{" + std::string(name.substr(0, 40)) + "} is not supported");
     at_ = end + 1;
@@ -240,8 +240,8 @@
   Parts() {
     if (data == nullptr || context == nullptr || stack == nullptr) throw std::bad_alloc();
     pcre2_jit_stack_assign(context, nullptr, stack);
-    // The work is bounded by the patterns that are taken and the texts' length, not by a count that a long
-    // run would reach.
+    // Work is bounded by the supported constructs and the length of the text; a match limit would fail on
+    // long runs.
     pcre2_set_match_limit(context, 0xffffffff);
     pcre2_set_depth_limit(context, 0xffffffff);
   }
--- a/src/tokeniser/pattern.h
+++ b/src/tokeniser/pattern.h
@@ -1,9 +1,10 @@
-// The pattern that cuts a text into pieces before merging, run by PCRE2 with JIT.
+// The pattern that splits a text into pieces before merging, matched by PCRE2 with JIT.
 //
-// Files write their pattern for another engine (Rust's fancy-regex for ranks files, Oniguruma for
-// tokenizer.json), and engines differ in small things. So a pattern is read first and taken only where each
-// construct means the same here: categories, classes, groups, lookahead, quantifiers. \s becomes Unicode's
-// White_Space, which PCRE2's is not (U+180E). Everything else is an error that names the construct.
+// Files contain patterns for other regex engines (Rust's fancy-regex for ranks files, Oniguruma for
+// tokenizer.json), which differ from PCRE2 in details. A pattern is therefore parsed first and accepted only
+// if each construct has the same meaning in PCRE2: categories, classes, groups, lookahead, quantifiers. \s is
+// replaced by Unicode's White_Space, since PCRE2's \s differs from it (U+180E). Any other construct is an
+// error that names it.
 #pragma once
 
 #include <cstddef>
@@ -15,15 +16,15 @@
 
 enum class Dialect {
   fancyRegex,  // ranks files
-  oniguruma,   // tokenizer.json: {n,m}+ is no possessive quantifier there
+  oniguruma,   // tokenizer.json; {n,m}+ is not a possessive quantifier there
 };
 
-// The pattern in PCRE2's words. Throws std::invalid_argument naming construct and place.
+// Translates the pattern to PCRE2 syntax. Throws std::invalid_argument naming the construct and its position.
 std::string translated(std::string_view pattern, Dialect dialect);
 
 class Pattern {
  public:
-  // Match memory of one thread.
+  // Match data of one thread.
   class Workspace {
    public:
     Workspace();
@@ -37,7 +38,7 @@
     std::unique_ptr<Parts> parts_;
   };
 
-  // Throws std::invalid_argument, also for patterns that may match nothing.
+  // Throws std::invalid_argument for an unsupported pattern and for one that can match the empty string.
   Pattern(std::string_view pattern, Dialect dialect);
   ~Pattern();
   Pattern(Pattern&&) noexcept;
@@ -45,16 +46,16 @@
 
   enum class Look {
     found,
-    none,       // no match up to the end
-    uncertain,  // what follows the text may change the answer
+    none,       // no match in the rest of the text
+    uncertain,  // text that follows may change the result
   };
   struct Match {
     std::size_t begin = 0;
     std::size_t end = 0;
   };
-  // The first match at or after `from`. The text is well-formed UTF-8 that ends on a character. `more`: other
-  // text may follow; then found only where the matcher never looked at the end. Throws std::runtime_error
-  // where the match memory (64 MiB) is used up.
+  // Finds the first match at or after `from`. The text must be well-formed UTF-8 that ends on a character
+  // boundary. `more`: further text may follow; `found` is then returned only if the matcher did not inspect
+  // the end of the text. Throws std::runtime_error if the match memory (64 MiB) is exhausted.
   Look next(std::string_view text, std::size_t from, bool more, Match& match, Workspace& workspace) const;
 
  private:
@@ -63,7 +64,7 @@
 };
 
 // Patterns of published ranks files: "cl100k_base", "o200k_base", "p50k_base", "r50k_base", "gpt2".
-// Empty for other names.
+// Returns an empty string for other names.
 std::string_view knownPattern(std::string_view name);
 
 }  // namespace garnethook::tokeniser
--- a/src/tokeniser/piece_encoder.cpp
+++ b/src/tokeniser/piece_encoder.cpp
@@ -13,8 +13,8 @@
   if (!inOrder || !agrees(*merger)) plain_ = std::move(merger);
 }
 
-// Numbers the tokens by the rank of the merge that they arise by. False where a part is younger than the
-// whole.
+// Numbers the tokens by the rank of the merge that produces them. Returns false if a part comes after the
+// token that contains it.
 bool PieceEncoder::order(const PlainMerger& merger) {
   struct Found {
     PlainMerger::Last last;
@@ -47,7 +47,7 @@
   return inOrder;
 }
 
-// The trie, level by level, so that the children of a node lie together.
+// Builds the trie in breadth-first order, so that the children of a node are contiguous.
 void PieceEncoder::plant() {
   std::vector<std::uint32_t> sorted(tokens_.size());
   for (std::uint32_t i = 0; i < sorted.size(); ++i) sorted[i] = i;
@@ -55,9 +55,9 @@
   std::sort(sorted.begin(), sorted.end(),
             [&](std::uint32_t a, std::uint32_t b) { return bytes(a) < bytes(b); });
   struct Span {
-    std::uint32_t from, to;  // of `sorted`
+    std::uint32_t from, to;  // range in `sorted`
     std::uint32_t depth;
-    std::uint32_t shorter;  // the longest token above
+    std::uint32_t shorter;  // the longest token at an ancestor
   };
   std::vector<Span> spans{{0, static_cast<std::uint32_t>(sorted.size()), 0, kNone}};
   nodes_.push_back({});
@@ -89,7 +89,7 @@
 
 std::uint32_t PieceEncoder::longest(std::string_view text) const {
   const auto byte = [&](std::size_t i) { return static_cast<std::uint8_t>(text[i]); };
-  std::uint32_t best = byte(0);  // the number of an byte is its value
+  std::uint32_t best = byte(0);  // the number of a single-byte token is the byte's value
   if (text.size() < 2) return best;
   std::uint32_t node = two_[std::size_t{byte(0)} << 8 | byte(1)];
   if (node == 0) return best;
@@ -110,8 +110,8 @@
   }
 }
 
-// Takes the two tokens apart, youngest merge first, and looks whether merging would have joined bytes over
-// the border before: then these two never stand side by side.
+// Undoes the merges of the two tokens, latest first, and checks whether an earlier merge would have joined
+// bytes across their boundary. If so, the two tokens are never adjacent in an encoding.
 bool PieceEncoder::neighbours(std::uint32_t left, std::uint32_t right) const {
   std::uint32_t limit = kNone;
   for (;;) {
@@ -171,7 +171,7 @@
   return true;
 }
 
-// Samples that bring borders of tokens together: rows of tokens drawn at random, and runs.
+// Compares with the reference on samples that exercise token boundaries: random token sequences and runs.
 bool PieceEncoder::agrees(const PlainMerger& merger) const {
   std::uint64_t state = 0x853c49e6748fea9bU;
   const auto draw = [&](std::size_t below) {
@@ -188,7 +188,7 @@
       text += vocabulary_.bytes(tokens_[draw(tokens_.size())].id);
       if (draw(tokens) == 0) break;
     }
-    if (i % 8 == 0) {  // a run of one token
+    if (i % 8 == 0) {  // a repetition of a short prefix
       const std::string one = text.substr(0, 1 + draw(4));
       text.clear();
       for (std::size_t k = 0; k < 3 + draw(40); ++k) text += one;
--- a/src/tokeniser/ranks_file.cpp
+++ b/src/tokeniser/ranks_file.cpp
@@ -1,4 +1,4 @@
-// Ranks files (".tiktoken"): a line for each token, its bytes in base 64 and its rank, which is its id.
+// Reads ranks files (".tiktoken"): one line per token with its bytes in base64 and its rank, which is its id.
 #include <algorithm>
 #include <charconv>
 
@@ -7,7 +7,7 @@
 namespace garnethook::tokeniser {
 namespace {
 
-// RFC 4648, section 4; padding is required, bits behind the end are zero.
+// RFC 4648, section 4; padding is required and trailing bits must be zero.
 bool fromBase64(std::string_view in, std::string& out) {
   out.clear();
   if (in.empty() || in.size() % 4 != 0) return false;
--- a/src/tokeniser/sentencepiece_process.cpp
+++ b/src/tokeniser/sentencepiece_process.cpp
@@ -1,6 +1,6 @@
-// SentencePiece models (".model"): encoded by the library in a process of its own (src/sentencepiece_helper),
-// one for each model, started when the model is loaded and again when it has ended. No seam of such a text is
-// certain before the whole is seen, so it is encoded at once.
+// SentencePiece models (".model"): the library encodes texts in a separate process
+// (src/sentencepiece_helper), one per model, which is started when the model is loaded and restarted after it
+// has ended. No token boundary is final before the whole text is known, so a text is encoded in one step.
 #include <fcntl.h>
 #include <poll.h>
 #include <signal.h>
@@ -20,7 +20,7 @@
 namespace garnethook::tokeniser {
 namespace {
 
-constexpr int kAnswerMs = 10'000;  // for an answer; then the process is ended
+constexpr int kAnswerMs = 10'000;  // the process is killed after this
 
 std::string helperPath() {
   std::string own(4096, '\0');
@@ -59,7 +59,7 @@
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  // False: the process has ended, or took too long.
+  // Returns false if the process has ended or timed out.
   bool answer(std::vector<std::uint32_t>& ids, std::string& trouble) {
     const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(kAnswerMs);
     std::uint32_t count = 0;
@@ -74,7 +74,7 @@
     ids.resize(count);
     return read(ids.data(), count * sizeof(std::uint32_t), until);
   }
-  // The helper reads all of a text before it writes, so writing never waits for reading.
+  // The helper reads the whole text before it writes, so the two processes cannot deadlock on full buffers.
   bool ask(std::string_view text) {
     const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(kAnswerMs);
     const auto length = static_cast<std::uint32_t>(text.size());
@@ -142,7 +142,7 @@
   std::span<const TokenId> behind() const override { return behind_; }
   std::string bytes(TokenId) const override { return {}; }
   bool inParts() const override { return false; }
-  std::size_t memory() const override { return sizeof *this; }  // the model is in the other process
+  std::size_t memory() const override { return sizeof *this; }  // the model is in the helper process
   std::string describe() const override { return "SentencePiece, " + std::to_string(tokens_) + " tokens"; }
 
  private:
@@ -158,7 +158,7 @@
     process_.reset();
     throw std::runtime_error(trouble.empty() ? helper_ + " ended" : "no SentencePiece model: " + trouble);
   }
-  // A process that ended is started again, once for each text.
+  // Restarts a process that has ended, at most once per text.
   void encode(std::string_view text, std::vector<std::uint32_t>& ids) const {
     const std::lock_guard lock(mutex_);
     for (int attempt = 0; attempt < 2; ++attempt) {
--- a/src/tokeniser/utf8.cpp
+++ b/src/tokeniser/utf8.cpp
@@ -9,11 +9,11 @@
 constexpr bool continues(std::uint8_t c) { return (c & 0xc0U) == 0x80; }
 
 struct Step {
-  std::size_t length = 1;  // of the character, or of the ill-formed part
+  std::size_t length = 1;  // of the character or the ill-formed subpart
   bool good = false;
 };
 
-// Table 3-7: the second byte's range depends on the first.
+// Decodes one character by table 3-7, where the range of the second byte depends on the first.
 Step step(const std::uint8_t* at, const std::uint8_t* end) {
   const std::uint8_t first = *at;
   if (first < 0x80) return {1, true};
@@ -42,7 +42,7 @@
   return {more + 1, true};
 }
 
-// Past the ASCII bytes from `at` on, eight at a time.
+// Skips the ASCII bytes from `at` on, eight at a time.
 const std::uint8_t* pastAscii(const std::uint8_t* at, const std::uint8_t* end) {
   while (end - at >= 8) {
     std::uint64_t word = 0;
--- a/src/tokeniser/vocabulary.cpp
+++ b/src/tokeniser/vocabulary.cpp
@@ -22,7 +22,7 @@
   ++count_;
 }
 
-// The seed is drawn anew: which texts meet in the index can't be chosen from outside.
+// The seed is random for each vocabulary, so that an attacker cannot choose texts that collide.
 std::uint64_t Vocabulary::hash(std::string_view bytes) const {
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed_);
 }
--- a/src/tokeniser/vocabulary.h
+++ b/src/tokeniser/vocabulary.h
@@ -1,4 +1,4 @@
-// The tokens of one vocabulary: bytes by id and id by bytes. Immutable once built, read by any thread.
+// The tokens of a vocabulary, with lookup by id and by bytes. Immutable and thread-safe once sealed.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 using TokenId = std::uint32_t;
 constexpr TokenId kNoToken = 0xffffffff;
 
-// A vocabulary or tokeniser file that can't be used. what(): "file: field: trouble".
+// Reports a vocabulary or tokeniser file that cannot be used. what() is "file: field: reason".
 class FileError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -25,18 +25,18 @@
   static constexpr std::size_t kMostTokens = 4'000'000;
   static constexpr std::size_t kLongest = 65'536;  // bytes of a token
 
-  // Throws std::invalid_argument: two tokens with the same bytes or id, an empty or too long token, an id
-  // of kMostTokens or more.
+  // Throws std::invalid_argument for a duplicate id, an empty or too long token, or an id of kMostTokens or
+  // more; seal() throws it for two tokens with the same bytes.
   void add(TokenId id, std::string_view bytes);
-  // Builds the index. No add() after it.
+  // Builds the index. add() must not be called afterwards.
   void seal();
 
   std::size_t size() const { return count_; }
-  TokenId ids() const { return static_cast<TokenId>(at_.size()); }  // one above the greatest
-  // kNoToken where there is none. O(length).
+  TokenId ids() const { return static_cast<TokenId>(at_.size()); }  // one more than the largest id
+  // Returns kNoToken if there is no such token. O(length).
   TokenId find(std::string_view bytes) const;
   bool has(TokenId id) const { return id < at_.size() && at_[id].length > 0; }
-  // Empty for an id that is not there. Holds as long as the vocabulary.
+  // Returns an empty view for an unknown id. The view is valid as long as the vocabulary.
   std::string_view bytes(TokenId id) const {
     return id < at_.size() ? std::string_view(text_).substr(at_[id].from, at_[id].length)
                            : std::string_view();
@@ -54,7 +54,7 @@
   std::vector<Place> at_;
   struct Slot {
     TokenId id = kNoToken;
-    std::uint32_t check = 0;  // other bits of the hash: spares most looks at the text
+    std::uint32_t check = 0;  // other bits of the hash, which avoid most comparisons with the text
   };
   std::vector<Slot> slots_;
   std::size_t count_ = 0;
