--- a/src/sentencepiece_helper/main.cpp
+++ b/src/sentencepiece_helper/main.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-bool put(const void* data, std::size_t size) { return std::fwrite(data, 1, size, stdout) == size; }
-bool number(std::uint32_t n) { return put(&n, sizeof n); }
-bool failed(const std::string& text) {
-  return number(0xffffffff) && number(static_cast<std::uint32_t>(text.size())) &&
-         put(text.data(), text.size()) && std::fflush(stdout) == 0;
+bool writeBytes(const void* data, std::size_t size) { return std::fwrite(data, 1, size, stdout) == size; }
+bool writeNumber(std::uint32_t value) { return writeBytes(&value, sizeof value); }
+bool writeError(const std::string& text) {
+  return writeNumber(0xffffffff) && writeNumber(static_cast<std::uint32_t>(text.size())) &&
+         writeBytes(text.data(), text.size()) && std::fflush(stdout) == 0;
 }
 
 }  // namespace
@@ -28,10 +28,11 @@
   if (argc != 2) return 2;
   sentencepiece::SentencePieceProcessor processor;
   if (const auto status = processor.Load(argv[1]); !status.ok()) {
-    failed(status.ToString());
+    writeError(status.ToString());
     return 1;
   }
-  if (!number(1) || !number(static_cast<std::uint32_t>(processor.GetPieceSize())) || std::fflush(stdout) != 0)
+  if (!writeNumber(1) || !writeNumber(static_cast<std::uint32_t>(processor.GetPieceSize())) ||
+      std::fflush(stdout) != 0)
     return 1;
   std::string text;
   std::vector<int> ids;
@@ -44,11 +45,11 @@
     ids.clear();
     const auto status = processor.Encode(text, &ids);
     if (!status.ok()) {
-      if (!failed(status.ToString())) return 1;
+      if (!writeError(status.ToString())) return 1;
       continue;
     }
-    if (!number(static_cast<std::uint32_t>(ids.size())) || !put(ids.data(), ids.size() * sizeof(int)) ||
-        std::fflush(stdout) != 0)
+    if (!writeNumber(static_cast<std::uint32_t>(ids.size())) ||
+        !writeBytes(ids.data(), ids.size() * sizeof(int)) || std::fflush(stdout) != 0)
       return 1;
   }
 }
--- a/src/tokeniser/added_tokens.h
+++ b/src/tokeniser/added_tokens.h
@@ -15,24 +15,25 @@
 
 class AddedTokens {
  public:
-  static constexpr std::size_t kMost = 65'536;
-  static constexpr std::size_t kLongest = 1'024;  // bytes
+  static constexpr std::size_t kMaxTokens = 65'536;
+  static constexpr std::size_t kMaxTokenBytes = 1'024;
 
   // `special`: matched only where a request asks for special tokens.
   // Throws std::invalid_argument for an empty or too long text, too many tokens or a duplicate text.
   void add(std::string_view text, TokenId id, bool special);
 
-  struct Found {
+  struct Match {
     std::size_t begin = 0;
     std::size_t end = 0;
     TokenId id = kNoToken;
   };
-  // Returns the first match that begins in [from, reach); it may extend up to text.size(). The time is
+  // Returns the first match that begins in [from, beginLimit); it may extend up to text.size(). The time is
   // proportional to the number of bytes times the longest token; a byte that begins no token costs one
   // lookup.
-  std::optional<Found> find(std::string_view text, std::size_t from, std::size_t reach, bool special) const;
+  std::optional<Match> find(std::string_view text, std::size_t from, std::size_t beginLimit,
+                            bool special) const;
   // Length in bytes of the longest token that find() can match; 0 if there is none.
-  std::size_t longest(bool special) const { return special ? longestAny_ : longestPlain_; }
+  std::size_t maxLength(bool special) const { return special ? maxLengthAny_ : maxLengthNonSpecial_; }
   std::string_view bytes(TokenId id) const;  // empty if the id is not an added token
   std::optional<TokenId> id(std::string_view text) const;
   std::size_t size() const { return byText_.size(); }
@@ -46,13 +47,13 @@
   std::map<std::string, Entry, std::less<>> byText_;
   std::map<TokenId, std::string> byId_;
   // Indexed by first byte: the distinct token lengths, longest first.
-  struct Start {
+  struct CandidateLengths {
     std::vector<std::uint16_t> any;
-    std::vector<std::uint16_t> plain;
+    std::vector<std::uint16_t> nonSpecial;
   };
-  std::vector<Start> starts_ = std::vector<Start>(256);
-  std::size_t longestAny_ = 0;
-  std::size_t longestPlain_ = 0;
+  std::vector<CandidateLengths> candidatesByFirstByte_ = std::vector<CandidateLengths>(256);
+  std::size_t maxLengthAny_ = 0;
+  std::size_t maxLengthNonSpecial_ = 0;
 };
 
 }  // namespace garnethook::tokeniser
--- a/src/tokeniser/huggingface_file.cpp
+++ b/src/tokeniser/huggingface_file.cpp
@@ -13,23 +13,23 @@
 using nlohmann::json;
 
 // The characters that represent bytes in the file (GPT-2's bytes_to_unicode).
-class Alphabet {
+class ByteAlphabet {
  public:
-  Alphabet() {
+  ByteAlphabet() {
     char32_t next = 256;
     for (unsigned byte = 0; byte < 256; ++byte) {
       const bool itself = (byte >= 33 && byte <= 126) || (byte >= 161 && byte <= 172) || byte >= 174;
       const char32_t c = itself ? byte : next++;
       bytes_[c] = static_cast<std::uint8_t>(byte);
-      known_[c] = true;
+      isMember_[c] = true;
     }
   }
   // Decodes the text to bytes; returns false if a character is not in the alphabet.
-  bool read(std::string_view text, std::string& bytes) const {
+  bool decodeBytes(std::string_view text, std::string& bytes) const {
     bytes.clear();
     for (std::size_t at = 0; at < text.size();) {
-      const char32_t c = take(text, at);
-      if (c >= known_.size() || !known_[c]) return false;
+      const char32_t c = decodeCharacter(text, at);
+      if (c >= isMember_.size() || !isMember_[c]) return false;
       bytes.push_back(static_cast<char>(bytes_[c]));
     }
     return true;
@@ -37,33 +37,33 @@
 
  private:
   std::array<std::uint8_t, 324> bytes_{};
-  std::array<bool, 324> known_{};
+  std::array<bool, 324> isMember_{};
 };
 
-class Reader {
+class HuggingFaceReader {
  public:
-  Reader(const std::string& name, std::string_view bytes) : name_(name) { parse(bytes); }
+  HuggingFaceReader(const std::string& name, std::string_view bytes) : name_(name) { parse(bytes); }
 
-  std::shared_ptr<const Tokeniser> run() {
+  std::shared_ptr<const Tokeniser> read() {
     if (!root_.is_object()) fail("", "is no object");
-    known(root_, "",
-          {"version", "truncation", "padding", "added_tokens", "normalizer", "pre_tokenizer",
-           "post_processor", "decoder", "model"});
+    requireKnownKeys(root_, "",
+                     {"version", "truncation", "padding", "added_tokens", "normalizer", "pre_tokenizer",
+                      "post_processor", "decoder", "model"});
     if (root_.contains("version") && root_["version"] != "1.0") fail("version", "is not \"1.0\"");
     for (const char* key : {"truncation", "padding"})
       if (root_.contains(key) && !root_[key].is_null()) fail(key, "is not supported");
-    model();
-    addedTokens();
-    normalizer();
-    preTokenizer();
-    postProcessor(member(root_, "post_processor"), "post_processor");
-    decoder();
-    return std::make_shared<ByteLevel>(std::move(parts_));
+    readModel();
+    readAddedTokens();
+    readNormalizer();
+    readPreTokenizer();
+    readPostProcessor(member(root_, "post_processor"), "post_processor");
+    readDecoder();
+    return std::make_shared<ByteLevelTokeniser>(std::move(components_));
   }
 
  private:
-  [[noreturn]] void fail(const std::string& field, const std::string& trouble) const {
-    throw FileError(name_ + ": " + (field.empty() ? "" : field + ": ") + trouble);
+  [[noreturn]] void fail(const std::string& field, const std::string& reason) const {
+    throw FileError(name_ + ": " + (field.empty() ? "" : field + ": ") + reason);
   }
 
   // Processes vocabulary and merges during parsing instead of storing them in the document, which would take
@@ -84,30 +84,30 @@
           return !(depth == 3 && inside(depth, "vocab"));
         case json::parse_event_t::value:
           if (depth == 3 && inside(depth, "vocab")) {
-            token(keys[3], value);
+            addVocabularyToken(keys[3], value);
             return false;
           }
           if (depth == 3 && inside(depth, "merges")) {
-            if (!value.is_string()) fail(mergeName(), "is no text");
+            if (!value.is_string()) fail(mergeField(), "is no text");
             const auto& text = value.get_ref<const std::string&>();
             const std::size_t space = text.find(' ');
             if (space == std::string::npos || text.find(' ', space + 1) != std::string::npos)
-              fail(mergeName(), "is not two parts with a blank between them");
-            merge(std::string_view(text).substr(0, space), std::string_view(text).substr(space + 1));
+              fail(mergeField(), "is not two parts with a blank between them");
+            addMerge(std::string_view(text).substr(0, space), std::string_view(text).substr(space + 1));
             return false;
           }
           return true;
         case json::parse_event_t::array_end:
           if (depth == 3 && inside(depth, "merges")) {
             if (value.size() != 2 || !value[0].is_string() || !value[1].is_string())
-              fail(mergeName(), "is not two texts");
-            merge(value[0].get_ref<const std::string&>(), value[1].get_ref<const std::string&>());
+              fail(mergeField(), "is not two texts");
+            addMerge(value[0].get_ref<const std::string&>(), value[1].get_ref<const std::string&>());
             return false;
           }
           return true;
         case json::parse_event_t::object_start:
           if (depth == 3 && (inside(depth, "merges") || inside(depth, "vocab")))
-            fail(inside(depth, "vocab") ? "model.vocab" : mergeName(), "holds an object");
+            fail(inside(depth, "vocab") ? "model.vocab" : mergeField(), "holds an object");
           if (depth < keys.size()) keys.resize(depth + 1);
           return true;
         case json::parse_event_t::array_start:
@@ -121,133 +121,140 @@
     } catch (const json::exception& e) { fail("", std::string("no JSON: ") + e.what()); }
   }
 
-  std::string mergeName() const { return "model.merges[" + std::to_string(merges_.size()) + "]"; }
+  std::string mergeField() const { return "model.merges[" + std::to_string(merges_.size()) + "]"; }
 
-  void token(const std::string& text, const json& id) {
+  void addVocabularyToken(const std::string& text, const json& id) {
     const std::string field = "model.vocab[\"" + text.substr(0, 60) + "\"]";
     if (!id.is_number_unsigned() || id.get<std::uint64_t>() >= Vocabulary::kMostTokens)
       fail(field, "is no token id");
     const auto number = id.get<TokenId>();
     std::string bytes;
-    if (!alphabet_.read(text, bytes)) return;  // no byte sequence encodes to it; it may be an added token
+    if (!alphabet_.decodeBytes(text, bytes))
+      return;  // no byte sequence encodes to it; it may be an added token
     try {
-      parts_->vocabulary.add(number, bytes);
+      components_->vocabulary.add(number, bytes);
     } catch (const std::invalid_argument& e) { fail(field, e.what()); }
   }
 
-  void merge(std::string_view left, std::string_view right) {
+  void addMerge(std::string_view left, std::string_view right) {
     if (merges_.size() >= 8'000'000) fail("model.merges", "has more than 8000000 entries");
     std::string bytes;
-    Place place{static_cast<std::uint32_t>(mergeText_.size()), 0, 0};
-    if (!alphabet_.read(left, bytes) || bytes.empty()) fail(mergeName(), "the left part is no token");
+    MergeEntry entry{static_cast<std::uint32_t>(mergeText_.size()), 0, 0};
+    if (!alphabet_.decodeBytes(left, bytes) || bytes.empty()) fail(mergeField(), "the left part is no token");
     mergeText_ += bytes;
-    place.left = static_cast<std::uint32_t>(bytes.size());
-    if (!alphabet_.read(right, bytes) || bytes.empty()) fail(mergeName(), "the right part is no token");
+    entry.left = static_cast<std::uint32_t>(bytes.size());
+    if (!alphabet_.decodeBytes(right, bytes) || bytes.empty())
+      fail(mergeField(), "the right part is no token");
     mergeText_ += bytes;
-    place.right = static_cast<std::uint32_t>(bytes.size());
+    entry.right = static_cast<std::uint32_t>(bytes.size());
     if (mergeText_.size() > 0x7fffffff) fail("model.merges", "has too many octets");
-    merges_.push_back(place);
+    merges_.push_back(entry);
   }
 
   static json member(const json& object, const char* key) {
     const auto at = object.find(key);
     return at == object.end() ? json() : *at;
   }
-  void known(const json& object, const std::string& field, const std::set<std::string>& keys) const {
+  void requireKnownKeys(const json& object, const std::string& field,
+                        const std::set<std::string>& keys) const {
     if (!object.is_object()) fail(field, "is no object");
     for (const auto& [key, value] : object.items())
       if (!keys.contains(key)) fail(field.empty() ? key : field + "." + key, "is not known");
   }
-  std::string type(const json& object, const std::string& field) const {
+  std::string typeOf(const json& object, const std::string& field) const {
     if (!object.is_object()) fail(field, "is no object");
-    const json t = member(object, "type");
-    if (!t.is_string()) fail(field + ".type", "is missing");
-    return t.get<std::string>();
+    const json typeValue = member(object, "type");
+    if (!typeValue.is_string()) fail(field + ".type", "is missing");
+    return typeValue.get<std::string>();
   }
   // Requires a field to be false, absent or null.
-  void off(const json& object, const std::string& field, const char* key) const {
-    const json v = member(object, key);
-    if (!v.is_null() && v != false) fail(field + "." + key, "only false is supported");
+  void requireFalse(const json& object, const std::string& field, const char* key) const {
+    const json setting = member(object, key);
+    if (!setting.is_null() && setting != false) fail(field + "." + key, "only false is supported");
   }
 
-  void model() {
-    const json m = member(root_, "model");
-    known(m, "model",
-          {"type", "dropout", "unk_token", "continuing_subword_prefix", "end_of_word_suffix", "fuse_unk",
-           "byte_fallback", "ignore_merges", "vocab", "merges"});
-    const json kind = member(m, "type");  // absent in old files
+  void readModel() {
+    const json modelObject = member(root_, "model");
+    requireKnownKeys(modelObject, "model",
+                     {"type", "dropout", "unk_token", "continuing_subword_prefix", "end_of_word_suffix",
+                      "fuse_unk", "byte_fallback", "ignore_merges", "vocab", "merges"});
+    const json kind = member(modelObject, "type");  // absent in old files
     if (!kind.is_null() && kind != "BPE") fail("model.type", kind.dump() + " is not supported; BPE is");
-    const json dropout = member(m, "dropout");
+    const json dropout = member(modelObject, "dropout");
     if (!dropout.is_null() && dropout != 0) fail("model.dropout", "is not supported");
     for (const char* key : {"continuing_subword_prefix", "end_of_word_suffix"}) {
-      const json v = member(m, key);
-      if (!v.is_null() && v != "") fail(std::string("model.") + key, "is not supported");
+      const json setting = member(modelObject, key);
+      if (!setting.is_null() && setting != "") fail(std::string("model.") + key, "is not supported");
     }
-    off(m, "model", "byte_fallback");
-    const json whole = member(m, "ignore_merges");
-    if (!whole.is_null() && !whole.is_boolean()) fail("model.ignore_merges", "is not true or false");
-    parts_->wholePieces = whole == true;
-    if (!member(m, "vocab").is_object()) fail("model.vocab", "is no object");
-    if (!member(m, "merges").is_array()) fail("model.merges", "is no array");
-    parts_->name = "tokenizer.json, BPE";
+    requireFalse(modelObject, "model", "byte_fallback");
+    const json ignoreMerges = member(modelObject, "ignore_merges");
+    if (!ignoreMerges.is_null() && !ignoreMerges.is_boolean())
+      fail("model.ignore_merges", "is not true or false");
+    components_->preferWholePieceTokens = ignoreMerges == true;
+    if (!member(modelObject, "vocab").is_object()) fail("model.vocab", "is no object");
+    if (!member(modelObject, "merges").is_array()) fail("model.merges", "is no array");
+    components_->name = "tokenizer.json, BPE";
     try {
-      parts_->vocabulary.seal();
+      components_->vocabulary.seal();
     } catch (const std::invalid_argument& e) { fail("model.vocab", e.what()); }
     PairTable pairs;
     std::uint32_t rank = 0;
-    for (const Place& p : merges_) {
-      const std::string_view left = std::string_view(mergeText_).substr(p.from, p.left);
-      const std::string_view right = std::string_view(mergeText_).substr(p.from + p.left, p.right);
-      const std::string_view both = std::string_view(mergeText_).substr(p.from, p.left + p.right);
+    for (const MergeEntry& mergeEntry : merges_) {
+      const std::string_view left = std::string_view(mergeText_).substr(mergeEntry.from, mergeEntry.left);
+      const std::string_view right =
+          std::string_view(mergeText_).substr(mergeEntry.from + mergeEntry.left, mergeEntry.right);
+      const std::string_view merged =
+          std::string_view(mergeText_).substr(mergeEntry.from, mergeEntry.left + mergeEntry.right);
       const std::string field = "model.merges[" + std::to_string(rank) + "]";
-      const TokenId l = parts_->vocabulary.find(left);
-      const TokenId r = parts_->vocabulary.find(right);
-      const TokenId b = parts_->vocabulary.find(both);
-      if (l == kNoToken) fail(field, "the left part is not in model.vocab");
-      if (r == kNoToken) fail(field, "the right part is not in model.vocab");
-      if (b == kNoToken) fail(field, "the two together are not in model.vocab");
-      if (!pairs.add(l, r, {b, rank})) fail(field, "the pair is told twice");
+      const TokenId leftId = components_->vocabulary.find(left);
+      const TokenId rightId = components_->vocabulary.find(right);
+      const TokenId mergedId = components_->vocabulary.find(merged);
+      if (leftId == kNoToken) fail(field, "the left part is not in model.vocab");
+      if (rightId == kNoToken) fail(field, "the right part is not in model.vocab");
+      if (mergedId == kNoToken) fail(field, "the two together are not in model.vocab");
+      if (!pairs.add(leftId, rightId, {mergedId, rank})) fail(field, "the pair is told twice");
       ++rank;
     }
     merges_ = {};
     mergeText_ = {};
     try {
-      parts_->merger = std::make_unique<PlainMerger>(parts_->vocabulary, std::move(pairs));
+      components_->merger = std::make_unique<ReferenceMerger>(components_->vocabulary, std::move(pairs));
     } catch (const std::invalid_argument& e) { fail("model.vocab", e.what()); }
   }
 
-  void addedTokens() {
+  void readAddedTokens() {
     const json list = member(root_, "added_tokens");
     if (list.is_null()) return;
     if (!list.is_array()) fail("added_tokens", "is no array");
     for (std::size_t i = 0; i < list.size(); ++i) {
       const std::string field = "added_tokens[" + std::to_string(i) + "]";
-      const json& t = list[i];
-      known(t, field, {"id", "content", "single_word", "lstrip", "rstrip", "normalized", "special"});
-      const json id = member(t, "id");
-      const json content = member(t, "content");
+      const json& addedToken = list[i];
+      requireKnownKeys(addedToken, field,
+                       {"id", "content", "single_word", "lstrip", "rstrip", "normalized", "special"});
+      const json id = member(addedToken, "id");
+      const json content = member(addedToken, "content");
       if (!id.is_number_unsigned() || id.get<std::uint64_t>() >= Vocabulary::kMostTokens)
         fail(field + ".id", "is no token id");
       if (!content.is_string()) fail(field + ".content", "is no text");
-      for (const char* key : {"single_word", "lstrip", "rstrip"}) off(t, field, key);
-      const json special = member(t, "special");
+      for (const char* key : {"single_word", "lstrip", "rstrip"}) requireFalse(addedToken, field, key);
+      const json special = member(addedToken, "special");
       if (!special.is_boolean()) fail(field + ".special", "is not true or false");
       try {
-        parts_->added.add(content.get<std::string>(), id.get<TokenId>(), special.get<bool>());
+        components_->added.add(content.get<std::string>(), id.get<TokenId>(), special.get<bool>());
       } catch (const std::invalid_argument& e) { fail(field + ".content", e.what()); }
     }
   }
 
-  void normalizer() {
-    const json n = member(root_, "normalizer");
-    if (n.is_null()) return;
-    normalizer(n, "normalizer");
+  void readNormalizer() {
+    const json normalizer = member(root_, "normalizer");
+    if (normalizer.is_null()) return;
+    readNormalizer(normalizer, "normalizer");
   }
-  void normalizer(const json& n, const std::string& field) {
-    const std::string t = type(n, field);
-    if (t == "NFC") {
-      known(n, field, {"type"});
-      parts_->composed = true;
+  void readNormalizer(const json& normalizer, const std::string& field) {
+    const std::string typeName = typeOf(normalizer, field);
+    if (typeName == "NFC") {
+      requireKnownKeys(normalizer, field, {"type"});
+      components_->normaliseToNfc = true;
       const json list = member(root_, "added_tokens");
       for (std::size_t i = 0; i < list.size(); ++i)
         for (const char c : list[i]["content"].get_ref<const std::string&>())
@@ -256,99 +263,102 @@
                  "is not ASCII, which is not supported with NFC");
       return;
     }
-    if (t != "Sequence") fail(field + ".type", "\"" + t + "\" is not supported; NFC is");
-    known(n, field, {"type", "normalizers"});
-    const json list = member(n, "normalizers");
+    if (typeName != "Sequence") fail(field + ".type", "\"" + typeName + "\" is not supported; NFC is");
+    requireKnownKeys(normalizer, field, {"type", "normalizers"});
+    const json list = member(normalizer, "normalizers");
     if (!list.is_array()) fail(field + ".normalizers", "is no array");
     for (std::size_t i = 0; i < list.size(); ++i)
-      normalizer(list[i], field + ".normalizers[" + std::to_string(i) + "]");
+      readNormalizer(list[i], field + ".normalizers[" + std::to_string(i) + "]");
   }
 
-  void preTokenizer() {
-    const json p = member(root_, "pre_tokenizer");
-    if (p.is_null()) fail("pre_tokenizer", "is missing; byte-level BPE needs one");
-    preTokenizer(p, "pre_tokenizer");
-    if (!byteLevel_) fail("pre_tokenizer", "has no ByteLevel");
-    if (parts_->patterns.empty()) fail("pre_tokenizer", "cuts nothing, which is not supported");
+  void readPreTokenizer() {
+    const json preTokenizer = member(root_, "pre_tokenizer");
+    if (preTokenizer.is_null()) fail("pre_tokenizer", "is missing; byte-level BPE needs one");
+    readPreTokenizer(preTokenizer, "pre_tokenizer");
+    if (!hasByteLevel_) fail("pre_tokenizer", "has no ByteLevel");
+    if (components_->patterns.empty()) fail("pre_tokenizer", "cuts nothing, which is not supported");
   }
-  void preTokenizer(const json& p, const std::string& field) {
-    const std::string t = type(p, field);
-    if (byteLevel_) fail(field, "stands behind ByteLevel, which is not supported");
-    if (t == "Sequence") {
-      known(p, field, {"type", "pretokenizers"});
-      const json list = member(p, "pretokenizers");
+  void readPreTokenizer(const json& preTokenizer, const std::string& field) {
+    const std::string typeName = typeOf(preTokenizer, field);
+    if (hasByteLevel_) fail(field, "stands behind ByteLevel, which is not supported");
+    if (typeName == "Sequence") {
+      requireKnownKeys(preTokenizer, field, {"type", "pretokenizers"});
+      const json list = member(preTokenizer, "pretokenizers");
       if (!list.is_array()) fail(field + ".pretokenizers", "is no array");
       for (std::size_t i = 0; i < list.size(); ++i)
-        preTokenizer(list[i], field + ".pretokenizers[" + std::to_string(i) + "]");
-    } else if (t == "ByteLevel") {
-      known(p, field, {"type", "add_prefix_space", "trim_offsets", "use_regex"});
-      off(p, field, "add_prefix_space");
-      const json regex = member(p, "use_regex");
+        readPreTokenizer(list[i], field + ".pretokenizers[" + std::to_string(i) + "]");
+    } else if (typeName == "ByteLevel") {
+      requireKnownKeys(preTokenizer, field, {"type", "add_prefix_space", "trim_offsets", "use_regex"});
+      requireFalse(preTokenizer, field, "add_prefix_space");
+      const json regex = member(preTokenizer, "use_regex");
       if (!regex.is_null() && !regex.is_boolean()) fail(field + ".use_regex", "is not true or false");
       if (regex != false) addPattern(std::string(knownPattern("gpt2")), field);
-      byteLevel_ = true;
-    } else if (t == "Split") {
-      known(p, field, {"type", "pattern", "behavior", "invert"});
-      off(p, field, "invert");
-      if (member(p, "behavior") != "Isolated")
-        fail(field + ".behavior", member(p, "behavior").dump() + " is not supported; Isolated is");
-      const json pattern = member(p, "pattern");
-      known(pattern, field + ".pattern", {"Regex", "String"});
+      hasByteLevel_ = true;
+    } else if (typeName == "Split") {
+      requireKnownKeys(preTokenizer, field, {"type", "pattern", "behavior", "invert"});
+      requireFalse(preTokenizer, field, "invert");
+      if (member(preTokenizer, "behavior") != "Isolated")
+        fail(field + ".behavior", member(preTokenizer, "behavior").dump() + " is not supported; Isolated is");
+      const json pattern = member(preTokenizer, "pattern");
+      requireKnownKeys(pattern, field + ".pattern", {"Regex", "String"});
       if (pattern.contains("Regex") == pattern.contains("String"))
         fail(field + ".pattern", "is neither a Regex nor a String");
       const json text = pattern.begin().value();
       if (!text.is_string()) fail(field + ".pattern", "is no text");
-      addPattern(pattern.contains("Regex") ? text.get<std::string>() : literally(text.get<std::string>()),
+      addPattern(pattern.contains("Regex") ? text.get<std::string>() : escapeRegex(text.get<std::string>()),
                  field + ".pattern");
-    } else if (t == "Digits") {
-      known(p, field, {"type", "individual_digits"});
-      addPattern(member(p, "individual_digits") == true ? "\\p{N}" : "\\p{N}+", field);
+    } else if (typeName == "Digits") {
+      requireKnownKeys(preTokenizer, field, {"type", "individual_digits"});
+      addPattern(member(preTokenizer, "individual_digits") == true ? "\\p{N}" : "\\p{N}+", field);
     } else {
-      fail(field + ".type", "\"" + t + "\" is not supported; Sequence, Split, Digits and ByteLevel are");
+      fail(field + ".type",
+           "\"" + typeName + "\" is not supported; Sequence, Split, Digits and ByteLevel are");
     }
   }
   void addPattern(const std::string& text, const std::string& field) {
-    if (parts_->patterns.size() >= 16) fail(field, "more than 16 patterns");
+    if (components_->patterns.size() >= 16) fail(field, "more than 16 patterns");
     try {
-      parts_->patterns.emplace_back(text, Dialect::oniguruma);
+      components_->patterns.emplace_back(text, Dialect::oniguruma);
     } catch (const std::invalid_argument& e) { fail(field, e.what()); }
   }
-  static std::string literally(const std::string& text) {
-    std::string out;
+  static std::string escapeRegex(const std::string& text) {
+    std::string escaped;
     for (const char c : text) {
-      if (std::string_view("\\.^$|()[]{}*+?").find(c) != std::string_view::npos) out += '\\';
-      out += c;
+      if (std::string_view("\\.^$|()[]{}*+?").find(c) != std::string_view::npos) escaped += '\\';
+      escaped += c;
     }
-    return out;
+    return escaped;
   }
 
-  void postProcessor(const json& p, const std::string& field) {
-    if (p.is_null()) return;
-    const std::string t = type(p, field);
-    if (t == "ByteLevel") {
-      known(p, field, {"type", "add_prefix_space", "trim_offsets", "use_regex"});  // does not affect ids
-    } else if (t == "Sequence") {
-      known(p, field, {"type", "processors"});
-      const json list = member(p, "processors");
+  void readPostProcessor(const json& postProcessor, const std::string& field) {
+    if (postProcessor.is_null()) return;
+    const std::string typeName = typeOf(postProcessor, field);
+    if (typeName == "ByteLevel") {
+      requireKnownKeys(postProcessor, field,
+                       {"type", "add_prefix_space", "trim_offsets", "use_regex"});  // does not affect ids
+    } else if (typeName == "Sequence") {
+      requireKnownKeys(postProcessor, field, {"type", "processors"});
+      const json list = member(postProcessor, "processors");
       if (!list.is_array()) fail(field + ".processors", "is no array");
       for (std::size_t i = 0; i < list.size(); ++i)
-        postProcessor(list[i], field + ".processors[" + std::to_string(i) + "]");
-    } else if (t == "TemplateProcessing") {
-      known(p, field, {"type", "single", "pair", "special_tokens"});
-      frame(p, field);
+        readPostProcessor(list[i], field + ".processors[" + std::to_string(i) + "]");
+    } else if (typeName == "TemplateProcessing") {
+      requireKnownKeys(postProcessor, field, {"type", "single", "pair", "special_tokens"});
+      readTemplate(postProcessor, field);
     } else {
-      fail(field + ".type", "\"" + t + "\" is not supported; ByteLevel, TemplateProcessing and Sequence are");
+      fail(field + ".type",
+           "\"" + typeName + "\" is not supported; ByteLevel, TemplateProcessing and Sequence are");
     }
   }
-  void frame(const json& p, const std::string& field) {
-    if (framed_) fail(field, "a second template is not supported");
-    framed_ = true;
-    const json single = member(p, "single");
+  void readTemplate(const json& postProcessor, const std::string& field) {
+    if (hasTemplate_) fail(field, "a second template is not supported");
+    hasTemplate_ = true;
+    const json single = member(postProcessor, "single");
     if (!single.is_array()) fail(field + ".single", "is no array");
     bool text = false;
     for (std::size_t i = 0; i < single.size(); ++i) {
       const std::string item = field + ".single[" + std::to_string(i) + "]";
-      known(single[i], item, {"SpecialToken", "Sequence"});
+      requireKnownKeys(single[i], item, {"SpecialToken", "Sequence"});
       if (single[i].contains("Sequence")) {
         if (text) fail(item, "the text twice is not supported");
         text = true;
@@ -357,45 +367,45 @@
       const json inner = member(single[i], "SpecialToken");
       const json id = inner.is_object() ? member(inner, "id") : json();
       if (!id.is_string()) fail(item, "has no id");
-      const json specials = member(p, "special_tokens");
+      const json specials = member(postProcessor, "special_tokens");
       const json special =
           specials.is_object() ? member(specials, id.get_ref<const std::string&>().c_str()) : json();
       const json ids = special.is_object() ? member(special, "ids") : json();
       if (!ids.is_array()) fail(field + ".special_tokens", "does not tell " + id.dump());
-      for (const json& n : ids) {
-        if (!n.is_number_unsigned() || n.get<std::uint64_t>() >= Vocabulary::kMostTokens)
+      for (const json& tokenId : ids) {
+        if (!tokenId.is_number_unsigned() || tokenId.get<std::uint64_t>() >= Vocabulary::kMostTokens)
           fail(field + ".special_tokens", id.dump() + " has an id that is none");
-        (text ? parts_->behind : parts_->before).push_back(n.get<TokenId>());
+        (text ? components_->behind : components_->before).push_back(tokenId.get<TokenId>());
       }
     }
     if (!text) fail(field + ".single", "leaves out the text");
   }
 
-  void decoder() {
-    const json d = member(root_, "decoder");
-    if (d.is_null()) return;
-    const std::string t = type(d, "decoder");
-    if (t != "ByteLevel") fail("decoder.type", "\"" + t + "\" is not supported; ByteLevel is");
+  void readDecoder() {
+    const json decoderObject = member(root_, "decoder");
+    if (decoderObject.is_null()) return;
+    const std::string typeName = typeOf(decoderObject, "decoder");
+    if (typeName != "ByteLevel") fail("decoder.type", "\"" + typeName + "\" is not supported; ByteLevel is");
   }
 
-  struct Place {
+  struct MergeEntry {
     std::uint32_t from, left, right;
   };
   std::string name_;
-  Alphabet alphabet_;
+  ByteAlphabet alphabet_;
   json root_;
-  std::unique_ptr<ByteLevelParts> parts_ = std::make_unique<ByteLevelParts>();
+  std::unique_ptr<ByteLevelComponents> components_ = std::make_unique<ByteLevelComponents>();
   std::string mergeText_;
-  std::vector<Place> merges_;
-  bool byteLevel_ = false;
-  bool framed_ = false;
+  std::vector<MergeEntry> merges_;
+  bool hasByteLevel_ = false;
+  bool hasTemplate_ = false;
 };
 
 }  // namespace
 
 std::shared_ptr<const Tokeniser> readHuggingFace(const std::string& name, std::string_view bytes) {
   if (!wellFormed(bytes)) throw FileError(name + ": is no UTF-8");
-  return Reader(name, bytes).run();
+  return HuggingFaceReader(name, bytes).read();
 }
 
 }  // namespace garnethook::tokeniser
--- a/src/tokeniser/merges.h
+++ b/src/tokeniser/merges.h
@@ -26,7 +26,7 @@
   bool add(TokenId left, TokenId right, Merge merge);
   Merge find(TokenId left, TokenId right) const {
     const std::uint64_t key = std::uint64_t{left} << 32 | right;
-    for (std::size_t i = place(key);; i = (i + 1) & (slots_.size() - 1)) {
+    for (std::size_t i = slotIndex(key);; i = (i + 1) & (slots_.size() - 1)) {
       if (slots_[i].key == key) return slots_[i].merge;
       if (slots_[i].key == kEmpty) return {};
     }
@@ -40,7 +40,7 @@
     std::uint64_t key = kEmpty;
     Merge merge;
   };
-  std::size_t place(std::uint64_t key) const {
+  std::size_t slotIndex(std::uint64_t key) const {
     return static_cast<std::size_t>((key * 0x9e3779b97f4a7c15U) >> shift_);
   }
   void grow();
@@ -50,39 +50,39 @@
   std::size_t count_ = 0;
 };
 
-class PlainMerger {
+class ReferenceMerger {
  public:
   // Merges by ranks: two tokens merge if their concatenated bytes are a token, whose id is the rank.
   // The vocabulary must outlive the merger. Throws std::invalid_argument if a byte has no token.
-  explicit PlainMerger(const Vocabulary& vocabulary);
+  explicit ReferenceMerger(const Vocabulary& vocabulary);
   // Merges by an explicit list of merges.
-  PlainMerger(const Vocabulary& vocabulary, PairTable merges);
+  ReferenceMerger(const Vocabulary& vocabulary, PairTable merges);
 
-  TokenId byte(std::uint8_t value) const { return bytes_[value]; }
+  TokenId byteToken(std::uint8_t value) const { return byteTokens_[value]; }
   // Appends the token ids of the piece, which has at most 2^31 bytes. Takes at least 24 bytes of memory for
   // each byte of the piece.
   void encode(std::string_view piece, std::vector<TokenId>& ids) const;
 
-  struct Last {
+  struct FinalMerge {
     TokenId left = kNoToken;
     TokenId right = kNoToken;
     std::uint32_t rank = 0;
   };
   // Returns the final merge when the token's own bytes are encoded; nullopt if they do not encode to this
   // token.
-  std::optional<Last> last(TokenId token) const;
+  std::optional<FinalMerge> finalMerge(TokenId token) const;
   // Memory of the list of merges in bytes.
   std::size_t memory() const { return merges_ ? merges_->memory() : 0; }
 
  private:
-  template <typename Merged>
-  void run(std::string_view piece, std::vector<TokenId>& ids, Merged merged) const;
-  Merge find(TokenId left, TokenId right, std::string_view together) const;
-  void findBytes();
+  template <typename OnMerge>
+  void mergePiece(std::string_view piece, std::vector<TokenId>& ids, OnMerge onMerge) const;
+  Merge find(TokenId left, TokenId right, std::string_view concatenation) const;
+  void initByteTokens();
 
   const Vocabulary& vocabulary_;
   std::optional<PairTable> merges_;
-  std::vector<TokenId> bytes_;
+  std::vector<TokenId> byteTokens_;
 };
 
 }  // namespace garnethook::tokeniser
--- a/src/tokeniser/pattern.h
+++ b/src/tokeniser/pattern.h
@@ -20,7 +20,7 @@
 };
 
 // Translates the pattern to PCRE2 syntax. Throws std::invalid_argument naming the construct and its position.
-std::string translated(std::string_view pattern, Dialect dialect);
+std::string translateToPcre2(std::string_view pattern, Dialect dialect);
 
 class Pattern {
  public:
@@ -34,8 +34,8 @@
 
    private:
     friend class Pattern;
-    struct Parts;
-    std::unique_ptr<Parts> parts_;
+    struct MatchState;
+    std::unique_ptr<MatchState> state_;
   };
 
   // Throws std::invalid_argument for an unsupported pattern and for one that can match the empty string.
--- a/src/tokeniser/piece_encoder.h
+++ b/src/tokeniser/piece_encoder.h
@@ -9,8 +9,8 @@
 // work. (H. van Antwerpen and A. Neubeck, "So many tokens, so little time", 2024; M. Berglund and B. van der
 // Merwe, "Formalizing BPE Tokenization", 2023.)
 //
-// The constructor checks that merges are in order and compares the result with PlainMerger on a sample; for a
-// vocabulary that fails either check the encoder uses PlainMerger.
+// The constructor checks that merges are in order and compares the result with ReferenceMerger on a sample;
+// for a vocabulary that fails either check the encoder uses ReferenceMerger.
 #pragma once
 
 #include <cstdint>
@@ -28,19 +28,19 @@
   // Scratch memory of one thread; grows with the longest piece, up to 4 1/8 bytes for each byte of text.
   struct Workspace {
     std::vector<std::uint32_t> row;
-    std::vector<std::uint64_t> dead;
+    std::vector<std::uint64_t> deadEnds;
   };
 
   // The vocabulary must outlive the encoder. `merger` is kept only if merges are not in order.
-  PieceEncoder(const Vocabulary& vocabulary, std::unique_ptr<const PlainMerger> merger);
+  PieceEncoder(const Vocabulary& vocabulary, std::unique_ptr<const ReferenceMerger> merger);
 
   // Appends the token ids of the piece. Throws std::logic_error, and appends nothing, if merges turn out not
   // to be in order despite the constructor's checks.
   void encode(std::string_view piece, std::vector<TokenId>& ids, Workspace& workspace) const;
   // Returns whether encoding the token's own bytes yields the token.
-  bool reachable(TokenId id) const { return id < number_.size() && number_[id] != kNone; }
+  bool reachable(TokenId id) const { return id < numberById_.size() && numberById_[id] != kNone; }
   // Returns whether merges are in order, so that the linear-time algorithm is used.
-  bool ordered() const { return plain_ == nullptr; }
+  bool ordered() const { return fallback_ == nullptr; }
   std::size_t memory() const;  // bytes
 
  private:
@@ -51,30 +51,30 @@
     std::uint32_t length = 0;
     std::uint32_t left = kNone;  // the two tokens it is merged from; itself for a single byte
     std::uint32_t right = kNone;
-    std::uint32_t shorter = kNone;  // the longest token that is a proper prefix of it
+    std::uint32_t shorterPrefix = kNone;  // the longest token that is a proper prefix of it
   };
   struct Node {
-    std::uint32_t first = 0;  // index of the first child; children are contiguous, sorted by label
+    std::uint32_t firstChild = 0;  // index of the first child; children are contiguous, sorted by label
     std::uint32_t token = kNone;
-    std::uint16_t children = 0;
+    std::uint16_t childCount = 0;
     std::uint8_t label = 0;
   };
 
-  bool order(const PlainMerger& merger);
-  void plant();
-  bool agrees(const PlainMerger& merger) const;
-  std::uint32_t longest(std::string_view text) const;  // the longest token that is a prefix of the text
-  bool neighbours(std::uint32_t left, std::uint32_t right) const;
+  bool numberTokens(const ReferenceMerger& merger);
+  void buildTrie();
+  bool agreesWithReference(const ReferenceMerger& merger) const;
+  std::uint32_t longestPrefix(std::string_view text) const;  // the longest token that is a prefix of the text
+  bool areCompatible(std::uint32_t left, std::uint32_t right) const;
   // Returns false if no sequence of tokens encodes the piece, which cannot happen if merges are in order.
   bool encodeOrdered(std::string_view piece, std::vector<TokenId>& ids, Workspace& workspace) const;
 
   const Vocabulary& vocabulary_;
   std::vector<Token> tokens_;
-  std::vector<std::uint32_t> number_;  // token number by id
-  PairTable pairs_;                    // keyed by token numbers; the merge that produces each token
-  std::vector<Node> nodes_;            // trie; 0 is the root
-  std::vector<std::uint32_t> two_;     // node by the first two bytes; 0 if there is none
-  std::unique_ptr<const PlainMerger> plain_;
+  std::vector<std::uint32_t> numberById_;      // token number by id
+  PairTable pairs_;                            // keyed by token numbers; the merge that produces each token
+  std::vector<Node> nodes_;                    // trie; 0 is the root
+  std::vector<std::uint32_t> nodeByTwoBytes_;  // node by the first two bytes; 0 if there is none
+  std::unique_ptr<const ReferenceMerger> fallback_;
 };
 
 }  // namespace garnethook::tokeniser
--- a/src/tokeniser/utf8.h
+++ b/src/tokeniser/utf8.h
@@ -24,9 +24,9 @@
 std::size_t bytesOf(std::string_view text, std::size_t characters);
 
 // Appends the character as UTF-8. `c` <= 0x10ffff.
-void append(std::string& out, char32_t c);
+void append(std::string& output, char32_t c);
 
 // Returns the character at `at` and advances `at` past it. The text must be well-formed and at < text.size().
-char32_t take(std::string_view text, std::size_t& at);
+char32_t decodeCharacter(std::string_view text, std::size_t& at);
 
 }  // namespace garnethook::tokeniser
--- a/tests/fuzz/tokenisers.cpp
+++ b/tests/fuzz/tokenisers.cpp
@@ -1,7 +1,7 @@
-// Fuzz targets of the tokeniser: ranks files, tokenizer.json, merging beside its definition, seams and round
-// trips. The first byte chooses. libFuzzer: scripts/fuzz.sh; without it, a seeded run that damages valid
-// files.
-// `--seeds FOLDER` writes those files as a corpus to begin with.
+// Fuzz targets of the tokeniser: ranks files, tokenizer.json, PieceEncoder against ReferenceMerger,
+// incremental encoding and round trips. The first byte of the input selects the target. scripts/fuzz.sh runs
+// them with libFuzzer; the standalone build mutates valid files with a fixed seed.
+// `--seeds FOLDER` writes these files as the seed corpus.
 #include <openssl/evp.h>
 
 #include <cstdint>
@@ -19,36 +19,38 @@
 
 using namespace garnethook::tokeniser;
 
-void require(bool holds) {
-  if (!holds) std::abort();
+void require(bool condition) {
+  if (!condition) std::abort();
 }
 
 std::string base64(std::string_view bytes) {
-  std::string out((bytes.size() + 2) / 3 * 4 + 1, '\0');  // the library ends it with a zero
+  std::string out((bytes.size() + 2) / 3 * 4 + 1, '\0');  // EVP_EncodeBlock appends a null byte
   out.resize(static_cast<std::size_t>(EVP_EncodeBlock(reinterpret_cast<unsigned char*>(out.data()),
                                                       reinterpret_cast<const unsigned char*>(bytes.data()),
                                                       static_cast<int>(bytes.size()))));
   return out;
 }
 
-std::string ranks(const std::vector<std::string>& more) {
+std::string makeRanks(const std::vector<std::string>& extraTokens) {
   std::string out;
-  std::size_t n = 0;
+  std::size_t tokenId = 0;
   for (unsigned byte = 0; byte < 256; ++byte)
-    out += base64(std::string(1, static_cast<char>(byte))) + " " + std::to_string(n++) + "\n";
-  for (const auto& t : more) out += base64(t) + " " + std::to_string(n++) + "\n";
+    out += base64(std::string(1, static_cast<char>(byte))) + " " + std::to_string(tokenId++) + "\n";
+  for (const auto& extraToken : extraTokens)
+    out += base64(extraToken) + " " + std::to_string(tokenId++) + "\n";
   return out;
 }
 
-std::string huggingFace() {
+std::string makeTokenizerJson() {
   std::string vocab;
   char32_t next = 256;
   for (unsigned byte = 0; byte < 256; ++byte) {
-    const bool itself = (byte >= 33 && byte <= 126) || (byte >= 161 && byte <= 172) || byte >= 174;
-    std::string letter;
-    append(letter, itself ? byte : next++);
-    vocab += (vocab.empty() ? "\"" : ",\"") + std::string(letter == "\"" || letter == "\\" ? "\\" : "") +
-             letter + "\":" + std::to_string(byte);
+    const bool isPrintable = (byte >= 33 && byte <= 126) || (byte >= 161 && byte <= 172) || byte >= 174;
+    std::string character;
+    append(character, isPrintable ? byte : next++);
+    vocab += (vocab.empty() ? "\"" : ",\"") +
+             std::string(character == "\"" || character == "\\" ? "\\" : "") + character +
+             "\":" + std::to_string(byte);
   }
   return R"({"version":"1.0","added_tokens":[{"id":300,"content":"<x>","special":false}],"normalizer":{"type":"NFC"},)"
          R"("pre_tokenizer":{"type":"Sequence","pretokenizers":[{"type":"Split","pattern":{"Regex":"\\p{L}+|\\s+(?!\\S)|\\s+"},"behavior":"Isolated","invert":false},{"type":"ByteLevel","use_regex":false}]},)"
@@ -56,20 +58,21 @@
          vocab + R"(,"ab":256,"aba":257},"merges":["a b",["ab","a"]]}})";
 }
 
-// Whatever a file says, its tokeniser gives back every text, and parts give the same ids as the whole.
-void use(const Tokeniser& t, std::string_view raw) {
-  const auto good = repaired(raw);
-  const std::string text(good ? std::string_view(*good) : raw);
+// Requires of any loaded tokeniser that decoding restores the text, and that encoding in parts yields the
+// same ids as encoding the whole text.
+void checkRoundTrip(const Tokeniser& loaded, std::string_view input) {
+  const auto repairedText = repaired(input);
+  const std::string text(repairedText ? std::string_view(*repairedText) : input);
   Workspace workspace;
   const TextOptions options{false, false};
-  const auto ids = encode(t, text, options, workspace);
-  const auto changed = t.normalised(text, options);
+  const auto ids = encode(loaded, text, options, workspace);
+  const auto changed = loaded.normalised(text, options);
   const std::string& final = changed ? *changed : text;
-  require(decode(t, ids) == final);
+  require(decode(loaded, ids) == final);
   std::vector<TokenId> parts;
   Mark mark;
   for (const std::size_t limit : {final.size() / 3, final.size() / 2, final.size()})
-    mark = t.advance(final, mark, limit, options, workspace, &parts);
+    mark = loaded.advance(final, mark, limit, options, workspace, &parts);
   require(parts == ids);
 }
 
@@ -78,17 +81,17 @@
   options.format = Format::ranks;
   options.pattern = "cl100k_base";
   try {
-    use(*readRanks("f", in, options), in.substr(0, 300));
+    checkRoundTrip(*readRanks("f", in, options), in.substr(0, 300));
   } catch (const FileError& e) { require(std::string_view(e.what()).starts_with("f: ")); }
 }
 
-void fileTarget(std::string_view in) {
+void huggingFaceTarget(std::string_view in) {
   try {
-    use(*readHuggingFace("f", in), in.substr(0, 300));
+    checkRoundTrip(*readHuggingFace("f", in), in.substr(0, 300));
   } catch (const FileError& e) { require(std::string_view(e.what()).starts_with("f: ")); }
 }
 
-// A vocabulary and a text, both of the input: the fast way of merging is the definition's.
+// Derives a vocabulary and a text from the input and requires that PieceEncoder matches ReferenceMerger.
 void mergeTarget(std::string_view in) {
   Vocabulary vocabulary;
   std::set<std::string> known;
@@ -109,18 +112,18 @@
     at += 1 + length;
   }
   vocabulary.seal();
-  const PlainMerger plain(vocabulary);
-  const PieceEncoder fast(vocabulary, std::make_unique<PlainMerger>(vocabulary));
+  const ReferenceMerger reference(vocabulary);
+  const PieceEncoder encoder(vocabulary, std::make_unique<ReferenceMerger>(vocabulary));
   PieceEncoder::Workspace workspace;
-  std::vector<TokenId> a;
-  std::vector<TokenId> b;
+  std::vector<TokenId> expected;
+  std::vector<TokenId> actual;
   const std::string text(in.substr(at, 500));
-  plain.encode(text, a);
-  fast.encode(text, b, workspace);
-  require(a == b);
-  std::string back;
-  for (const TokenId id : b) back += vocabulary.bytes(id);
-  require(back == text);
+  reference.encode(text, expected);
+  encoder.encode(text, actual, workspace);
+  require(expected == actual);
+  std::string decoded;
+  for (const TokenId id : actual) decoded += vocabulary.bytes(id);
+  require(decoded == text);
 }
 
 void textTarget(std::string_view in) {
@@ -130,13 +133,13 @@
       options.format = Format::ranks;
       for (const char* pattern : {"cl100k_base", "o200k_base", "p50k_base"}) {
         options.pattern = pattern;
-        all.push_back(readRanks("f", ranks({"  ", "ab", "the", " t", "\n\n", "    "}), options));
+        all.push_back(readRanks("f", makeRanks({"  ", "ab", "the", " t", "\n\n", "    "}), options));
       }
     }
     std::vector<std::shared_ptr<const Tokeniser>> all;
   };
   static const Shared shared;
-  for (const auto& t : shared.all) use(*t, in);
+  for (const auto& loaded : shared.all) checkRoundTrip(*loaded, in);
 }
 
 }  // namespace
@@ -146,7 +149,7 @@
   const std::string_view in(reinterpret_cast<const char*>(data) + 1, size - 1);
   switch (data[0] % 4) {
     case 0: ranksTarget(in); break;
-    case 1: fileTarget(in); break;
+    case 1: huggingFaceTarget(in); break;
     case 2: mergeTarget(in); break;
     default: textTarget(in); break;
   }
@@ -155,7 +158,8 @@
 
 #ifdef GARNETHOOK_FUZZ_STANDALONE
 int main(int argc, char** argv) {
-  const std::string files[] = {std::string(1, '\0') + ranks({"ab", "the", "abab"}), "\1" + huggingFace(),
+  const std::string files[] = {std::string(1, '\0') + makeRanks({"ab", "the", "abab"}),
+                               "\1" + makeTokenizerJson(),
                                "\2\5" + std::string("\0ab\0bc\1aab\2abcd\0ba", 18) + "ababcabcdaabbaab",
                                "\3 the  ab\n\n  x\u0301 é日本 12345's I'LL <|end|> "};
   if (argc > 2 && std::string_view(argv[1]) == "--seeds") {
@@ -167,7 +171,7 @@
   std::mt19937_64 random(1);
   for (int i = 0; i < runs; ++i) {
     std::string in = files[random() % std::size(files)];
-    for (auto n = random() % 6; n > 0 && in.size() > 1; --n) {
+    for (auto mutations = random() % 6; mutations > 0 && in.size() > 1; --mutations) {
       const std::size_t at = 1 + random() % (in.size() - 1);
       switch (random() % 4) {
         case 0: in[at] = static_cast<char>(random()); break;
--- a/tests/tokeniser_test.cpp
+++ b/tests/tokeniser_test.cpp
@@ -1,5 +1,5 @@
-// The tokeniser by itself: merging, patterns, seams, files. Vocabularies are made on the spot; published ones
-// are compared in tests/reference.
+// Unit tests of the tokeniser: merging, patterns, incremental encoding, file formats. Vocabularies are
+// generated; published ones are compared in tests/reference.
 #include "tokeniser/tokeniser.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
   return text;
 }
 
-std::shared_ptr<const Tokeniser> made(const string& pattern = "cl100k_base") {
+std::shared_ptr<const Tokeniser> makeRanksTokeniser(const string& pattern = "cl100k_base") {
   FileOptions options;
   options.format = Format::ranks;
   options.pattern = pattern;
@@ -31,45 +31,45 @@
   return readRanks("made", ranks(), options);
 }
 
-const string kPrelude =
+const string kAddedTokensJson =
     R"({"version":"1.0","truncation":null,"padding":null,"added_tokens":[{"id":300,"content":"<x>","special":false,"lstrip":false,"rstrip":false,"single_word":false,"normalized":false},{"id":301,"content":"<x>y","special":false},{"id":302,"content":"<|s|>","special":true}],)";
-const string kRegex =
+const string kPreTokenizerJson =
     R"("pre_tokenizer":{"type":"Sequence","pretokenizers":[{"type":"Split","pattern":{"Regex":"'s| ?\\p{L}+|\\p{N}{1,3}| ?[^\\s\\p{L}\\p{N}]+|\\s+(?!\\S)|\\s+"},"behavior":"Isolated","invert":false},{"type":"ByteLevel","add_prefix_space":false,"trim_offsets":true,"use_regex":false}]},)";
 
-string utf8Of(char32_t c) {
+string toUtf8(char32_t c) {
   string out;
   append(out, c);
   return out;
 }
 
 // All 256 bytes, then "ab" (merge "a b"), " t", "he", "the", " the".
-string vocab() {
+string vocabJson() {
   string out = R"("vocab":{)";
   char32_t next = 256;
   for (unsigned byte = 0; byte < 256; ++byte) {
-    const bool itself = (byte >= 33 && byte <= 126) || (byte >= 161 && byte <= 172) || byte >= 174;
-    const string letter = utf8Of(itself ? byte : next++);
-    out += "\"" + string(letter == "\"" || letter == "\\" ? "\\" : "") + letter +
+    const bool isPrintable = (byte >= 33 && byte <= 126) || (byte >= 161 && byte <= 172) || byte >= 174;
+    const string character = toUtf8(isPrintable ? byte : next++);
+    out += "\"" + string(character == "\"" || character == "\\" ? "\\" : "") + character +
            "\":" + std::to_string(byte) + ",";
   }
   return out + R"("ab":256,"Ġt":257,"he":258,"the":259,"Ġthe":260})";
 }
-string file(const string& model = R"("merges":["a b","h e","t he","Ġ the","Ġ t"])", const string& more = {},
-            const string& pre = kRegex) {
-  return kPrelude + R"("normalizer":null,)" + pre + more +
+string tokenizerJson(const string& model = R"("merges":["a b","h e","t he","Ġ the","Ġ t"])",
+                     const string& extraFields = {}, const string& preTokenizer = kPreTokenizerJson) {
+  return kAddedTokensJson + R"("normalizer":null,)" + preTokenizer + extraFields +
          R"("decoder":{"type":"ByteLevel"},"model":{"type":"BPE","dropout":null,"unk_token":null,"continuing_subword_prefix":null,"end_of_word_suffix":null,"fuse_unk":false,"byte_fallback":false,)" +
-         vocab() + "," + model + "}}";
+         vocabJson() + "," + model + "}}";
 }
 
-string error(const string& bytes) {
+string readError(const string& bytes) {
   try {
     readHuggingFace("file", bytes);
   } catch (const FileError& e) { return e.what(); }
   return "none";
 }
 
-// Texts where seams hurt.
-string drawText(std::uint64_t seed, std::size_t pieces) {
+// Random texts whose token boundaries depend on the text that follows.
+string randomText(std::uint64_t seed, std::size_t pieces) {
   static const std::vector<string> kParts{"a",
                                           "the",
                                           " the",
@@ -123,22 +123,24 @@
   return out;
 }
 
-TEST(Utf8, RepairsAsDecodersDo) {
+TEST(Utf8, RepairsMalformedTextAsDecodersDo) {
   EXPECT_FALSE(repaired("plain é 😀"));
-  const string bad = "\xef\xbf\xbd";
-  EXPECT_EQ(repaired("\xc0\xaf").value(), bad + bad);            // overlong
-  EXPECT_EQ(repaired("\xe0\x80\xaf").value(), bad + bad + bad);  // overlong
-  EXPECT_EQ(repaired("\xed\xa0\x80").value(), bad + bad + bad);  // a surrogate
-  EXPECT_EQ(repaired("\xf0\x90\x80").value(), bad);              // cut: one maximal part
-  EXPECT_EQ(repaired("\xe2\x82x").value(), bad + "x");
-  EXPECT_EQ(repaired("\xf4\x90\x80\x80").value(), bad + bad + bad + bad);  // above U+10FFFF
+  const string replacement = "\xef\xbf\xbd";
+  EXPECT_EQ(repaired("\xc0\xaf").value(), replacement + replacement);                    // overlong
+  EXPECT_EQ(repaired("\xe0\x80\xaf").value(), replacement + replacement + replacement);  // overlong
+  EXPECT_EQ(repaired("\xed\xa0\x80").value(), replacement + replacement + replacement);  // surrogate
+  EXPECT_EQ(repaired("\xf0\x90\x80").value(), replacement);  // truncated: one maximal subpart
+  EXPECT_EQ(repaired("\xe2\x82x").value(), replacement + "x");
+  EXPECT_EQ(repaired("\xf4\x90\x80\x80").value(),
+            replacement + replacement + replacement + replacement);  // above U+10FFFF
   EXPECT_EQ(bytesOf("aé😀b", 3), 7U);
   EXPECT_EQ(characterStart("aé", 2), 1U);
 }
 
-TEST(Pieces, TheFastEncoderGivesWhatTheDefinitionGives) {
+TEST(Pieces, EncoderMatchesReferenceMerger) {
   Vocabulary vocabulary;
-  // "Improper" neighbours on purpose: abc by a+bc, with ab younger than bc.
+  // Includes a token whose prefix is merged later than its suffix: abc is a+bc, and ab has a higher rank than
+  // bc.
   for (unsigned byte = 0; byte < 256; ++byte) {
     const char c = static_cast<char>(byte);
     vocabulary.add(byte, {&c, 1});
@@ -147,32 +149,33 @@
   for (const char* token : {"aa", "bc", "ab", "abc", "aaaa", "ba", "aab", "cabc", "aaa", "caa"})
     vocabulary.add(next++, token);
   vocabulary.seal();
-  const PlainMerger plain(vocabulary);
-  const PieceEncoder fast(vocabulary, std::make_unique<PlainMerger>(vocabulary));
-  EXPECT_TRUE(fast.ordered());
+  const ReferenceMerger reference(vocabulary);
+  const PieceEncoder pieceEncoder(vocabulary, std::make_unique<ReferenceMerger>(vocabulary));
+  EXPECT_TRUE(pieceEncoder.ordered());
   PieceEncoder::Workspace workspace;
-  // All words of three letters up to length 9.
+  // All words over a three-letter alphabet up to length 9.
   std::size_t compared = 0;
   for (std::size_t length = 1; length <= 9; ++length) {
     std::size_t words = 1;
     for (std::size_t i = 0; i < length; ++i) words *= 3;
-    for (std::size_t w = 0; w < words; ++w) {
+    for (std::size_t word = 0; word < words; ++word) {
       string text;
-      for (std::size_t i = 0, rest = w; i < length; ++i, rest /= 3) text += static_cast<char>('a' + rest % 3);
-      std::vector<TokenId> a;
-      std::vector<TokenId> b;
-      plain.encode(text, a);
-      fast.encode(text, b, workspace);
-      ASSERT_EQ(a, b) << text;
+      for (std::size_t i = 0, rest = word; i < length; ++i, rest /= 3)
+        text += static_cast<char>('a' + rest % 3);
+      std::vector<TokenId> expected;
+      std::vector<TokenId> actual;
+      reference.encode(text, expected);
+      pieceEncoder.encode(text, actual, workspace);
+      ASSERT_EQ(expected, actual) << text;
       ++compared;
     }
   }
   EXPECT_EQ(compared, 29'523U);
 }
 
-TEST(Pieces, MergesOutOfOrderAreEncodedPlainly) {
-  // "abc" is made by ab+c before "ab" may be made: the definition gives a, b, c for "abc" by rank 1, ab by
-  // rank 2.
+TEST(Pieces, UsesReferenceMergerForMergesOutOfOrder) {
+  // The merge ab+c has rank 0, the merge a+b rank 1: "abc" is merged from a part, "ab", that has a higher
+  // rank than itself.
   Vocabulary vocabulary;
   for (unsigned byte = 0; byte < 256; ++byte) {
     const char c = static_cast<char>(byte);
@@ -184,38 +187,38 @@
   PairTable merges;
   merges.add(256, 'c', {257, 0});
   merges.add('a', 'b', {256, 1});
-  const PlainMerger plain(vocabulary, merges);
-  const PieceEncoder encoder(vocabulary, std::make_unique<PlainMerger>(vocabulary, merges));
+  const ReferenceMerger reference(vocabulary, merges);
+  const PieceEncoder encoder(vocabulary, std::make_unique<ReferenceMerger>(vocabulary, merges));
   EXPECT_FALSE(encoder.ordered());
   PieceEncoder::Workspace workspace;
   for (const char* text : {"abc", "ababc", "aabcab"}) {
-    std::vector<TokenId> a;
-    std::vector<TokenId> b;
-    plain.encode(text, a);
-    encoder.encode(text, b, workspace);
-    EXPECT_EQ(a, b) << text;
+    std::vector<TokenId> expected;
+    std::vector<TokenId> actual;
+    reference.encode(text, expected);
+    encoder.encode(text, actual, workspace);
+    EXPECT_EQ(expected, actual) << text;
   }
 }
 
-TEST(Pieces, RandomTextsAgreeWithTheStandInsOwnWay) {
-  const auto t = made();
-  const fake_engine::OwnTokeniser own("made", "1", ranks(), knownPattern("cl100k_base"));
+TEST(Pieces, RandomTextsMatchFakeEngineTokeniser) {
+  const auto loaded = makeRanksTokeniser();
+  const fake_engine::OwnTokeniser fakeEngineTokeniser("made", "1", ranks(), knownPattern("cl100k_base"));
   Workspace workspace;
   for (std::uint64_t seed = 0; seed < 2000; ++seed) {
-    const string text = drawText(seed, 1 + seed % 60);
-    const auto ids = encode(*t, text, {}, workspace);
-    ASSERT_EQ(ids, own.encode(text)) << text;
-    ASSERT_EQ(decode(*t, ids), text);
+    const string text = randomText(seed, 1 + seed % 60);
+    const auto ids = encode(*loaded, text, {}, workspace);
+    ASSERT_EQ(ids, fakeEngineTokeniser.encode(text)) << text;
+    ASSERT_EQ(decode(*loaded, ids), text);
   }
 }
 
-TEST(Pieces, LongRunsTakeTimeInProportion) {
-  const auto t = made();
+TEST(Pieces, LongRunsTakeLinearTime) {
+  const auto loaded = makeRanksTokeniser();
   Workspace workspace;
   const auto time = [&](const string& text) {
     const auto start = std::chrono::steady_clock::now();
-    const auto ids = encode(*t, text, {}, workspace);
-    EXPECT_EQ(decode(*t, ids), text);
+    const auto ids = encode(*loaded, text, {}, workspace);
+    EXPECT_EQ(decode(*loaded, ids), text);
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
   };
   const auto repeat = [](const string& unit, std::size_t bytes) {
@@ -227,109 +230,109 @@
                              string("aB"), string("\u0301"), string("1"), string(" \n")}) {
     const double small = time(repeat(unit, 1 << 15));
     const double large = time(repeat(unit, 1 << 19));
-    // Sixteen times the text: a square would be 256 times the time.
+    // The text is 16 times as long; quadratic time would take 256 times as long.
     EXPECT_LT(large, 16 * 8 * small + 0.05) << unit;
   }
 }
 
-// The promise that counting by beginnings rests on.
-TEST(Seams, WhatIsCertainOfABeginningHoldsForEveryText) {
+// Counting by text prefixes relies on this property.
+TEST(IncrementalEncoding, FinalTokensOfPrefixHoldForEveryContinuation) {
   for (const char* pattern : {"cl100k_base", "o200k_base", "p50k_base"}) {
-    const auto t = made(pattern);
+    const auto loaded = makeRanksTokeniser(pattern);
     Workspace workspace;
-    std::size_t far = 0;
+    std::size_t finalBytes = 0;
     for (std::uint64_t seed = 0; seed < 500; ++seed) {
       for (const bool special : {false, true}) {
         const TextOptions options{special, true};
-        const string begin = drawText(seed, 1 + seed % 25);
-        const string some = begin + "x";
+        const string prefix = randomText(seed, 1 + seed % 25);
+        const string prefixAndMore = prefix + "x";
         std::vector<TokenId> ids;
-        const Mark mark = t->advance(some, {}, begin.size(), options, workspace, &ids);
-        ASSERT_LE(mark.at, begin.size());
+        const Mark mark = loaded->advance(prefixAndMore, {}, prefix.size(), options, workspace, &ids);
+        ASSERT_LE(mark.at, prefix.size());
         ASSERT_EQ(mark.tokens, ids.size());
-        far += mark.at;
-        for (std::uint64_t other = 0; other < 12; ++other) {
-          const string text = begin + drawText(seed * 131 + other, other % 6);
+        finalBytes += mark.at;
+        for (std::uint64_t continuation = 0; continuation < 12; ++continuation) {
+          const string text = prefix + randomText(seed * 131 + continuation, continuation % 6);
           std::vector<TokenId> whole;
-          t->advance(text, {}, text.size(), options, workspace, &whole);
+          loaded->advance(text, {}, text.size(), options, workspace, &whole);
           std::vector<TokenId> parts = ids;
-          const Mark end = t->advance(text, mark, text.size(), options, workspace, &parts);
-          ASSERT_EQ(parts, whole) << pattern << ": " << begin << " | " << text.substr(begin.size());
+          const Mark end = loaded->advance(text, mark, text.size(), options, workspace, &parts);
+          ASSERT_EQ(parts, whole) << pattern << ": " << prefix << " | " << text.substr(prefix.size());
           ASSERT_EQ(end.tokens, whole.size());
         }
       }
     }
-    EXPECT_GT(far, 10'000U) << "hardly anything was certain";
+    EXPECT_GT(finalBytes, 10'000U) << "advance() made almost no progress";
   }
 }
 
-TEST(Seams, AnySplitOfTheWorkGivesTheSameIds) {
-  const auto hf = readHuggingFace("file", file());
-  for (const auto& t : {made(), hf}) {
-    rc::check("limits do not matter", [&](std::uint64_t seed, std::vector<std::uint8_t> steps) {
+TEST(IncrementalEncoding, AnySequenceOfLimitsYieldsTheSameIds) {
+  const auto huggingFace = readHuggingFace("file", tokenizerJson());
+  for (const auto& loaded : {makeRanksTokeniser(), huggingFace}) {
+    rc::check("the limits do not affect the ids", [&](std::uint64_t seed, std::vector<std::uint8_t> steps) {
       Workspace workspace;
-      const string text = drawText(seed, 40) + "<x><x>y<|s|>" + drawText(seed + 1, 10);
+      const string text = randomText(seed, 40) + "<x><x>y<|s|>" + randomText(seed + 1, 10);
       std::vector<TokenId> whole;
-      t->advance(text, {}, text.size(), {}, workspace, &whole);
+      loaded->advance(text, {}, text.size(), {}, workspace, &whole);
       std::vector<TokenId> parts;
       Mark mark;
       std::size_t limit = 0;
-      for (const auto s : steps) {
-        limit += s % 32;
+      for (const auto step : steps) {
+        limit += step % 32;
         if (limit >= text.size()) break;
-        mark = t->advance(text, mark, limit, {}, workspace, &parts);
+        mark = loaded->advance(text, mark, limit, {}, workspace, &parts);
       }
-      t->advance(text, mark, text.size(), {}, workspace, &parts);
+      loaded->advance(text, mark, text.size(), {}, workspace, &parts);
       RC_ASSERT(parts == whole);
     });
   }
 }
 
-TEST(Specials, AreTextUnlessMeant) {
-  const auto t = made();
+TEST(SpecialTokens, ArePlainTextUnlessRequested) {
+  const auto loaded = makeRanksTokeniser();
   Workspace workspace;
   const string text = "x<|endoftext|>y<|end|>";
-  const auto plain = encode(*t, text, {}, workspace);
-  EXPECT_EQ(std::count(plain.begin(), plain.end(), 100'000U), 0);
-  const auto meant = encode(*t, text, {true, true}, workspace);
-  EXPECT_EQ(std::count(meant.begin(), meant.end(), 100'000U), 1);
-  EXPECT_EQ(std::count(meant.begin(), meant.end(), 100'001U), 1);
-  EXPECT_EQ(decode(*t, plain), text);
-  EXPECT_EQ(decode(*t, meant), text);
+  const auto plainIds = encode(*loaded, text, {}, workspace);
+  EXPECT_EQ(std::count(plainIds.begin(), plainIds.end(), 100'000U), 0);
+  const auto specialIds = encode(*loaded, text, {true, true}, workspace);
+  EXPECT_EQ(std::count(specialIds.begin(), specialIds.end(), 100'000U), 1);
+  EXPECT_EQ(std::count(specialIds.begin(), specialIds.end(), 100'001U), 1);
+  EXPECT_EQ(decode(*loaded, plainIds), text);
+  EXPECT_EQ(decode(*loaded, specialIds), text);
 }
 
-TEST(HuggingFace, ReadsMergesAsTextsOrPairsAndAddedTokens) {
+TEST(HuggingFace, ReadsMergesAsStringsOrPairsAndAddedTokens) {
   Workspace workspace;
-  const auto a = readHuggingFace("file", file());
-  const auto b =
-      readHuggingFace("file", file(R"("merges":[["a","b"],["h","e"],["t","he"],["Ġ","the"],["Ġ","t"]])"));
-  for (const auto& t : {a, b}) {
-    EXPECT_EQ(encode(*t, "the the ab", {}, workspace), (std::vector<TokenId>{259, 260, ' ', 256}));
-    EXPECT_EQ(encode(*t, "<x>y<x><|s|>", {}, workspace),
+  const auto fromStrings = readHuggingFace("file", tokenizerJson());
+  const auto fromPairs = readHuggingFace(
+      "file", tokenizerJson(R"("merges":[["a","b"],["h","e"],["t","he"],["Ġ","the"],["Ġ","t"]])"));
+  for (const auto& loaded : {fromStrings, fromPairs}) {
+    EXPECT_EQ(encode(*loaded, "the the ab", {}, workspace), (std::vector<TokenId>{259, 260, ' ', 256}));
+    EXPECT_EQ(encode(*loaded, "<x>y<x><|s|>", {}, workspace),
               (std::vector<TokenId>{301, 300, '<', '|', 's', '|', '>'}));
-    EXPECT_EQ(encode(*t, "<|s|>", {true, true}, workspace), (std::vector<TokenId>{302}));
+    EXPECT_EQ(encode(*loaded, "<|s|>", {true, true}, workspace), (std::vector<TokenId>{302}));
   }
 }
 
-TEST(HuggingFace, FramesATextWithTheTemplate) {
+TEST(HuggingFace, AddsTemplateTokensAroundText) {
   Workspace workspace;
-  const auto t = readHuggingFace(
+  const auto loaded = readHuggingFace(
       "file",
-      file(
+      tokenizerJson(
           R"("merges":[])",
           R"("post_processor":{"type":"Sequence","processors":[{"type":"ByteLevel","add_prefix_space":true,"trim_offsets":false,"use_regex":true},{"type":"TemplateProcessing","single":[{"SpecialToken":{"id":"B","type_id":0}},{"Sequence":{"id":"A","type_id":0}}],"pair":[],"special_tokens":{"B":{"id":"B","ids":[302],"tokens":["B"]}}}]},)"));
-  EXPECT_EQ(encode(*t, "ab", {}, workspace), (std::vector<TokenId>{302, 'a', 'b'}));
-  EXPECT_EQ(encode(*t, "ab", {false, false}, workspace), (std::vector<TokenId>{'a', 'b'}));
+  EXPECT_EQ(encode(*loaded, "ab", {}, workspace), (std::vector<TokenId>{302, 'a', 'b'}));
+  EXPECT_EQ(encode(*loaded, "ab", {false, false}, workspace), (std::vector<TokenId>{'a', 'b'}));
 }
 
-TEST(HuggingFace, NamesTheFieldOfWhatItDoesNotSupport) {
+TEST(HuggingFace, ErrorsNameTheUnsupportedField) {
   const auto replaced = [&](const string& from, const string& to) {
-    string text = file();
+    string text = tokenizerJson();
     const std::size_t at = text.find(from);
     EXPECT_NE(at, string::npos) << from;
-    return error(text.replace(at, from.size(), to));
+    return readError(text.replace(at, from.size(), to));
   };
-  EXPECT_EQ(error(file()), "none");
+  EXPECT_EQ(readError(tokenizerJson()), "none");
   EXPECT_EQ(replaced("\"truncation\":null", "\"truncation\":{}"), "file: truncation: is not supported");
   EXPECT_EQ(replaced("\"version\":\"1.0\"", "\"version\":\"1.0\",\"colour\":1"),
             "file: colour: is not known");
@@ -360,42 +363,43 @@
             "file: model.vocab: no token for the octet 65: not a byte-level vocabulary");
   EXPECT_EQ(replaced("\"decoder\":{\"type\":\"ByteLevel\"}", "\"decoder\":{\"type\":\"Metaspace\"}"),
             "file: decoder.type: \"Metaspace\" is not supported; ByteLevel is");
-  EXPECT_NE(error("{"), "none");
-  EXPECT_NE(error(string(100'000, '[')), "none");
+  EXPECT_NE(readError("{"), "none");
+  EXPECT_NE(readError(string(100'000, '[')), "none");
 }
 
-TEST(HuggingFace, ComposesFirstWhereTheFileSaysSo) {
+TEST(HuggingFace, NormalisesToNfcIfConfigured) {
   Workspace workspace;
-  string text = file();
+  string text = tokenizerJson();
   text.replace(text.find("\"normalizer\":null"), 17, R"("normalizer":{"type":"NFC"})");
-  const auto t = readHuggingFace("file", text);
-  EXPECT_EQ(encode(*t, "e\u0301", {}, workspace), encode(*t, "é", {}, workspace));
-  // A mark behind an added token is not composed with its last letter, for the token is found before.
-  EXPECT_EQ(encode(*t, "<x>\u0338", {}, workspace).front(), 300U);
+  const auto loaded = readHuggingFace("file", text);
+  EXPECT_EQ(encode(*loaded, "e\u0301", {}, workspace), encode(*loaded, "é", {}, workspace));
+  // A combining mark after an added token is not composed with the token's last character, since added tokens
+  // are matched before normalisation.
+  EXPECT_EQ(encode(*loaded, "<x>\u0338", {}, workspace).front(), 300U);
 }
 
 TEST(Ranks, ErrorsNameTheLine) {
   FileOptions options;
   options.pattern = "cl100k_base";
-  const auto what = [&](const string& bytes) -> string {
+  const auto readRanksError = [&](const string& bytes) -> string {
     try {
       readRanks("file", bytes, options);
     } catch (const FileError& e) { return e.what(); }
     return "none";
   };
   const string good = fake_engine::madeRanks(1, 20);
-  EXPECT_EQ(what(good), "none");
-  EXPECT_EQ(what(good + "QUI"), "file: line 277: no token in base 64 and its rank");
-  EXPECT_EQ(what(good + "QUI 5"), "file: line 277: no token in base 64 and its rank");
-  EXPECT_EQ(what(good + "QUJDRA== 5"), "file: line 277: id 5 is told twice");
-  EXPECT_EQ(what(good + "QUJDRA== x"), "file: line 277: the rank is no number");
-  EXPECT_EQ(what("QUJDRA== 5\n"), "file: no token for the octet 0: not a byte-level vocabulary");
+  EXPECT_EQ(readRanksError(good), "none");
+  EXPECT_EQ(readRanksError(good + "QUI"), "file: line 277: no token in base 64 and its rank");
+  EXPECT_EQ(readRanksError(good + "QUI 5"), "file: line 277: no token in base 64 and its rank");
+  EXPECT_EQ(readRanksError(good + "QUJDRA== 5"), "file: line 277: id 5 is told twice");
+  EXPECT_EQ(readRanksError(good + "QUJDRA== x"), "file: line 277: the rank is no number");
+  EXPECT_EQ(readRanksError("QUJDRA== 5\n"), "file: no token for the octet 0: not a byte-level vocabulary");
   options.pattern.clear();
-  EXPECT_EQ(what(good), "file: pattern: a ranks file needs one told beside it");
+  EXPECT_EQ(readRanksError(good), "file: pattern: a ranks file needs one told beside it");
   options.pattern = "a*";
-  EXPECT_EQ(what(good), "file: pattern: may match nothing");
+  EXPECT_EQ(readRanksError(good), "file: pattern: may match nothing");
   options.pattern = "(?<n>a)";
-  EXPECT_EQ(what(good), "file: pattern, octet 0: the group (?<n is not supported");
+  EXPECT_EQ(readRanksError(good), "file: pattern, octet 0: the group (?<n is not supported");
 }
 
 }  // namespace
