--- a/bench/counting_bench.cpp
+++ b/bench/counting_bench.cpp
@@ -42,7 +42,7 @@
       map_.erase(order_.back().first);
       order_.pop_back();
     }
-    order_.emplace_front(key, tokeniser::Mark{});
+    order_.emplace_front(key, tokeniser::EncodingPosition{});
     map_[key] = order_.begin();
   }
   std::size_t size() const { return map_.size(); }
@@ -54,8 +54,8 @@
     std::size_t operator()(const Digest& d) const { return static_cast<std::size_t>(d.low); }
   };
   std::size_t most_;
-  std::list<std::pair<Digest, tokeniser::Mark>> order_;
-  std::unordered_map<Digest, std::list<std::pair<Digest, tokeniser::Mark>>::iterator, Hash> map_;
+  std::list<std::pair<Digest, tokeniser::EncodingPosition>> order_;
+  std::unordered_map<Digest, std::list<std::pair<Digest, tokeniser::EncodingPosition>>::iterator, Hash> map_;
 };
 
 // Keys by a Zipf law, and a share of floods: keys that come once.
--- a/src/counting/count_cache.cpp
+++ b/src/counting/count_cache.cpp
@@ -69,7 +69,7 @@
   link(oldest, probation);
 }
 
-std::optional<tokeniser::Mark> CountCache::find(const Digest& key) {
+std::optional<tokeniser::EncodingPosition> CountCache::find(const Digest& key) {
   sketch_.add(key);
   const std::uint32_t at = lookup(key);
   if (at == kNone) {
@@ -78,10 +78,10 @@
   }
   ++counters_.found;
   touch(at);
-  return tokeniser::Mark{entries_[at].at, entries_[at].tokens};
+  return tokeniser::EncodingPosition{entries_[at].at, entries_[at].tokens};
 }
 
-void CountCache::put(const Digest& key, const tokeniser::Mark& mark) {
+void CountCache::put(const Digest& key, const tokeniser::EncodingPosition& mark) {
   if (mark.at > 0xffffffff || mark.tokens > 0xffffffff) return;
   ++counters_.put;
   std::uint32_t at = lookup(key);
--- a/src/counting/count_cache.h
+++ b/src/counting/count_cache.h
@@ -35,8 +35,8 @@
   explicit CountCache(std::size_t bytes);
 
   // Marks with places or counts of 2^32 and more are not kept.
-  std::optional<tokeniser::Mark> find(const Digest& key);
-  void put(const Digest& key, const tokeniser::Mark& mark);
+  std::optional<tokeniser::EncodingPosition> find(const Digest& key);
+  void put(const Digest& key, const tokeniser::EncodingPosition& mark);
 
   std::size_t size() const { return used_; }
   std::size_t capacity() const { return entries_.size(); }
--- a/src/counting/counter.cpp
+++ b/src/counting/counter.cpp
@@ -48,7 +48,7 @@
       if (open.bytes <= options_.lookBytes && !options_.sessionIds && part.count->remembered()) {
         part.known = true;
         ++counters_.remembered;
-      } else if (open.bytes <= options_.inlineBytes && t.tokeniser->inParts()) {
+      } else if (open.bytes <= options_.inlineBytes && t.tokeniser->supportsIncrementalEncoding()) {
         while (part.count->slice(options_.inlineBytes) > 0) {}
         part.known = true;
         ++counters_.inLoop;
--- a/src/counting/prompt_count.cpp
+++ b/src/counting/prompt_count.cpp
@@ -6,14 +6,14 @@
 
 namespace garnethook::counting {
 
-using tokeniser::Mark;
+using tokeniser::EncodingPosition;
 
-std::optional<Mark> CountStore::find(const Digest& key) {
+std::optional<EncodingPosition> CountStore::find(const Digest& key) {
   const std::lock_guard lock(mutex_);
   return cache_.find(key);
 }
 
-void CountStore::put(const Digest& key, const Mark& mark) {
+void CountStore::put(const Digest& key, const EncodingPosition& mark) {
   const std::lock_guard lock(mutex_);
   cache_.put(key, mark);
 }
@@ -53,7 +53,8 @@
 void CountStore::giveBack(std::unique_ptr<Tools> tools) {
   // A workspace that grew with a very long piece is not kept.
   constexpr std::size_t kMostKept = 4u << 20;
-  const std::size_t size = tools->workspace.pieces.row.capacity() * 4 + tools->workspace.ids.capacity() * 4;
+  const std::size_t size =
+      tools->workspace.pieces.sequence.capacity() * 4 + tools->workspace.ids.capacity() * 4;
   if (size > kMostKept) return;
   const std::lock_guard lock(toolsMutex_);
   if (tools_.size() < 16) tools_.push_back(std::move(tools));
@@ -92,8 +93,8 @@
   if (!prepared_) prepare(*tools);
   Beginnings beginnings(tools->digester, identity_, text_);
   const auto whole = store_.find(beginnings.whole());
-  const auto shared =
-      sharedBytes_ > 0 && whole ? store_.find(beginnings.at(sharedBytes_)) : std::optional(Mark{});
+  const auto shared = sharedBytes_ > 0 && whole ? store_.find(beginnings.at(sharedBytes_))
+                                                : std::optional(EncodingPosition{});
   store_.giveBack(std::move(tools));
   if (!whole || !shared) return false;
   mark_ = *whole;
@@ -103,7 +104,7 @@
 }
 
 // The furthest remembered beginning that is no longer than `most`.
-Mark PromptCount::remember(Beginnings& beginnings, std::size_t most) {
+EncodingPosition PromptCount::remember(Beginnings& beginnings, std::size_t most) {
   if (sharedBytes_ > 0 && sharedBytes_ <= most)
     if (const auto found = store_.find(beginnings.at(sharedBytes_)); found && most - sharedBytes_ < kStep) {
       limit_ = sharedBytes_;
@@ -122,7 +123,7 @@
 // is longer than that, at twice its part seen so far, so that looking at it again and again costs no more
 // than twice its length.
 std::size_t PromptCount::nextLimit() const {
-  if (!order_.tokeniser->inParts()) return text_.size();
+  if (!order_.tokeniser->supportsIncrementalEncoding()) return text_.size();
   const std::size_t seen = limit_ > mark_.at ? limit_ - mark_.at : 0;
   const std::size_t after = std::max(limit_ + 1, seen > kStep ? mark_.at + 2 * seen : 0);
   std::size_t next = (after + kStep - 1) / kStep * kStep;
@@ -135,7 +136,7 @@
   if (!prepared_) prepare(*tools);
   if (!beginnings_) {
     beginnings_.emplace(tools->digester, identity_, text_);
-    keepsIds_ = !order_.session.empty() && order_.tokeniser->inParts();
+    keepsIds_ = !order_.session.empty() && order_.tokeniser->supportsIncrementalEncoding();
     if (keepsIds_) {
       session_ = tools->digester.of(identity_, 'c', order_.session);
       const auto turn = store_.turn(session_);
@@ -173,7 +174,7 @@
   const std::size_t from = mark_.at;
   while (limit_ < text_.size() || mark_.at < text_.size()) {
     const std::size_t limit = nextLimit();
-    const Mark before = mark_;
+    const EncodingPosition before = mark_;
     mark_ = order_.tokeniser->advance(text_, mark_, limit, options_, tools->workspace,
                                       keepsIds_ ? &ids_ : nullptr);
     result_.encoded += mark_.at - before.at;
--- a/src/counting/prompt_count.h
+++ b/src/counting/prompt_count.h
@@ -32,8 +32,8 @@
   };
   explicit CountStore(const Options& options) : cache_(options.countBytes), sessions_(options.sessionBytes) {}
 
-  std::optional<tokeniser::Mark> find(const Digest& key);
-  void put(const Digest& key, const tokeniser::Mark& mark);
+  std::optional<tokeniser::EncodingPosition> find(const Digest& key);
+  void put(const Digest& key, const tokeniser::EncodingPosition& mark);
   std::optional<SessionTokens::Turn> turn(const Digest& session);
   void keep(const Digest& session, SessionTokens::Turn turn);
   const DigestKey& key() const { return key_; }
@@ -92,7 +92,7 @@
   void prepare(CountStore::Tools& tools);
   void finish();
   std::size_t nextLimit() const;
-  tokeniser::Mark remember(Beginnings& beginnings, std::size_t most);
+  tokeniser::EncodingPosition remember(Beginnings& beginnings, std::size_t most);
 
   CountStore& store_;
   CountOrder order_;
@@ -107,7 +107,7 @@
   bool keepsIds_ = false;
   Digest session_;
   std::vector<tokeniser::TokenId> ids_;
-  tokeniser::Mark mark_;
+  tokeniser::EncodingPosition mark_;
   std::size_t limit_ = 0;  // of the last advance
   std::size_t sharedBytes_ = 0;
   SessionTokens::Turn turn_;
--- a/src/counting/session_tokens.h
+++ b/src/counting/session_tokens.h
@@ -20,7 +20,7 @@
   struct Turn {
     std::size_t bytes = 0;                      // the beginning of the text that `beginning` names
     Digest beginning;                           // of tokeniser and options too
-    tokeniser::Mark mark;                       // how far its tokens are certain
+    tokeniser::EncodingPosition mark;           // how far its tokens are certain
     std::shared_ptr<const TokenBlocks> tokens;  // of text[0, mark.at)
   };
   explicit SessionTokens(std::size_t bytes) : most_(bytes) {}
--- a/src/fake_engine/own_tokeniser.cpp
+++ b/src/fake_engine/own_tokeniser.cpp
@@ -61,7 +61,7 @@
 void OwnTokeniser::plain(std::string_view text, std::vector<std::uint32_t>& ids) const {
   tokeniser::Pattern::Match match;
   for (std::size_t at = 0; at < text.size(); at = match.end) {
-    if (pattern_.next(text, at, false, match, workspace_) != tokeniser::Pattern::Look::found) break;
+    if (pattern_.next(text, at, false, match, workspace_) != tokeniser::Pattern::SearchResult::found) break;
     merge(std::string(text.substr(match.begin, match.end - match.begin)), ids);
   }
 }
--- a/src/tokeniser/byte_level.cpp
+++ b/src/tokeniser/byte_level.cpp
@@ -39,9 +39,9 @@
   return output;
 }
 
-Mark ByteLevelTokeniser::advance(std::string_view text, Mark from, std::size_t limit,
-                                 const TextOptions& options, Workspace& workspace,
-                                 std::vector<TokenId>* ids) const {
+EncodingPosition ByteLevelTokeniser::advance(std::string_view text, EncodingPosition from, std::size_t limit,
+                                             const TextOptions& options, Workspace& workspace,
+                                             std::vector<TokenId>* ids) const {
   auto& output = ids != nullptr ? *ids : workspace.ids;
   if (ids == nullptr) output.clear();
   const std::size_t before = output.size();
@@ -53,7 +53,7 @@
   std::size_t beginLimit = visible.size();
   if (!isWholeText && maxAddedLength > 1)
     beginLimit = characterStart(text, beginLimit - std::min(beginLimit, maxAddedLength - 1));
-  Mark mark = from;
+  EncodingPosition mark = from;
   while (mark.at < beginLimit) {
     const auto found = components_->added.find(visible, mark.at, beginLimit, options.specialTokens);
     const std::size_t to = found ? found->begin : beginLimit;
@@ -75,11 +75,11 @@
   while (at < segment.size()) {
     Pattern::Match match;
     switch (components_->patterns[0].next(segment, at, !isFinal, match, workspace.pattern)) {
-      case Pattern::Look::uncertain: return from + at;
-      case Pattern::Look::none:
+      case Pattern::SearchResult::uncertain: return from + at;
+      case Pattern::SearchResult::none:
         if (components_->keepUnmatchedText) splitAndEncode(segment.substr(at), 1, workspace, ids);
         return to;
-      case Pattern::Look::found: break;
+      case Pattern::SearchResult::found: break;
     }
     if (match.begin > at && components_->keepUnmatchedText)
       splitAndEncode(segment.substr(at, match.begin - at), 1, workspace, ids);
@@ -96,7 +96,7 @@
   while (at < text.size()) {
     Pattern::Match match;
     if (components_->patterns[level].next(text, at, false, match, workspace.pattern) !=
-        Pattern::Look::found) {
+        Pattern::SearchResult::found) {
       if (components_->keepUnmatchedText) splitAndEncode(text.substr(at), level + 1, workspace, ids);
       return;
     }
--- a/src/tokeniser/byte_level.h
+++ b/src/tokeniser/byte_level.h
@@ -29,8 +29,9 @@
   explicit ByteLevelTokeniser(std::unique_ptr<ByteLevelComponents> components);
 
   std::optional<std::string> normalised(std::string_view text, const TextOptions& options) const override;
-  Mark advance(std::string_view text, Mark from, std::size_t limit, const TextOptions& options,
-               Workspace& workspace, std::vector<TokenId>* ids) const override;
+  EncodingPosition advance(std::string_view text, EncodingPosition from, std::size_t limit,
+                           const TextOptions& options, Workspace& workspace,
+                           std::vector<TokenId>* ids) const override;
   std::span<const TokenId> before() const override { return components_->before; }
   std::span<const TokenId> behind() const override { return components_->behind; }
   std::string bytes(TokenId id) const override;
--- a/src/tokeniser/pattern.cpp
+++ b/src/tokeniser/pattern.cpp
@@ -286,18 +286,18 @@
 Pattern::Pattern(Pattern&&) noexcept = default;
 Pattern& Pattern::operator=(Pattern&&) noexcept = default;
 
-Pattern::Look Pattern::next(std::string_view text, std::size_t from, bool more, Match& match,
-                            Workspace& workspace) const {
+Pattern::SearchResult Pattern::next(std::string_view text, std::size_t from, bool more, Match& match,
+                                    Workspace& workspace) const {
   const auto& state = *workspace.state_;
   const int found = pcre2_jit_match(code_->code, reinterpret_cast<PCRE2_SPTR>(text.data()), text.size(), from,
                                     more ? PCRE2_PARTIAL_HARD : 0, state.data, state.context);
   if (found >= 0) {
     const std::size_t* at = pcre2_get_ovector_pointer(state.data);
     match = {at[0], at[1]};
-    return Look::found;
+    return SearchResult::found;
   }
-  if (found == PCRE2_ERROR_PARTIAL) return Look::uncertain;
-  if (found == PCRE2_ERROR_NOMATCH) return more ? Look::uncertain : Look::none;
+  if (found == PCRE2_ERROR_PARTIAL) return SearchResult::uncertain;
+  if (found == PCRE2_ERROR_NOMATCH) return more ? SearchResult::uncertain : SearchResult::none;
   throw std::runtime_error("the pattern's match memory is used up (PCRE2 " + std::to_string(found) + ")");
 }
 
--- a/src/tokeniser/pattern.h
+++ b/src/tokeniser/pattern.h
@@ -44,7 +44,7 @@
   Pattern(Pattern&&) noexcept;
   Pattern& operator=(Pattern&&) noexcept;
 
-  enum class Look {
+  enum class SearchResult {
     found,
     none,       // no match in the rest of the text
     uncertain,  // text that follows may change the result
@@ -56,7 +56,8 @@
   // Finds the first match at or after `from`. The text must be well-formed UTF-8 that ends on a character
   // boundary. `more`: further text may follow; `found` is then returned only if the matcher did not inspect
   // the end of the text. Throws std::runtime_error if the match memory (64 MiB) is exhausted.
-  Look next(std::string_view text, std::size_t from, bool more, Match& match, Workspace& workspace) const;
+  SearchResult next(std::string_view text, std::size_t from, bool more, Match& match,
+                    Workspace& workspace) const;
 
  private:
   struct Code;
--- a/src/tokeniser/piece_encoder.cpp
+++ b/src/tokeniser/piece_encoder.cpp
@@ -146,29 +146,30 @@
 
 bool PieceEncoder::encodeOrdered(std::string_view piece, std::vector<TokenId>& ids,
                                  Workspace& workspace) const {
-  auto& row = workspace.row;
+  auto& sequence = workspace.sequence;
   auto& deadEnds = workspace.deadEnds;
-  row.clear();
+  sequence.clear();
   deadEnds.assign(piece.size() / 64 + 1, 0);
   std::size_t at = 0;
   std::uint32_t next = longestPrefix(piece);
   while (at < piece.size()) {
     const std::size_t end = at + tokens_[next].length;
-    if ((deadEnds[end / 64] >> (end % 64) & 1) == 0 && (row.empty() || areCompatible(row.back(), next))) {
-      row.push_back(next);
+    if ((deadEnds[end / 64] >> (end % 64) & 1) == 0 &&
+        (sequence.empty() || areCompatible(sequence.back(), next))) {
+      sequence.push_back(next);
       at = end;
       if (at < piece.size()) next = longestPrefix(piece.substr(at));
     } else if (tokens_[next].shorterPrefix != kNone) {
       next = tokens_[next].shorterPrefix;
     } else {
-      if (row.empty()) return false;
+      if (sequence.empty()) return false;
       deadEnds[at / 64] |= std::uint64_t{1} << (at % 64);
-      next = row.back();
-      row.pop_back();
+      next = sequence.back();
+      sequence.pop_back();
       at -= tokens_[next].length;
     }
   }
-  for (const std::uint32_t number : row) ids.push_back(tokens_[number].id);
+  for (const std::uint32_t number : sequence) ids.push_back(tokens_[number].id);
   return true;
 }
 
--- a/src/tokeniser/piece_encoder.h
+++ b/src/tokeniser/piece_encoder.h
@@ -27,7 +27,7 @@
  public:
   // Scratch memory of one thread; grows with the longest piece, up to 4 1/8 bytes for each byte of text.
   struct Workspace {
-    std::vector<std::uint32_t> row;
+    std::vector<std::uint32_t> sequence;
     std::vector<std::uint64_t> deadEnds;
   };
 
--- a/src/tokeniser/sentencepiece_process.cpp
+++ b/src/tokeniser/sentencepiece_process.cpp
@@ -130,8 +130,8 @@
   std::optional<std::string> normalised(std::string_view, const TextOptions&) const override {
     return std::nullopt;
   }
-  Mark advance(std::string_view text, Mark from, std::size_t limit, const TextOptions&, Workspace&,
-               std::vector<TokenId>* ids) const override {
+  EncodingPosition advance(std::string_view text, EncodingPosition from, std::size_t limit,
+                           const TextOptions&, Workspace&, std::vector<TokenId>* ids) const override {
     if (limit < text.size() || from.at >= text.size()) return from;
     std::vector<std::uint32_t> output;
     encode(text, output);
@@ -141,7 +141,7 @@
   std::span<const TokenId> before() const override { return before_; }
   std::span<const TokenId> behind() const override { return behind_; }
   std::string bytes(TokenId) const override { return {}; }
-  bool inParts() const override { return false; }
+  bool supportsIncrementalEncoding() const override { return false; }
   std::size_t memory() const override { return sizeof *this; }  // the model is in the helper process
   std::string describe() const override { return "SentencePiece, " + std::to_string(tokens_) + " tokens"; }
 
--- a/src/tokeniser/tokeniser.h
+++ b/src/tokeniser/tokeniser.h
@@ -22,10 +22,10 @@
 };
 
 // A position in a text up to which its tokens are final.
-struct Mark {
+struct EncodingPosition {
   std::size_t at = 0;      // bytes
   std::size_t tokens = 0;  // number of tokens in [0, at)
-  friend bool operator==(const Mark&, const Mark&) = default;
+  friend bool operator==(const EncodingPosition&, const EncodingPosition&) = default;
 };
 
 // Scratch memory of one thread.
@@ -43,13 +43,14 @@
   // unchanged. The text must be well-formed UTF-8.
   virtual std::optional<std::string> normalised(std::string_view text, const TextOptions& options) const = 0;
 
-  // Encodes text[from.at, limit) and returns the position reached. `from` is the default Mark or one that an
-  // earlier call returned. With limit == text.size() the whole text is encoded. Otherwise encoding stops
-  // where the tokens are no longer the same for EVERY text that begins with text[0, limit), which may be at
-  // `from`; no byte at or after `limit` is read. Appends the ids to `ids` unless it is null. The text must be
-  // well-formed and normalised. Throws std::runtime_error if the match memory is exhausted.
-  virtual Mark advance(std::string_view text, Mark from, std::size_t limit, const TextOptions& options,
-                       Workspace& workspace, std::vector<TokenId>* ids) const = 0;
+  // Encodes text[from.at, limit) and returns the position reached. `from` is the default EncodingPosition or
+  // one that an earlier call returned. With limit == text.size() the whole text is encoded. Otherwise
+  // encoding stops where the tokens are no longer the same for EVERY text that begins with text[0, limit),
+  // which may be at `from`; no byte at or after `limit` is read. Appends the ids to `ids` unless it is null.
+  // The text must be well-formed and normalised. Throws std::runtime_error if the match memory is exhausted.
+  virtual EncodingPosition advance(std::string_view text, EncodingPosition from, std::size_t limit,
+                                   const TextOptions& options, Workspace& workspace,
+                                   std::vector<TokenId>* ids) const = 0;
 
   // Tokens placed before and after every text.
   virtual std::span<const TokenId> before() const { return {}; }
@@ -58,7 +59,7 @@
   virtual std::string bytes(TokenId id) const = 0;
   // Returns whether texts can be encoded in parts; if false, advance() makes progress only with the whole
   // text.
-  virtual bool inParts() const { return true; }
+  virtual bool supportsIncrementalEncoding() const { return true; }
   virtual std::size_t memory() const = 0;  // bytes, approximate
   virtual std::string describe() const = 0;
 };
--- a/tests/counting_test.cpp
+++ b/tests/counting_test.cpp
@@ -175,7 +175,7 @@
   std::size_t kept = 0;
   for (std::size_t i = 0; i < hot; ++i)
     if (const auto found = cache.find(key("hot" + std::to_string(i)))) {
-      EXPECT_EQ(*found, (tokeniser::Mark{i, i + 1}));
+      EXPECT_EQ(*found, (tokeniser::EncodingPosition{i, i + 1}));
       ++kept;
     }
   EXPECT_GT(kept, hot * 9 / 10);
@@ -237,13 +237,14 @@
   std::optional<string> normalised(std::string_view, const tokeniser::TextOptions&) const override {
     return std::nullopt;
   }
-  tokeniser::Mark advance(std::string_view text, tokeniser::Mark, std::size_t, const tokeniser::TextOptions&,
-                          tokeniser::Workspace&, std::vector<tokeniser::TokenId>*) const override {
+  tokeniser::EncodingPosition advance(std::string_view text, tokeniser::EncodingPosition, std::size_t,
+                                      const tokeniser::TextOptions&, tokeniser::Workspace&,
+                                      std::vector<tokeniser::TokenId>*) const override {
     open_.wait();
     return {text.size(), 1};
   }
   string bytes(tokeniser::TokenId) const override { return {}; }
-  bool inParts() const override { return false; }
+  bool supportsIncrementalEncoding() const override { return false; }
   std::size_t memory() const override { return 0; }
   string describe() const override { return "hanging"; }
 
--- a/tests/fuzz/tokenisers.cpp
+++ b/tests/fuzz/tokenisers.cpp
@@ -70,7 +70,7 @@
   const std::string& final = changed ? *changed : text;
   require(decode(loaded, ids) == final);
   std::vector<TokenId> parts;
-  Mark mark;
+  EncodingPosition mark;
   for (const std::size_t limit : {final.size() / 3, final.size() / 2, final.size()})
     mark = loaded.advance(final, mark, limit, options, workspace, &parts);
   require(parts == ids);
--- a/tests/tokeniser_test.cpp
+++ b/tests/tokeniser_test.cpp
@@ -247,7 +247,8 @@
         const string prefix = randomText(seed, 1 + seed % 25);
         const string prefixAndMore = prefix + "x";
         std::vector<TokenId> ids;
-        const Mark mark = loaded->advance(prefixAndMore, {}, prefix.size(), options, workspace, &ids);
+        const EncodingPosition mark =
+            loaded->advance(prefixAndMore, {}, prefix.size(), options, workspace, &ids);
         ASSERT_LE(mark.at, prefix.size());
         ASSERT_EQ(mark.tokens, ids.size());
         finalBytes += mark.at;
@@ -256,7 +257,7 @@
           std::vector<TokenId> whole;
           loaded->advance(text, {}, text.size(), options, workspace, &whole);
           std::vector<TokenId> parts = ids;
-          const Mark end = loaded->advance(text, mark, text.size(), options, workspace, &parts);
+          const EncodingPosition end = loaded->advance(text, mark, text.size(), options, workspace, &parts);
           ASSERT_EQ(parts, whole) << pattern << ": " << prefix << " | " << text.substr(prefix.size());
           ASSERT_EQ(end.tokens, whole.size());
         }
@@ -275,7 +276,7 @@
       std::vector<TokenId> whole;
       loaded->advance(text, {}, text.size(), {}, workspace, &whole);
       std::vector<TokenId> parts;
-      Mark mark;
+      EncodingPosition mark;
       std::size_t limit = 0;
       for (const auto step : steps) {
         limit += step % 32;
