--- a/src/tokeniser/huggingface_file.cpp
+++ b/src/tokeniser/huggingface_file.cpp
@@ -18,8 +18,8 @@
   ByteAlphabet() {
     char32_t next = 256;
     for (unsigned byte = 0; byte < 256; ++byte) {
-      const bool itself = (byte >= 33 && byte <= 126) || (byte >= 161 && byte <= 172) || byte >= 174;
-      const char32_t c = itself ? byte : next++;
+      const bool isPrintable = (byte >= 33 && byte <= 126) || (byte >= 161 && byte <= 172) || byte >= 174;
+      const char32_t c = isPrintable ? byte : next++;
       bytes_[c] = static_cast<std::uint8_t>(byte);
       isMember_[c] = true;
     }
--- a/src/tokeniser/tokeniser.cpp
+++ b/src/tokeniser/tokeniser.cpp
@@ -9,10 +9,10 @@
 
 std::vector<TokenId> encode(const Tokeniser& tokeniser, std::string_view text, const TextOptions& options,
                             Workspace& workspace) {
-  const auto good = repaired(text);
-  const std::string_view whole = good ? std::string_view(*good) : text;
-  const auto changed = tokeniser.normalised(whole, options);
-  const std::string_view final = changed ? std::string_view(*changed) : whole;
+  const auto repairedText = repaired(text);
+  const std::string_view wellFormedText = repairedText ? std::string_view(*repairedText) : text;
+  const auto normalisedText = tokeniser.normalised(wellFormedText, options);
+  const std::string_view final = normalisedText ? std::string_view(*normalisedText) : wellFormedText;
   std::vector<TokenId> ids;
   if (options.frame) ids.assign(tokeniser.before().begin(), tokeniser.before().end());
   tokeniser.advance(final, {}, final.size(), options, workspace, &ids);
@@ -27,14 +27,14 @@
 }
 
 std::shared_ptr<const Tokeniser> loadFile(const std::string& path, const FileOptions& options) {
-  constexpr std::streamoff kMost = 256 << 20;
-  std::ifstream in(path, std::ios::binary | std::ios::ate);
-  if (!in) throw FileError(path + ": can't be read");
-  const std::streamoff size = in.tellg();
-  if (size > kMost) throw FileError(path + ": has more than 256 MiB");
+  constexpr std::streamoff kMaxFileBytes = 256 << 20;
+  std::ifstream input(path, std::ios::binary | std::ios::ate);
+  if (!input) throw FileError(path + ": can't be read");
+  const std::streamoff size = input.tellg();
+  if (size > kMaxFileBytes) throw FileError(path + ": has more than 256 MiB");
   std::string bytes(static_cast<std::size_t>(std::max<std::streamoff>(size, 0)), '\0');
-  in.seekg(0);
-  if (!in.read(bytes.data(), static_cast<std::streamsize>(bytes.size())))
+  input.seekg(0);
+  if (!input.read(bytes.data(), static_cast<std::streamsize>(bytes.size())))
     throw FileError(path + ": can't be read");
   switch (options.format) {
     case Format::ranks: return readRanks(path, bytes, options);
--- a/tests/tokeniser_test.cpp
+++ b/tests/tokeniser_test.cpp
@@ -245,10 +245,10 @@
       for (const bool special : {false, true}) {
         const TextOptions options{special, true};
         const string prefix = randomText(seed, 1 + seed % 25);
-        const string prefixAndMore = prefix + "x";
+        const string continuedText = prefix + "x";
         std::vector<TokenId> ids;
         const EncodingPosition mark =
-            loaded->advance(prefixAndMore, {}, prefix.size(), options, workspace, &ids);
+            loaded->advance(continuedText, {}, prefix.size(), options, workspace, &ids);
         ASSERT_LE(mark.at, prefix.size());
         ASSERT_EQ(mark.tokens, ids.size());
         finalBytes += mark.at;
