--- a/src/platform/process/router_options.cpp
+++ b/src/platform/process/router_options.cpp
@@ -22,12 +22,12 @@
   options.maxPendingRequests = budget.clientConnections;
   if (deployment.maxOpenRequests > 0)
     options.maxPendingRequests = std::min(options.maxPendingRequests, deployment.maxOpenRequests);
-  options.streamGuard.stallTimeout = kStreamSilenceTimeout;
+  options.streamGuard.stallTimeout = kStreamStallTimeout;
   options.streamGuard.deadlineMargin = 0;
   options.streamGuard.enforcesDeadline = false;
   const Micros releaseTimeout = deployment.settings.kvReleaseTimeout;
   options.kvReservations.kvReleaseTimeout = releaseTimeout > 0 ? releaseTimeout : kDefaultKvReleaseTimeout;
-  options.kvReservations.releaseSparesAwaited = true;
+  options.kvReservations.releaseSkipsAwaitedState = true;
   return options;
 }
 
@@ -39,10 +39,11 @@
   options.controlTimeout = options.connectTimeout;
   options.idleTimeout = engineIdleTimeout(config.deployment.engineIdleTimeout);
   options.connections = budget.attemptConnections;
-  options.allConnections = budget.attemptConnections;
+  options.totalConnections = budget.attemptConnections;
   options.controlConnections = budget.controlConnections;
-  options.message = {
-      .headBytes = kMaxEngineHeadBytes, .bodyBytes = kMaxEngineBodyBytes, .chunkLine = kMaxChunkLineBytes};
+  options.message = {.headBytes = kMaxEngineHeadBytes,
+                     .bodyBytes = kMaxEngineBodyBytes,
+                     .chunkLineBytes = kMaxChunkLineBytes};
   return options;
 }
 
--- a/src/policy/rejection_estimator.h
+++ b/src/policy/rejection_estimator.h
@@ -1,5 +1,5 @@
 /// @file
-/// Time that is lost to rejections at an endpoint before it takes a request.
+/// Estimates the time lost to rejections at an endpoint until it accepts a request.
 #pragma once
 
 #include <algorithm>
@@ -9,47 +9,51 @@
 
 namespace garnethook::policy {
 
-/// Guards against endpoints that reject slowly and show no load; where rejections are quick they cost next to
-/// nothing.
+/// Adds the cost of rejections to the expected time at an endpoint. Prevents routing to endpoints that reject
+/// slowly without reporting load; fast rejections have almost no cost.
 class RejectionEstimator {
  public:
-  /// Takes the time from `context`.
+  /// `context` provides the current time.
   explicit RejectionEstimator(const DecisionContext& context) : context_(context) {}
 
-  /// Expected time until a request is taken there, by the latest rejections.
+  /// Expected time until the endpoint accepts a request, based on its recent rejections.
   EstimatedTime expectedTime(const Endpoint& endpoint) const {
     const double share = recentShare(endpoint);
-    return endpoint.rejections.time_ * share / std::max(kMinAcceptance, 1 - share);
+    return endpoint.rejections.rejectionTime_ * share / std::max(kMinAcceptanceShare, 1 - share);
   }
-  /// Whether the endpoint is left alone for a moment after a rejection.
+  /// Whether the endpoint is in its back-off period after a rejection.
   bool isBackingOff(const Endpoint& endpoint) const {
-    return context_.now() < endpoint.rejections.fullUntil_;
+    return context_.now() < endpoint.rejections.backOffUntil_;
   }
 
-  /// Takes in a rejection; the endpoint is then left alone for `backOff`.
+  /// Records a rejection and starts a back-off period of length `backOff`.
   void recordRejection(Endpoint& endpoint, const InFlightAttempt& attempt, EstimatedTime backOff) const {
     learn(endpoint, 1);
     RejectionRecord& record = endpoint.rejections;
-    const EstimatedTime took = context_.elapsedSince(attempt.sentAt);
-    record.time_ += record.time_ == EstimatedTime::zero() ? took : kSampleWeight * (took - record.time_);
-    record.fullUntil_ = context_.now() + toMicros(backOff);
+    const EstimatedTime elapsed = context_.elapsedSince(attempt.sentAt);
+    record.rejectionTime_ += record.rejectionTime_ == EstimatedTime::zero()
+                                 ? elapsed
+                                 : kSampleWeight * (elapsed - record.rejectionTime_);
+    record.backOffUntil_ = context_.now() + toMicros(backOff);
   }
-  /// Takes in an attempt that was accepted.
+  /// Records an accepted attempt.
   void recordAcceptance(Endpoint& endpoint) const {
-    if (endpoint.rejections.share_ != 0) learn(endpoint, 0);
+    if (endpoint.rejections.rejectedShare_ != 0) learn(endpoint, 0);
   }
 
  private:
   static constexpr double kSampleWeight = 0.2;
   static constexpr EstimatedTime kLifetime = std::chrono::seconds(4);
-  static constexpr double kMinAcceptance = 0.1;  // least share of attempts that are thought to be accepted
+  // Lower bound of the estimated share of accepted attempts.
+  static constexpr double kMinAcceptanceShare = 0.1;
 
   double recentShare(const Endpoint& endpoint) const {
-    return endpoint.rejections.share_ * context_.freshness(endpoint.rejections.observedAt_, kLifetime);
+    return endpoint.rejections.rejectedShare_ *
+           context_.freshness(endpoint.rejections.observedAt_, kLifetime);
   }
   void learn(Endpoint& endpoint, double rejected) const {
     const double share = recentShare(endpoint);
-    endpoint.rejections.share_ = share + kSampleWeight * (rejected - share);
+    endpoint.rejections.rejectedShare_ = share + kSampleWeight * (rejected - share);
     endpoint.rejections.observedAt_ = context_.now();
   }
 
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -1,9 +1,10 @@
-// Dispatch of events, and the steps of a request. The modules that Impl holds decide what each step needs;
-// the order of the steps can be read off Impl::advance.
+// Dispatches events and drives each request through its phases. Impl::advance defines the order of the
+// phases; the modules that Impl owns make the decisions within each phase.
 //
-// The usual path follows MemServe: a request is prefilled where that costs least, by a fitted cost model of
-// prompt length and cached share plus the endpoint's queue, and is then decoded in that endpoint's cell where
-// most room is. Everything else acts only when something fails or is overloaded.
+// The normal path follows MemServe: a request is prefilled at the endpoint with the lowest cost, which is the
+// prediction of a fitted cost model of prompt length and cached share plus the endpoint's queueing delay. It
+// is then decoded in the cell of that endpoint, at the endpoint with the most free KV cache. All other logic
+// takes effect only on failures or overload.
 #include "policy/routing_policy.h"
 
 #include <algorithm>
@@ -43,40 +44,40 @@
 constexpr Micros kUpdateInterval = kSecond / 4;
 constexpr Micros kMinReevaluationDelay = 1000;
 
-// What a timer is for; its identifier holds the request's number and this.
+// The purpose of a timer. A TimerId encodes the request identifier and the purpose.
 enum class TimerPurpose : std::uint64_t { deadline, reevaluation, update, attemptTimeout };
-constexpr std::uint64_t kTimerPurposes = 4;
+constexpr std::uint64_t kTimerPurposeCount = 4;
 
-TimerId timerFor(RequestId id, TimerPurpose purpose) {
-  return {id.value * kTimerPurposes + static_cast<std::uint64_t>(purpose)};
+TimerId timerIdFor(RequestId id, TimerPurpose purpose) {
+  return {id.value * kTimerPurposeCount + static_cast<std::uint64_t>(purpose)};
 }
-TimerPurpose purposeOf(TimerId id) { return static_cast<TimerPurpose>(id.value % kTimerPurposes); }
-RequestId requestOf(TimerId id) { return {id.value / kTimerPurposes}; }
+TimerPurpose purposeOf(TimerId id) { return static_cast<TimerPurpose>(id.value % kTimerPurposeCount); }
+RequestId requestIdOf(TimerId id) { return {id.value / kTimerPurposeCount}; }
 
 }  // namespace
 
 class RoutingPolicy::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed)
-      : settings_(validated(settings)), context_(seed), ownOrder_{mixBits(seed + 1)} {}
+      : settings_(validated(settings)), context_(seed), routerKey_{mixBits(seed + 1)} {}
 
   void handle(Micros now, const Event& event, std::vector<Action>& actions) {
     context_.begin(now, actions);
     outliers_.invalidateOutages();
-    if (!isUpdating_) update();
-    std::visit([this](const auto& kindOfEvent) { on(kindOfEvent); }, event);
+    if (!isUpdateScheduled_) update();
+    std::visit([this](const auto& typedEvent) { on(typedEvent); }, event);
   }
 
  private:
   // ---- endpoints ----
 
-  void on(const EndpointUpdate& list) {
+  void on(const EndpointUpdate& endpointUpdate) {
     using Kind = EndpointUpdate::Kind;
-    isSubscribed_ = list.kind != Kind::failure && list.kind != Kind::staleCopy;
-    if (list.kind == Kind::failure) return;
-    if (list.kind != Kind::delta)
+    isSubscribed_ = endpointUpdate.kind != Kind::failure && endpointUpdate.kind != Kind::staleCopy;
+    if (endpointUpdate.kind == Kind::failure) return;
+    if (endpointUpdate.kind != Kind::delta)
       for (auto& [id, endpoint] : registry_.all()) endpoint.isListed = false;
-    for (const EndpointEntry& entry : list.entries) updateEndpoint(entry);
+    for (const EndpointEntry& entry : endpointUpdate.entries) updateEndpoint(entry);
     registry_.rebuildIndex();
     outliers_.invalidateOutages();
     affinity_.updateWeights();
@@ -84,7 +85,7 @@
 
   void updateEndpoint(const EndpointEntry& entry) {
     Endpoint& endpoint = registry_.at(entry.id);
-    if (endpoint.entry.startedAt != entry.startedAt) forgetBeforeRestart(endpoint);
+    if (endpoint.entry.startedAt != entry.startedAt) resetAfterRestart(endpoint);
     endpoint.entry = entry;
     endpoint.isListed = entry.state == EndpointState::running;
     const bool isKnownKind = entry.kind && *entry.kind < settings_.kinds.size();
@@ -92,7 +93,7 @@
     endpoint.memoryTokens = isKnownKind ? settings_.kinds[*entry.kind].memoryTokens : 0;
   }
 
-  void forgetBeforeRestart(Endpoint& endpoint) {
+  void resetAfterRestart(Endpoint& endpoint) {
     prefixes_.invalidate(endpoint);
     SpeedEstimator::reset(endpoint);
     KvMemoryEstimator::reset(endpoint);
@@ -104,7 +105,7 @@
   void on(const ProbeEnded& event) {
     Endpoint* endpoint = registry_.find(event.endpoint);
     if (endpoint == nullptr) return;
-    if (event.report) attempts_.recordReport(*endpoint, *event.report);
+    if (event.report) attemptTracker_.recordReport(*endpoint, *event.report);
     outliers_.recordProbe(event.endpoint, *endpoint, event.ok);
   }
 
@@ -116,25 +117,25 @@
     request.arrival = arrival;
     if (!arrival.requestClass || *arrival.requestClass >= settings_.classes.size()) return fail(request);
     request.requestClass = settings_.classes[*arrival.requestClass];
-    const EstimatedTime perKiloToken = toEstimate(request.requestClass.ttftObjectivePerKiloToken);
+    const EstimatedTime objectivePerKiloToken = toEstimate(request.requestClass.ttftObjectivePerKiloToken);
     request.objectiveAt = context_.now() + request.requestClass.ttftObjective +
-                          toMicros(perKiloToken * arrival.promptTokens / 1000);
+                          toMicros(objectivePerKiloToken * arrival.promptTokens / 1000);
     request.deadline = context_.now() + arrival.remaining;
     slowStart_.recordArrival(request);
-    context_.setTimer(timerFor(arrival.id, TimerPurpose::deadline), std::max<Micros>(0, arrival.remaining));
+    context_.setTimer(timerIdFor(arrival.id, TimerPurpose::deadline), std::max<Micros>(0, arrival.remaining));
     advance(request);
   }
 
-  // Decides what comes next for a request without an attempt in flight.
+  // Chooses the next step of a request that has no attempt in flight.
   void advance(TrackedRequest& request) {
-    if (!retries_.mayTry(request)) return rejectOrFail(request);
+    if (!retryPolicy_.mayAttempt(request)) return rejectOrFail(request);
     if (request.kvStateAt && !releaseExpiredState(request)) return decode(request);
     affinity_.assign(request);
-    if (combinedShare_.takes(request) && executeWhole(request, Role::combined)) return;
+    if (combinedShare_.shouldExecute(request) && tryCombinedAttempt(request, Role::combined)) return;
     if (const Endpoint* endpoint = prefillSelector_.select(request, Role::prefill))
       return prefill(request, *endpoint);
-    if (executeWhole(request, Role::combined)) return;
-    if (settings_.decodeEndpointsPrefill && executeWhole(request, Role::decode)) return;
+    if (tryCombinedAttempt(request, Role::combined)) return;
+    if (settings_.decodeEndpointsPrefill && tryCombinedAttempt(request, Role::decode)) return;
     if (!admission_.mayPrefillLater(request)) return rejectOrFail(request);
     reevaluateAfter(request, admission_.reevaluationInterval());
   }
@@ -143,14 +144,16 @@
     InFlightAttempt attempt{.endpoint = endpoint.entry.id, .phase = Phase::prefill};
     estimatePrefill(request, endpoint, attempt);
     attempt.reportedDelay = queues_.reportedDelay(endpoint);
-    const Endpoint* next =
+    const Endpoint* decodeEndpoint =
         decodeSelector_.select(request, endpoint.entry.cell, DecodeSelector::kMaxOccupancyToAdmit);
-    const EstimatedTime firstToken = next ? firstTokens_.expectedTime(*next) : firstTokens_.fleetTime();
+    const EstimatedTime firstTokenTime =
+        decodeEndpoint ? firstTokens_.expectedTime(*decodeEndpoint) : firstTokens_.fleetTime();
     const bool isInTime =
-        admission_.isExpectedInTime(request, attempt.predictedTime + firstToken, attempt.prefillTime,
+        admission_.isExpectedInTime(request, attempt.predictedTime + firstTokenTime, attempt.prefillTime,
                                     AdmissionController::firstTokenDueAt(request));
-    // Without room to decode anywhere there is a jam, which memory shows before first tokens do.
-    if (!isInTime || !next) return rejectOrFail(request);
+    // Without a decode endpoint that has enough free KV cache, decoding is overloaded. KV cache occupancy
+    // indicates this earlier than the time to first token does.
+    if (!isInTime || !decodeEndpoint) return rejectOrFail(request);
     send(request, attempt);
   }
 
@@ -170,9 +173,10 @@
     send(request, attempt);
   }
 
-  // Sends both phases to one endpoint, if one of that role is expected to be in time.
-  bool executeWhole(TrackedRequest& request, Role role) {
-    if (role == Role::decode) affinity_.addOfRole(request, role);
+  // Sends a combined attempt if an endpoint of `role` is expected to meet the objective; returns whether an
+  // attempt was sent.
+  bool tryCombinedAttempt(TrackedRequest& request, Role role) {
+    if (role == Role::decode) affinity_.addForRole(request, role);
     const Endpoint* endpoint = prefillSelector_.select(request, role);
     if (!endpoint || !RetryPolicy::isInScope(request, *endpoint)) return false;
     InFlightAttempt attempt{.endpoint = endpoint->entry.id, .phase = Phase::combined};
@@ -201,7 +205,8 @@
     attempt.predictedTime = prefills_.totalTime(request, endpoint);
   }
 
-  // Releases a KV state that was held for too long, so that the prompt is prefilled anew.
+  // Releases a KV state whose hold time has expired, so that the prompt is prefilled again. Returns whether
+  // it had expired.
   bool releaseExpiredState(TrackedRequest& request) {
     if (!kvHold_.isExpired(request)) return false;
     request.kvStateAt.reset();
@@ -210,70 +215,75 @@
   }
 
   void reevaluateAfter(const TrackedRequest& request, Micros delay) {
-    context_.setTimer(timerFor(request.arrival.id, TimerPurpose::reevaluation),
+    context_.setTimer(timerIdFor(request.arrival.id, TimerPurpose::reevaluation),
                       std::max(kMinReevaluationDelay, delay));
   }
 
   // ---- attempts ----
 
-  // With cancellation the policy watches the timeout itself, as it may then give a busy endpoint more time.
+  // If attempts can be cancelled, the policy enforces the timeout itself, because it can then extend the
+  // timeout of an attempt at a busy endpoint.
   void send(TrackedRequest& request, InFlightAttempt attempt) {
     const RequestId id = request.arrival.id;
-    attempt.timeout = retries_.timeoutFor(request, attempt);
-    attempts_.recordSend(request, attempt);
-    const bool isWatched = settings_.canCancel && attempt.timeout > 0;
-    context_.emit(Send{id, attempt.endpoint, isWatched ? 0 : attempt.timeout});
-    if (isWatched) context_.setTimer(timerFor(id, TimerPurpose::attemptTimeout), attempt.timeout);
+    attempt.timeout = retryPolicy_.timeoutFor(request, attempt);
+    attemptTracker_.recordSend(request, attempt);
+    const bool policyEnforcesTimeout = settings_.canCancel && attempt.timeout > 0;
+    context_.emit(Send{id, attempt.endpoint, policyEnforcesTimeout ? 0 : attempt.timeout});
+    if (policyEnforcesTimeout)
+      context_.setTimer(timerIdFor(id, TimerPurpose::attemptTimeout), attempt.timeout);
   }
 
   void on(const StreamStarted& event) {
-    if (TrackedRequest* request = findAttempt(event.id, event.attempt)) attempts_.recordStart(*request);
+    if (TrackedRequest* request = findInFlightRequest(event.id, event.attempt))
+      attemptTracker_.recordStart(*request);
   }
 
   void on(const AttemptEnded& event) {
-    TrackedRequest* request = findAttempt(event.id, event.attempt);
+    TrackedRequest* request = findInFlightRequest(event.id, event.attempt);
     if (request == nullptr) return;
-    attempts_.recordEnd(*request, event);
+    attemptTracker_.recordEnd(*request, event);
     if (event.requestEnded) request->ended = true;
     if (request->ended) return finish(*request);
     advance(*request);
   }
 
-  // An endpoint that gave a sign since the send is busy, not failing: giving up on it would leave its load
-  // behind as waste and make a jam worse. So only silence ends the attempt: of the endpoint or, where the
-  // sign was for a later attempt, of the connection.
+  // An endpoint that was active after the attempt was sent is busy, not failing. Abandoning the attempt would
+  // leave its load at the endpoint as wasted work and aggravate the overload. The attempt is therefore
+  // cancelled only if the endpoint has been silent or, where the activity belonged to later attempts, the
+  // connection is stalled.
   void checkAttemptTimeout(TrackedRequest& request) {
     if (!request.attempt || request.attempt->started || request.attempt->timeout == 0) return;
     const RequestId id = request.arrival.id;
     InFlightAttempt& attempt = *request.attempt;
-    const Micros left = attempt.sentAt + attempt.timeout - context_.now();
-    if (left > 0 || isBusyWith(id, attempt))
-      return context_.setTimer(timerFor(id, TimerPurpose::attemptTimeout),
-                               std::max(left, attempt.timeout / 2));
+    const Micros remainingTime = attempt.sentAt + attempt.timeout - context_.now();
+    if (remainingTime > 0 || isEndpointBusy(id, attempt))
+      return context_.setTimer(timerIdFor(id, TimerPurpose::attemptTimeout),
+                               std::max(remainingTime, attempt.timeout / 2));
     context_.emit(Cancel{id, attempt.number});
     attempt.timeout = 0;
   }
 
-  bool isBusyWith(RequestId id, const InFlightAttempt& attempt) {
+  bool isEndpointBusy(RequestId id, const InFlightAttempt& attempt) {
     const Endpoint& endpoint = registry_.at(attempt.endpoint);
-    const InFlightAttempt* awaiting = endpoint.awaiting.find(id);
-    const bool isStalled = awaiting && timeouts_.isStalled(*awaiting, 1);
+    const InFlightAttempt* awaitingAttempt = endpoint.awaitingResponse.find(id);
+    const bool isStalled = awaitingAttempt && timeouts_.isStalled(*awaitingAttempt, 1);
     return OutlierDetector::wasActiveAfter(endpoint, attempt.sentAt) && !isStalled;
   }
 
-  TrackedRequest* findAttempt(RequestId id, int number) {
-    const auto at = requests_.find(id);
-    if (at == requests_.end() || !at->second.attempt || at->second.attempt->number != number) return nullptr;
-    return &at->second;
+  TrackedRequest* findInFlightRequest(RequestId id, int number) {
+    const auto found = requests_.find(id);
+    if (found == requests_.end() || !found->second.attempt || found->second.attempt->number != number)
+      return nullptr;
+    return &found->second;
   }
 
-  // ---- a request's end: one final answer, then nothing is held ----
+  // ---- end of a request: exactly one final response, then all KV state is released ----
 
   void on(const RequestCancelled& event) {
-    const auto at = requests_.find(event.id);
-    if (at == requests_.end()) return;
-    at->second.cancelled = true;
-    finish(at->second);
+    const auto found = requests_.find(event.id);
+    if (found == requests_.end()) return;
+    found->second.cancelled = true;
+    finish(found->second);
   }
 
   void rejectOrFail(TrackedRequest& request) {
@@ -287,7 +297,8 @@
     finish(request);
   }
 
-  // A request with an attempt in flight is forgotten at the attempt's end, which may leave a KV state.
+  // Keeps a request with an attempt in flight until that attempt ends, since the attempt may still create a
+  // KV state that has to be released.
   void finish(TrackedRequest& request) {
     const RequestId id = request.arrival.id;
     request.ended = true;
@@ -300,26 +311,26 @@
   // ---- counts and timers ----
 
   void on(const PromptCounted& event) {
-    const auto at = requests_.find(event.id);
-    if (at != requests_.end()) at->second.arrival.counts = event.counts;
+    const auto found = requests_.find(event.id);
+    if (found != requests_.end()) found->second.arrival.counts = event.counts;
   }
 
   void on(const TimerFired& event) {
     const TimerPurpose purpose = purposeOf(event.id);
     if (purpose == TimerPurpose::update) return update();
-    const auto at = requests_.find(requestOf(event.id));
-    if (at == requests_.end() || at->second.ended) return;
-    TrackedRequest& request = at->second;
+    const auto found = requests_.find(requestIdOf(event.id));
+    if (found == requests_.end() || found->second.ended) return;
+    TrackedRequest& request = found->second;
     const bool hasStarted = request.attempt && request.attempt->started;
     if (purpose == TimerPurpose::attemptTimeout) return checkAttemptTimeout(request);
     if (purpose == TimerPurpose::reevaluation && !request.attempt) return advance(request);
     if (purpose == TimerPurpose::deadline && !hasStarted) rejectOrFail(request);
   }
 
-  // Regular upkeep; measures what is too dear to be measured for each request.
+  // Periodic maintenance; computes the aggregates that are too expensive to compute for each request.
   void update() {
-    isUpdating_ = true;
-    context_.setTimer(timerFor({0}, TimerPurpose::update), kUpdateInterval);
+    isUpdateScheduled_ = true;
+    context_.setTimer(timerIdFor({0}, TimerPurpose::update), kUpdateInterval);
     if (settings_.discovery == Discovery::poll && !isSubscribed_) context_.emit(Subscribe{});
     affinity_.expire();
     slowStart_.update();
@@ -328,45 +339,47 @@
     sample_.update();
     outliers_.sendProbes();
     registry_.removeUnused();
-    outliers_.forgetRemoved();
+    outliers_.eraseRemoved();
     prefixes_.expire();
   }
 
   const Settings settings_;
   DecisionContext context_;
-  const PrefixKey ownOrder_;  // this router's own order of the endpoints, where they are alike
+  // Hash key of this router, so that routers break ties between equal endpoints differently.
+  const PrefixKey routerKey_;
   const EstimatedTime smallestObjective_ = smallestTtftObjective(settings_);
   TrackedRequests requests_;
-  EndpointRegistry registry_{ownOrder_};
+  EndpointRegistry registry_{routerKey_};
   bool isSubscribed_ = false;
-  bool isUpdating_ = false;
+  bool isUpdateScheduled_ = false;
 
-  // Each module after those that it works with.
+  // Each module is declared after the modules that it references.
   PrefillCostModel costModel_ = initialCostModel(settings_);
   AttemptTimeouts timeouts_{context_, smallestObjective_};
   TrafficSample sample_{registry_, requests_, settings_.routers};
   PrefixCacheIndex prefixes_{context_};
-  AffinityHashing affinity_{context_, registry_, ownOrder_};
+  AffinityHashing affinity_{context_, registry_, routerKey_};
   SpeedEstimator speeds_{context_};
-  SlowStart slowStart_{context_, registry_, settings_, ownOrder_};
+  SlowStart slowStart_{context_, registry_, settings_, routerKey_};
   QueueEstimator queues_{{context_, registry_, costModel_, timeouts_, sample_, slowStart_},
                          smallestObjective_};
   FirstTokenEstimator firstTokens_{{context_, queues_, sample_}, smallestObjective_};
   KvMemoryEstimator memory_{context_, registry_, sample_};
   RejectionEstimator rejections_{context_};
   OutlierDetector outliers_{{context_, registry_, requests_, timeouts_, settings_}};
-  RetryPolicy retries_{{context_, settings_, timeouts_, firstTokens_}};
-  CandidateFinder candidates_{{registry_, outliers_, slowStart_, rejections_, prefixes_}, ownOrder_};
+  RetryPolicy retryPolicy_{{context_, settings_, timeouts_, firstTokens_}};
+  CandidateFinder candidates_{{registry_, outliers_, slowStart_, rejections_, prefixes_}, routerKey_};
   PrefillEstimator prefills_{{costModel_, prefixes_, queues_, speeds_, sample_}};
   PrefillSelector prefillSelector_{
-      {context_, registry_, candidates_, prefills_, prefixes_, rejections_}, ownOrder_, smallestObjective_};
-  DecodeSelector decodeSelector_{{candidates_, memory_, rejections_, speeds_}, ownOrder_, smallestObjective_};
+      {context_, registry_, candidates_, prefills_, prefixes_, rejections_}, routerKey_, smallestObjective_};
+  DecodeSelector decodeSelector_{
+      {candidates_, memory_, rejections_, speeds_}, routerKey_, smallestObjective_};
   AdmissionController admission_{{context_, settings_, registry_, candidates_, prefills_, firstTokens_},
                                  smallestObjective_};
   KvHoldPolicy kvHold_{context_, settings_, smallestObjective_};
   CombinedShare combinedShare_{{context_, registry_, firstTokens_, prefillSelector_, prefills_, queues_}};
-  AttemptTracker attempts_{{context_, registry_, timeouts_, costModel_, prefixes_, affinity_, speeds_,
-                            queues_, firstTokens_, memory_, rejections_, outliers_, slowStart_}};
+  AttemptTracker attemptTracker_{{context_, registry_, timeouts_, costModel_, prefixes_, affinity_, speeds_,
+                                  queues_, firstTokens_, memory_, rejections_, outliers_, slowStart_}};
 };
 
 RoutingPolicy::RoutingPolicy(const Settings& settings, std::uint64_t seed)
--- a/src/policy/settings_validation.cpp
+++ b/src/policy/settings_validation.cpp
@@ -5,9 +5,9 @@
 namespace garnethook::policy {
 namespace {
 
-// Messages also name the key of the operators' configuration, in parentheses where it differs.
-void require(bool holds, const char* error) {
-  if (!holds) throw std::invalid_argument(error);
+// Messages name the setting and, in parentheses, the key in the operator's configuration where it differs.
+void require(bool condition, const char* message) {
+  if (!condition) throw std::invalid_argument(message);
 }
 
 void validateClass(const RequestClass& requestClass) {
--- a/src/sentencepiece_helper/main.cpp
+++ b/src/sentencepiece_helper/main.cpp
@@ -1,11 +1,11 @@
-// garnethook-sentencepiece MODEL: encodes texts with the SentencePiece library, asked over standard input and
-// output.
+// garnethook-sentencepiece MODEL: encodes texts with the SentencePiece library, serving requests over
+// standard input and output.
 //
-// A process of its own since the library carries a protobuf whose symbols meet those of the system's, which
-// the router uses; and a text or model that ends it does not end the router. Messages, numbers in this
-// machine's order: in, a uint32 length and the text; out, a uint32 count and as many uint32 ids, or
-// 0xffffffff, a uint32 length and an error. The first message out tells the number of tokens in the model as
-// a count of 1 and that id.
+// Runs as a separate process because the library bundles a protobuf whose symbols conflict with those of the
+// system's protobuf, which the router uses, and so that a text or model that crashes it does not crash the
+// router. Messages use host byte order. Request: a uint32 length and the text. Response: a uint32 count and
+// that many uint32 ids, or 0xffffffff, a uint32 length and an error text. The first message, sent without a
+// request, reports the number of tokens in the model as a count of 1 followed by that number.
 #include <sentencepiece_processor.h>
 
 #include <cstdint>
@@ -15,11 +15,11 @@
 
 namespace {
 
-bool put(const void* data, std::size_t size) { return std::fwrite(data, 1, size, stdout) == size; }
-bool number(std::uint32_t n) { return put(&n, sizeof n); }
-bool failed(const std::string& text) {
-  return number(0xffffffff) && number(static_cast<std::uint32_t>(text.size())) &&
-         put(text.data(), text.size()) && std::fflush(stdout) == 0;
+bool writeBytes(const void* data, std::size_t size) { return std::fwrite(data, 1, size, stdout) == size; }
+bool writeNumber(std::uint32_t value) { return writeBytes(&value, sizeof value); }
+bool writeError(const std::string& text) {
+  return writeNumber(0xffffffff) && writeNumber(static_cast<std::uint32_t>(text.size())) &&
+         writeBytes(text.data(), text.size()) && std::fflush(stdout) == 0;
 }
 
 }  // namespace
@@ -28,10 +28,11 @@
   if (argc != 2) return 2;
   sentencepiece::SentencePieceProcessor processor;
   if (const auto status = processor.Load(argv[1]); !status.ok()) {
-    failed(status.ToString());
+    writeError(status.ToString());
     return 1;
   }
-  if (!number(1) || !number(static_cast<std::uint32_t>(processor.GetPieceSize())) || std::fflush(stdout) != 0)
+  if (!writeNumber(1) || !writeNumber(static_cast<std::uint32_t>(processor.GetPieceSize())) ||
+      std::fflush(stdout) != 0)
     return 1;
   std::string text;
   std::vector<int> ids;
@@ -44,11 +45,11 @@
     ids.clear();
     const auto status = processor.Encode(text, &ids);
     if (!status.ok()) {
-      if (!failed(status.ToString())) return 1;
+      if (!writeError(status.ToString())) return 1;
       continue;
     }
-    if (!number(static_cast<std::uint32_t>(ids.size())) || !put(ids.data(), ids.size() * sizeof(int)) ||
-        std::fflush(stdout) != 0)
+    if (!writeNumber(static_cast<std::uint32_t>(ids.size())) ||
+        !writeBytes(ids.data(), ids.size() * sizeof(int)) || std::fflush(stdout) != 0)
       return 1;
   }
 }
--- a/tests/routing/rule_guard_test.cpp
+++ b/tests/routing/rule_guard_test.cpp
@@ -1,4 +1,4 @@
-// The rule guard reports each attempt that would break a rule, and nothing else.
+// The rule guard reports each attempt that would violate a rule, and no others.
 #include "routing/rule_guard.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
                              .firstExecutedAt = firstExecutedAt,
                              .target = target,
                              .phase = phase,
-                             .isAnswered = isAnswered,
+                             .isFinished = isFinished,
                              .hasAttemptInFlight = hasAttemptInFlight,
                              .now = now});
   }
@@ -32,7 +32,7 @@
   ExecutionHistory history;
   std::optional<EndpointLocation> firstExecutedAt;
   EndpointLocation target{0, 1};
-  bool isAnswered = false;
+  bool isFinished = false;
   bool hasAttemptInFlight = false;
   Micros now = 5'000'000;
 };
@@ -42,7 +42,7 @@
   hasAttemptInFlight = true;
   EXPECT_EQ(check(), Violation::concurrentAttempt);
   EXPECT_EQ(check(Phase::prefill), Violation::concurrentAttempt);
-  isAnswered = true;
+  isFinished = true;
   EXPECT_EQ(check(), Violation::attemptAfterCompletion);
 }
 
@@ -51,7 +51,7 @@
   EXPECT_EQ(check(), std::nullopt);
 }
 
-TEST_F(RuleGuardTest, AllowsOnlyAPrefillOfNonIdempotentWorkThatMayHaveRun) {
+TEST_F(RuleGuardTest, AllowsOnlyAPrefillOfNonIdempotentWorkThatWasPossiblyExecuted) {
   requestClass.idempotency = Idempotency::nonIdempotent;
   EXPECT_EQ(check(), std::nullopt);
   recordPossibleExecution(now - 1, target);
@@ -80,7 +80,7 @@
   EXPECT_EQ(check(), Violation::retryOutsideDeduplicationScope);
 }
 
-TEST_F(RuleGuardTest, CallsACompletionLateAfterItsOwnAndThePlatformsSlack) {
+TEST_F(RuleGuardTest, ReportsACompletionAsLateAfterTheSlackOfTheSettingsAndThePlatform) {
   constexpr Micros kDeadline = 1'000'000;
   constexpr Micros kSettingsSlack = 8'000;
   EXPECT_FALSE(RuleGuard::isLate(kDeadline + kSettingsSlack + 200'000, kDeadline, kSettingsSlack));
